--- a/decision/health/health.go
+++ b/decision/health/health.go
@@ -218,10 +218,10 @@
 	}
 }
 
-// Trial names an upstream that is to get the next request whatever its weight, or
+// NextProbe names an upstream that is to get the next request whatever its weight, or
 // false when none is due. The trial counts as given. A choice by weight alone would
 // never try an upstream again as long as others have free slots.
-func (m *Monitor) Trial(now time.Time) (string, bool) {
+func (m *Monitor) NextProbe(now time.Time) (string, bool) {
 	for _, u := range m.upstreams {
 		due := u.state == Out && now.Sub(u.tried) >= m.cfg.TrialInterval ||
 			u.state == Returning && now.Sub(u.tried) >= m.cfg.ReturnInterval
--- a/decision/health/health_test.go
+++ b/decision/health/health_test.go
@@ -67,7 +67,7 @@
 				best, bestScore = u, score
 			}
 		}
-		if name, due := m.Trial(now); due && monitored {
+		if name, due := m.NextProbe(now); due && monitored {
 			best = slices.Index(all, name)
 		}
 		d := done{best, true, time.Duration((0.8 + 0.4*rng.Float64()) * float64(time.Second))}
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -89,7 +89,7 @@
 // carry gives the group the weights, and logs each change of state.
 func (a *serviceActor) carryHealth(now time.Time) {
 	for _, monitor := range a.health.monitors {
-		if name, due := monitor.Trial(now); due {
+		if name, due := monitor.NextProbe(now); due {
 			a.health.trials[name] = true
 		}
 		for _, w := range monitor.Weights() {
