--- a/decision/quarantine/quarantine.go
+++ b/decision/quarantine/quarantine.go
@@ -17,7 +17,7 @@
 //     ran had a crash before, it explains this one and the others are not charged.
 //   - A success clears the fingerprint: it can run.
 //   - Suspects, those with one crash, are to be placed apart from one another, so
-//     that a second crash has one explanation; see Ledger.Suspect.
+//     that a second crash has one explanation; see Tracker.Suspect.
 package quarantine
 
 import (
@@ -70,8 +70,8 @@
 	Running []uint64
 }
 
-// Ledger counts the crashes of one service. It is not safe for concurrent use.
-type Ledger struct {
+// Tracker counts the crashes of one service. It is not safe for concurrent use.
+type Tracker struct {
 	cfg     Config
 	entries map[uint64]*list.Element
 	// byCrash holds entries, the latest crash at the front.
@@ -93,8 +93,8 @@
 }
 
 // New returns an empty ledger.
-func New(cfg Config) *Ledger {
-	return &Ledger{
+func New(cfg Config) *Tracker {
+	return &Tracker{
 		cfg:     cfg,
 		entries: make(map[uint64]*list.Element),
 		byCrash: list.New(),
@@ -102,9 +102,9 @@
 	}
 }
 
-// Crashed charges a crash to what ran on the upstream and returns the fingerprints
+// RecordCrash charges a crash to what ran on the upstream and returns the fingerprints
 // that it puts into quarantine. A crash that was reported already changes nothing.
-func (l *Ledger) Crashed(now time.Time, c Crash) []uint64 {
+func (l *Tracker) RecordCrash(now time.Time, c Crash) []uint64 {
 	if l.reported(now, c) {
 		return nil
 	}
@@ -128,7 +128,7 @@
 // reported notes the crash and reports whether it is known. Each of the callers
 // whose stream broke reports it; counting each report would quarantine all of them
 // at the first crash.
-func (l *Ledger) reported(now time.Time, c Crash) bool {
+func (l *Tracker) reported(now time.Time, c Crash) bool {
 	last, ok := l.last[c.Upstream]
 	known := ok && now.Sub(last.at) < l.cfg.Fold
 	if ok && c.Process != "" && last.process != "" {
@@ -141,7 +141,7 @@
 }
 
 // charge adds one crash and reports whether the fingerprint is quarantined for it.
-func (l *Ledger) charge(now time.Time, fingerprint uint64, shared bool) bool {
+func (l *Tracker) charge(now time.Time, fingerprint uint64, shared bool) bool {
 	element, ok := l.entries[fingerprint]
 	if !ok {
 		element = l.byCrash.PushFront(&entry{fingerprint: fingerprint})
@@ -158,7 +158,7 @@
 	return true
 }
 
-func (l *Ledger) duration(crashes int, shared bool) time.Duration {
+func (l *Tracker) duration(crashes int, shared bool) time.Duration {
 	if shared {
 		return l.cfg.SharedDuration
 	}
@@ -169,15 +169,15 @@
 	return d
 }
 
-// Succeeded clears a fingerprint that was answered whole.
-func (l *Ledger) Succeeded(fingerprint uint64) {
+// RecordSuccess clears a fingerprint that was answered whole.
+func (l *Tracker) RecordSuccess(fingerprint uint64) {
 	if element, ok := l.entries[fingerprint]; ok {
 		l.remove(element)
 	}
 }
 
-// Blocked returns the end of a fingerprint's quarantine, or false when it may run.
-func (l *Ledger) Blocked(now time.Time, fingerprint uint64) (time.Time, bool) {
+// BlockedUntil returns the end of a fingerprint's quarantine, or false when it may run.
+func (l *Tracker) BlockedUntil(now time.Time, fingerprint uint64) (time.Time, bool) {
 	e := l.lookup(fingerprint)
 	if e == nil || !now.Before(e.until) {
 		return time.Time{}, false
@@ -187,8 +187,8 @@
 
 // Refusal returns the verdict for a fingerprint in quarantine, with the time until
 // its end, or nil when it may run.
-func (l *Ledger) Refusal(now time.Time, fingerprint uint64) *verdict.Verdict {
-	until, blocked := l.Blocked(now, fingerprint)
+func (l *Tracker) Refusal(now time.Time, fingerprint uint64) *verdict.Verdict {
+	until, blocked := l.BlockedUntil(now, fingerprint)
 	if !blocked {
 		return nil
 	}
@@ -198,15 +198,15 @@
 
 // Suspect reports whether a crash is held against the fingerprint. A suspect is to
 // run on an upstream without another suspect, and rather where little else runs.
-func (l *Ledger) Suspect(now time.Time, fingerprint uint64) bool {
+func (l *Tracker) Suspect(now time.Time, fingerprint uint64) bool {
 	e := l.lookup(fingerprint)
 	return e != nil && !l.expired(now, e)
 }
 
 // Len is the number of fingerprints kept.
-func (l *Ledger) Len() int { return len(l.entries) }
+func (l *Tracker) Len() int { return len(l.entries) }
 
-func (l *Ledger) lookup(fingerprint uint64) *entry {
+func (l *Tracker) lookup(fingerprint uint64) *entry {
 	element, ok := l.entries[fingerprint]
 	if !ok {
 		return nil
@@ -214,7 +214,7 @@
 	return element.Value.(*entry)
 }
 
-func (l *Ledger) expired(now time.Time, e *entry) bool {
+func (l *Tracker) expired(now time.Time, e *entry) bool {
 	held := e.crashed
 	if e.until.After(held) {
 		held = e.until
@@ -223,7 +223,7 @@
 }
 
 // expire drops entries whose last crash or quarantine is long over.
-func (l *Ledger) expire(now time.Time) {
+func (l *Tracker) expire(now time.Time) {
 	for element := l.byCrash.Back(); element != nil; {
 		previous := element.Prev()
 		if e := element.Value.(*entry); l.expired(now, e) {
@@ -233,13 +233,13 @@
 	}
 }
 
-func (l *Ledger) trim() {
+func (l *Tracker) trim() {
 	for len(l.entries) > l.cfg.MaxEntries {
 		l.remove(l.byCrash.Back())
 	}
 }
 
-func (l *Ledger) remove(element *list.Element) {
+func (l *Tracker) remove(element *list.Element) {
 	delete(l.entries, element.Value.(*entry).fingerprint)
 	l.byCrash.Remove(element)
 }
--- a/decision/quarantine/quarantine_test.go
+++ b/decision/quarantine/quarantine_test.go
@@ -25,12 +25,12 @@
 func TestSecondCrashQuarantines(t *testing.T) {
 	for _, second := range []string{"engine-1", "engine-2"} {
 		l := New(DefaultConfig())
-		assert.Equal(t, len(l.Crashed(start, crash("engine-1", "p1", 7, 8, 9))), 0)
-		_, blocked := l.Blocked(start, 7)
+		assert.Equal(t, len(l.RecordCrash(start, crash("engine-1", "p1", 7, 8, 9))), 0)
+		_, blocked := l.BlockedUntil(start, 7)
 		assert.Assert(t, !blocked && l.Suspect(start, 7))
 		later := start.Add(time.Minute)
-		assert.DeepEqual(t, l.Crashed(later, crash(second, "p2", 7, 20, 21)), []uint64{7})
-		until, blocked := l.Blocked(later, 7)
+		assert.DeepEqual(t, l.RecordCrash(later, crash(second, "p2", 7, 20, 21)), []uint64{7})
+		until, blocked := l.BlockedUntil(later, 7)
 		assert.Assert(t, blocked)
 		assert.Equal(t, until, later.Add(10*time.Minute))
 		refusal := l.Refusal(later, 7)
@@ -38,10 +38,10 @@
 		assert.Equal(t, refusal.Reason, verdict.ReasonQuarantined)
 		assert.Assert(t, l.Refusal(later, 8) == nil)
 		assert.Assert(t, !l.Suspect(later, 20), "the suspect explains the crash")
-		_, blocked = l.Blocked(until, 7)
+		_, blocked = l.BlockedUntil(until, 7)
 		assert.Assert(t, !blocked)
-		l.Crashed(until, crash("engine-3", "p3", 7))
-		again, _ := l.Blocked(until, 7)
+		l.RecordCrash(until, crash("engine-3", "p3", 7))
+		again, _ := l.BlockedUntil(until, 7)
 		assert.Equal(t, again, until.Add(20*time.Minute))
 	}
 }
@@ -53,9 +53,9 @@
 		l := New(DefaultConfig())
 		for i := range 20 {
 			at := start.Add(time.Duration(i) * 50 * time.Millisecond)
-			assert.Equal(t, len(l.Crashed(at, crash("engine-1", process, 7, 8))), 0)
+			assert.Equal(t, len(l.RecordCrash(at, crash("engine-1", process, 7, 8))), 0)
 		}
-		_, blocked := l.Blocked(start, 8)
+		_, blocked := l.BlockedUntil(start, 8)
 		assert.Assert(t, !blocked)
 	}
 }
@@ -64,12 +64,12 @@
 // without one the crash is forgotten after the stated memory.
 func TestInnocentIsCleared(t *testing.T) {
 	l := New(DefaultConfig())
-	l.Crashed(start, crash("engine-1", "p1", 7, 8, 9))
-	l.Succeeded(8)
-	assert.Equal(t, len(l.Crashed(start.Add(time.Minute), crash("engine-2", "p2", 8))), 0)
+	l.RecordCrash(start, crash("engine-1", "p1", 7, 8, 9))
+	l.RecordSuccess(8)
+	assert.Equal(t, len(l.RecordCrash(start.Add(time.Minute), crash("engine-2", "p2", 8))), 0)
 	late := start.Add(time.Hour)
 	assert.Assert(t, !l.Suspect(late, 9))
-	assert.Equal(t, len(l.Crashed(late, crash("engine-2", "p3", 9))), 0)
+	assert.Equal(t, len(l.RecordCrash(late, crash("engine-2", "p3", 9))), 0)
 }
 
 func TestMemoryIsBounded(t *testing.T) {
@@ -77,7 +77,7 @@
 	cfg.MaxEntries = 50
 	l := New(cfg)
 	for i := range uint64(500) {
-		l.Crashed(start.Add(time.Duration(i)*time.Second), crash("engine-1", strconv.FormatUint(i, 10), i))
+		l.RecordCrash(start.Add(time.Duration(i)*time.Second), crash("engine-1", strconv.FormatUint(i, 10), i))
 	}
 	assert.Equal(t, l.Len(), 50)
 	assert.Assert(t, l.Suspect(start.Add(500*time.Second), 499))
@@ -135,24 +135,24 @@
 			e := event{now, rng.IntN(3) > 0, []uint64{rng.Uint64N(12), 12 + rng.Uint64N(12), 24 + rng.Uint64N(12)}}
 			history = append(history, e)
 			if e.crash {
-				l.Crashed(now, crash("engine-1", strconv.Itoa(step), e.running...))
+				l.RecordCrash(now, crash("engine-1", strconv.Itoa(step), e.running...))
 			} else {
-				l.Succeeded(e.running[0])
+				l.RecordSuccess(e.running[0])
 			}
 			blocked := naiveBlocked(DefaultConfig(), history)
 			for f := range uint64(36) {
-				_, got := l.Blocked(now, f)
+				_, got := l.BlockedUntil(now, f)
 				assert.Equal(t, got, blocked(f))
 			}
 		}
 	}
 }
 
-// policy is what a run varies; Ledger is one.
+// policy is what a run varies; Tracker is one.
 type policy interface {
-	Blocked(now time.Time, f uint64) (time.Time, bool)
-	Crashed(now time.Time, c Crash) []uint64
-	Succeeded(f uint64)
+	BlockedUntil(now time.Time, f uint64) (time.Time, bool)
+	RecordCrash(now time.Time, c Crash) []uint64
+	RecordSuccess(f uint64)
 }
 
 // plainCounts blocks at a number of crashes and never forgets.
@@ -161,11 +161,11 @@
 	counts map[uint64]int
 }
 
-func (p plainCounts) Blocked(now time.Time, f uint64) (time.Time, bool) {
+func (p plainCounts) BlockedUntil(now time.Time, f uint64) (time.Time, bool) {
 	return now, p.counts[f] >= p.limit
 }
-func (p plainCounts) Succeeded(uint64) {}
-func (p plainCounts) Crashed(_ time.Time, c Crash) []uint64 {
+func (p plainCounts) RecordSuccess(uint64) {}
+func (p plainCounts) RecordCrash(_ time.Time, c Crash) []uint64 {
 	for _, f := range c.Running {
 		p.counts[f]++
 	}
@@ -190,19 +190,19 @@
 	for second := range 1800 {
 		now := start.Add(time.Duration(second) * time.Second)
 		target := rng.IntN(10)
-		_, refused := p.Blocked(now, deadly)
+		_, refused := p.BlockedUntil(now, deadly)
 		for i := range running {
 			next := 1 + rng.Uint64N(200)
 			if back[i] > second {
 				continue
 			}
-			if _, blocked := p.Blocked(now, next); blocked {
+			if _, blocked := p.BlockedUntil(now, next); blocked {
 				result.refused++
 			} else {
 				running[i] = append(running[i], next)
 			}
 			if len(running[i]) > 10 {
-				p.Succeeded(running[i][0])
+				p.RecordSuccess(running[i][0])
 				running[i] = running[i][1:]
 			}
 			killed := second%5 == 0 && i == target && !refused
@@ -214,7 +214,7 @@
 			if killed {
 				running[i] = append(running[i], deadly)
 			}
-			p.Crashed(now, crash(strconv.Itoa(i), strconv.Itoa(second), running[i]...))
+			p.RecordCrash(now, crash(strconv.Itoa(i), strconv.Itoa(second), running[i]...))
 			running[i], back[i] = nil, second+30
 		}
 	}
@@ -243,6 +243,6 @@
 		for j := range running {
 			running[j] = uint64(i*20 + j)
 		}
-		l.Crashed(start.Add(time.Duration(i)*time.Second), crash("engine-1", strconv.Itoa(i), running...))
+		l.RecordCrash(start.Add(time.Duration(i)*time.Second), crash("engine-1", strconv.Itoa(i), running...))
 	}
 }
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -37,7 +37,7 @@
 	reach func(ctx context.Context, to upstream.Entry) error
 
 	mu     sync.Mutex
-	ledger *quarantine.Ledger
+	ledger *quarantine.Tracker
 	told   []toldCrash
 	heard  map[heardCrash]bool
 }
@@ -113,7 +113,7 @@
 	// Each request is charged by itself: instances tell of those that ran with them, and
 	// none knows all that ran on the process.
 	process := fmt.Sprintf("%x/%x", c.Upstream, c.Fingerprint)
-	for _, print := range k.ledger.Crashed(at, quarantine.Crash{Upstream: process, Process: process, Running: []uint64{c.Fingerprint}}) {
+	for _, print := range k.ledger.RecordCrash(at, quarantine.Crash{Upstream: process, Process: process, Running: []uint64{c.Fingerprint}}) {
 		k.log.Warn("request quarantined", zap.Uint64("fingerprint", print))
 	}
 }
@@ -123,7 +123,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ledger.Len() > 0 {
-		k.ledger.Succeeded(fingerprint(c))
+		k.ledger.RecordSuccess(fingerprint(c))
 	}
 }
 
--- a/scheduler/actor.go
+++ b/scheduler/actor.go
@@ -51,7 +51,7 @@
 	metrics *observe.Metrics
 	// crashes counts the prompts that upstreams died of; processes holds each
 	// upstream's process as last reported.
-	crashes   *quarantine.Ledger
+	crashes   *quarantine.Tracker
 	processes map[string]string
 	// excess counts the reports in a row with more streams than leases, by upstream.
 	excess map[string]int
--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -19,13 +19,13 @@
 	}
 	switch outcome.Kind {
 	case group.OutcomeDone:
-		a.crashes.Succeeded(outcome.Fingerprint)
+		a.crashes.RecordSuccess(outcome.Fingerprint)
 	case group.OutcomeUpstreamCrashed:
 		crash := quarantine.Crash{
 			Upstream: outcome.FailedUpstream, Process: a.processes[outcome.FailedUpstream],
 			Running: a.runningOn(outcome.FailedUpstream, outcome.Fingerprint),
 		}
-		for _, fingerprint := range a.crashes.Crashed(now, crash) {
+		for _, fingerprint := range a.crashes.RecordCrash(now, crash) {
 			a.metrics.Scope.Counter("prompts_quarantined").Inc(1)
 			a.log.Warn("prompt quarantined", zap.Uint64("fingerprint", fingerprint), zap.String("upstream", crash.Upstream))
 		}
@@ -47,7 +47,7 @@
 
 // quarantined refuses a prompt that upstreams have died of.
 func (a *serviceActor) quarantined(now time.Time, fingerprint uint64) *verdict.Verdict {
-	until, blocked := a.crashes.Blocked(now, fingerprint)
+	until, blocked := a.crashes.BlockedUntil(now, fingerprint)
 	if !blocked {
 		return nil
 	}
