--- a/decision/group/parked.go
+++ b/decision/group/parked.go
@@ -19,7 +19,7 @@
 			return
 		}
 	}
-	g.queue.Return(it)
+	g.queue.Requeue(it)
 }
 
 // retryParked tries requests that were taken from the queue but did not fit.
@@ -42,7 +42,7 @@
 		}
 		if g.claimAgain(now, w, claimed) && w.claim == nil {
 			g.unpark(i)
-			g.queue.Return(w.item)
+			g.queue.Requeue(w.item)
 			continue
 		}
 		i++
@@ -80,7 +80,7 @@
 func (g *Group) drop(i int) {
 	w := g.parked[i]
 	g.unpark(i)
-	g.queue.Settle(w.Class, w.Organisation, w.KeyID, -w.cost)
+	g.queue.AdjustCharge(w.Class, w.Organisation, w.KeyID, -w.cost)
 }
 
 // claim makes the memory of one upstream gather for a request that fits nowhere:
--- a/decision/group/release.go
+++ b/decision/group/release.go
@@ -90,7 +90,7 @@
 		prefilled = min(took, out.Prefill)
 	}
 	cost := prefilled.Seconds() + (took-prefilled).Seconds()*h.engineShare
-	g.queue.Settle(h.class, h.Organisation, h.key, cost-h.cost)
+	g.queue.AdjustCharge(h.class, h.Organisation, h.key, cost-h.cost)
 	g.estimate.released(took, cost)
 	if out.Kind != OutcomeDone {
 		return
--- a/decision/group/submit.go
+++ b/decision/group/submit.go
@@ -129,7 +129,7 @@
 	if !g.queue.Ready() && g.hasPlace(now) {
 		return 0
 	}
-	ahead := g.queue.Ahead(w.Class, w.Organisation, w.KeyID, w.cost)
+	ahead := g.queue.WorkAhead(w.Class, w.Organisation, w.KeyID, w.cost)
 	for _, p := range g.parked {
 		// Large parked requests gather memory on upstreams of their own.
 		ahead += min(p.cost, w.cost)
--- a/decision/queue/doc.go
+++ b/decision/queue/doc.go
@@ -17,9 +17,9 @@
 // organisations and are fair to within one request.
 //
 // Cost is in seconds of one engine. An item is charged its estimate when it is
-// taken and Settle corrects it by what it really used, so that an organisation
+// taken and AdjustCharge corrects it by what it really used, so that an organisation
 // gains nothing by requests that are larger than they look.
 //
-// The queue is bounded by time: each item has a latest start, and Ahead gives the
+// The queue is bounded by time: each item has a latest start, and WorkAhead gives the
 // work before a new item, from which the caller judges whether it can be met.
 package queue
--- a/decision/queue/query.go
+++ b/decision/queue/query.go
@@ -32,12 +32,12 @@
 	return q.expiry.min().LatestStart
 }
 
-// Ahead estimates the engine time in seconds that is served before a new item of
+// WorkAhead estimates the engine time in seconds that is served before a new item of
 // the given cost, within its class. Its own key's items go first; the other keys
 // of its organisation, and then the other organisations, are served at most as
 // much as the item's own side, and never more than they have queued. It looks at
 // no other item and no other organisation.
-func (q *Queue[T]) Ahead(class request.Class, organisation, key string, cost float64) float64 {
+func (q *Queue[T]) WorkAhead(class request.Class, organisation, key string, cost float64) float64 {
 	c := q.class(class)
 	org := c.children[organisation]
 	if org == nil {
--- a/decision/queue/queue.go
+++ b/decision/queue/queue.go
@@ -174,11 +174,11 @@
 	it.leaf, it.elem = nil, nil
 }
 
-// Return puts an item that Pop gave, and that cannot be served now, back before
+// Requeue puts an item that Pop gave, and that cannot be served now, back before
 // the others of its key, takes its charge back, and suspends the key until Resume
 // or until the item is taken out. Other keys are then served meanwhile: without
 // that, one large request would hold up all that come after it in the fair order.
-func (q *Queue[T]) Return(it *Item[T]) {
+func (q *Queue[T]) Requeue(it *Item[T]) {
 	it.leaf = q.class(it.Class).child(it.Organisation).child(it.Key)
 	it.leaf.charge(-it.Cost)
 	q.chargeOther(it.Class, it.Organisation, -it.Cost)
@@ -208,9 +208,9 @@
 	}
 }
 
-// Settle corrects the charge of an item taken earlier by more engine-seconds,
+// AdjustCharge corrects the charge of an item taken earlier by more engine-seconds,
 // negative for a refund.
-func (q *Queue[T]) Settle(class request.Class, organisation, key string, more float64) {
+func (q *Queue[T]) AdjustCharge(class request.Class, organisation, key string, more float64) {
 	c := q.class(class)
 	if more <= 0 && c.children[organisation] == nil {
 		return
--- a/decision/queue/queue_test.go
+++ b/decision/queue/queue_test.go
@@ -65,8 +65,8 @@
 		q.Push(item(id, "o", "k", 1))
 	}
 	first, second := q.Pop(), q.Pop()
-	q.Return(second)
-	q.Return(first)
+	q.Requeue(second)
+	q.Requeue(first)
 	assert.Assert(t, q.Pop() == nil)
 	assert.Assert(t, q.Resume() && !q.Resume())
 	for id := 1; id <= 3; id++ {
