--- a/decision/group/estimate.go
+++ b/decision/group/estimate.go
@@ -29,7 +29,7 @@
 // estimates are learnt from outcomes; all times are in seconds.
 type estimates struct {
 	plain         bool
-	speed         *prefill.Speed
+	speed         *prefill.GroupEstimator
 	betweenTokens float64
 	outputRatio   float64
 	call          float64
@@ -54,7 +54,7 @@
 func newEstimates(cfg Config) *estimates {
 	e := &estimates{
 		plain:         cfg.Kind == object.KindPlain,
-		speed:         prefill.NewSpeed(),
+		speed:         prefill.NewGroupEstimator(),
 		betweenTokens: cfg.Start.BetweenTokens.Seconds(),
 		outputRatio:   cfg.Start.OutputRatio,
 		call:          cfg.Start.Call.Seconds(),
--- a/decision/group/group.go
+++ b/decision/group/group.go
@@ -35,7 +35,7 @@
 	uses         uint64
 
 	cache    *prefill.Index
-	trust    *prefill.Trust
+	trust    *prefill.IndexPrecision
 	estimate *estimates
 	// tellsPrefill is set once the driver has told the end of a prefill; from then
 	// on prefill places are kept until it does.
@@ -108,7 +108,7 @@
 		returning: make(map[string]returns),
 		nextID:    cfg.FirstGrantID,
 		cache:     prefill.NewIndex(),
-		trust:     prefill.NewTrust(),
+		trust:     prefill.NewIndexPrecision(),
 		estimate:  newEstimates(cfg),
 	}
 }
@@ -141,7 +141,7 @@
 	if u := g.byName[spec.Name]; u != nil {
 		return u
 	}
-	u := &upstream{index: g.indexes, health: 1, speed: prefill.NewUpstream()}
+	u := &upstream{index: g.indexes, health: 1, speed: prefill.NewUpstreamEstimator()}
 	g.indexes++
 	g.byName[spec.Name] = u
 	g.byIndex[u.index] = u
@@ -156,7 +156,7 @@
 		if u.gone && u.account.Running() == 0 {
 			delete(g.byName, name)
 			delete(g.byIndex, u.index)
-			g.cache.Forget(u.index)
+			g.cache.RemoveUpstream(u.index)
 		}
 	}
 }
--- a/decision/group/place.go
+++ b/decision/group/place.go
@@ -75,11 +75,11 @@
 			continue
 		}
 		r := reservation{from: u}
-		r.uncached = prefill.Uncached(w.PromptTokens, hashes, matched, g.cfg.PrefixBlockTokens)
-		expected := g.trust.Expected(w.PromptTokens, r.uncached)
+		r.uncached = prefill.UncachedTokens(w.PromptTokens, hashes, matched, g.cfg.PrefixBlockTokens)
+		expected := g.trust.ExpectedUncached(w.PromptTokens, r.uncached)
 		r.prefill = u.speed.Estimate(g.estimate.speed.Estimate(expected))
 		if u.spec.DataCentre != w.DataCentre {
-			r.prefill += prefill.Hop
+			r.prefill += prefill.CrossDataCentreDelay
 		}
 		u.link.Expire(now)
 		ready := now.Add(r.prefill)
--- a/decision/group/release.go
+++ b/decision/group/release.go
@@ -44,7 +44,7 @@
 		g.learn(now, h, out)
 	}
 	if u := g.byName[out.FailedUpstream]; u != nil && out.Kind == OutcomeUpstreamCrashed {
-		g.cache.Reset(u.index)
+		g.cache.ResetUpstream(u.index)
 	}
 	if h.to.gone || (h.from != nil && h.from.gone) {
 		g.forgetGone()
--- a/decision/group/upstream.go
+++ b/decision/group/upstream.go
@@ -15,7 +15,7 @@
 	index   int
 	account placement.Upstream
 	link    transfer.Link
-	speed   *prefill.Upstream
+	speed   *prefill.UpstreamEstimator
 	health  float64
 	// leaving is what the upstream says of itself, beside spec.Leaving.
 	leaving bool
@@ -119,7 +119,7 @@
 	if stored {
 		g.cache.Store(now, u.index, hash)
 	} else {
-		g.cache.Drop(u.index, hash)
+		g.cache.Remove(u.index, hash)
 	}
 }
 
@@ -127,7 +127,7 @@
 // in its events or a restart.
 func (g *Group) CacheReset(name string) {
 	if u := g.byName[name]; u != nil {
-		g.cache.Reset(u.index)
+		g.cache.ResetUpstream(u.index)
 	}
 }
 
--- a/decision/prefill/index.go
+++ b/decision/prefill/index.go
@@ -52,8 +52,8 @@
 	x.young[hash] = holders
 }
 
-// Drop notes that an upstream evicted the prefix.
-func (x *Index) Drop(upstream int, hash uint64) {
+// Remove notes that an upstream evicted the prefix.
+func (x *Index) Remove(upstream int, hash uint64) {
 	holders := x.drop(upstream, hash)
 	if _, ok := x.young[hash]; ok {
 		x.young[hash] = holders
@@ -62,8 +62,8 @@
 	}
 }
 
-// Reset forgets everything of one upstream, after a gap in its events or a restart.
-func (x *Index) Reset(upstream int) { x.epochs[upstream]++ }
+// ResetUpstream forgets everything of one upstream, after a gap in its events or a restart.
+func (x *Index) ResetUpstream(upstream int) { x.epochs[upstream]++ }
 
 // Match calls visit with each upstream that is believed to hold a leading part of
 // the prompt and the number of hashes (shortest prefix first) that it covers. An
@@ -97,8 +97,8 @@
 	return holders
 }
 
-// Forget drops what is kept of an upstream whose number is not used again.
-func (x *Index) Forget(upstream int) {
+// RemoveUpstream drops what is kept of an upstream whose number is not used again.
+func (x *Index) RemoveUpstream(upstream int) {
 	// Beliefs that are left carry an older epoch or age out; the number is never
 	// given to another upstream.
 	delete(x.epochs, upstream)
--- a/decision/prefill/prefill.go
+++ b/decision/prefill/prefill.go
@@ -15,15 +15,15 @@
 
 // Start values until outcomes are known.
 const (
-	// StartPerToken is the prefill time of a token: 10,000 tokens a second, the
+	// InitialTimePerToken is the prefill time of a token: 10,000 tokens a second, the
 	// order of one engine of 8 accelerators with a model of 70 billion weights.
-	StartPerToken = 100 * time.Microsecond
-	// Fixed is the part of a prefill call that does not depend on its length: a
+	InitialTimePerToken = 100 * time.Microsecond
+	// FixedOverhead is the part of a prefill call that does not depend on its length: a
 	// round trip between data centres and one scheduling step of the engine.
-	Fixed = 10 * time.Millisecond
-	// Hop is the cost of leaving the data centre of the caller's instance: a
+	FixedOverhead = 10 * time.Millisecond
+	// CrossDataCentreDelay is the cost of leaving the data centre of the caller's instance: a
 	// round trip at the platform's millisecond, there and back.
-	Hop = 2 * time.Millisecond
+	CrossDataCentreDelay = 2 * time.Millisecond
 )
 
 const (
@@ -41,25 +41,27 @@
 	fastestFactor = 0.25
 )
 
-// Speed is the learnt prefill speed of a group.
-type Speed struct {
+// GroupEstimator is the learnt prefill speed of a group.
+type GroupEstimator struct {
 	perToken float64
 }
 
-// NewSpeed returns the start values.
-func NewSpeed() *Speed { return &Speed{perToken: StartPerToken.Seconds()} }
+// NewGroupEstimator returns the start values.
+func NewGroupEstimator() *GroupEstimator {
+	return &GroupEstimator{perToken: InitialTimePerToken.Seconds()}
+}
 
 // Estimate is the time of a prefill of so many uncached tokens on an average upstream.
-func (s *Speed) Estimate(uncached int) time.Duration {
-	return Fixed + seconds(s.perToken*float64(uncached))
+func (s *GroupEstimator) Estimate(uncached int) time.Duration {
+	return FixedOverhead + seconds(s.perToken*float64(uncached))
 }
 
 // Learn takes in a finished prefill.
-func (s *Speed) Learn(uncached int, took time.Duration) {
-	if uncached <= 0 || took <= Fixed {
+func (s *GroupEstimator) Learn(uncached int, took time.Duration) {
+	if uncached <= 0 || took <= FixedOverhead {
 		return
 	}
-	observed := (took - Fixed).Seconds() / float64(uncached)
+	observed := (took - FixedOverhead).Seconds() / float64(uncached)
 	// Weighted by length: short prompts are mostly fixed cost and say little
 	// about the time of a token.
 	weight := learnRate * min(1, float64(uncached)/shortPrompt)
@@ -70,16 +72,16 @@
 // about the time of a token.
 const shortPrompt = 512
 
-// Upstream is what is known of one prefill upstream's speed.
-type Upstream struct {
+// UpstreamEstimator is what is known of one prefill upstream's speed.
+type UpstreamEstimator struct {
 	factor float64
 }
 
-// NewUpstream returns an upstream of average speed.
-func NewUpstream() *Upstream { return &Upstream{factor: 1} }
+// NewUpstreamEstimator returns an upstream of average speed.
+func NewUpstreamEstimator() *UpstreamEstimator { return &UpstreamEstimator{factor: 1} }
 
 // Learn takes in a finished prefill and the group's estimate for it.
-func (u *Upstream) Learn(estimate, took time.Duration) {
+func (u *UpstreamEstimator) Learn(estimate, took time.Duration) {
 	if estimate <= 0 || took <= 0 {
 		return
 	}
@@ -89,28 +91,28 @@
 }
 
 // Estimate is the time of a prefill on this upstream, given the group's.
-func (u *Upstream) Estimate(group time.Duration) time.Duration {
+func (u *UpstreamEstimator) Estimate(group time.Duration) time.Duration {
 	return time.Duration(float64(group) * u.factor)
 }
 
-// Trust is the part of the believed cached tokens that proved to be cached. Events
+// IndexPrecision is the part of the believed cached tokens that proved to be cached. Events
 // come late and with gaps, so that a part of the beliefs is wrong; taken at face
 // value they would make prefills end long after their transfers were booked.
-type Trust struct {
+type IndexPrecision struct {
 	part float64
 }
 
-// NewTrust believes half until outcomes are known.
-func NewTrust() *Trust { return &Trust{part: 0.5} }
+// NewIndexPrecision believes half until outcomes are known.
+func NewIndexPrecision() *IndexPrecision { return &IndexPrecision{part: 0.5} }
 
-// Expected is the number of tokens that are expected to be computed.
-func (t *Trust) Expected(promptTokens, uncached int) int {
+// ExpectedUncached is the number of tokens that are expected to be computed.
+func (t *IndexPrecision) ExpectedUncached(promptTokens, uncached int) int {
 	return promptTokens - int(t.part*float64(promptTokens-uncached))
 }
 
 // Learn takes in a prefill that took so long, between what was estimated without
 // any cached token and with all that were believed.
-func (t *Trust) Learn(without, with, took time.Duration) {
+func (t *IndexPrecision) Learn(without, with, took time.Duration) {
 	if without <= with {
 		return
 	}
@@ -118,10 +120,10 @@
 	t.part += learnRate * (min(max(saved, 0), 1) - t.part)
 }
 
-// Uncached is the number of prompt tokens to compute when matched of hashes
+// UncachedTokens is the number of prompt tokens to compute when matched of hashes
 // leading blocks are cached. Blocks are blockTokens long; 0 means that the
 // hashes divide the prompt evenly. At least one token is always computed.
-func Uncached(promptTokens, hashes, matched, blockTokens int) int {
+func UncachedTokens(promptTokens, hashes, matched, blockTokens int) int {
 	if matched == 0 {
 		return promptTokens
 	}
--- a/decision/prefill/prefill_test.go
+++ b/decision/prefill/prefill_test.go
@@ -24,9 +24,9 @@
 	x.Store(now, 7, 3) // the event of block 2 was lost
 	x.Store(now, 8, 2)
 	assert.DeepEqual(t, best(now), map[int]int{7: 3, 8: 2})
-	x.Drop(7, 3)
+	x.Remove(7, 3)
 	assert.DeepEqual(t, best(now), map[int]int{7: 1, 8: 2})
-	x.Reset(8)
+	x.ResetUpstream(8)
 	assert.DeepEqual(t, best(now), map[int]int{7: 1})
 	assert.Equal(t, len(best(now.Add(beliefLifetime+1))), 0)
 }
