--- a/decision/group/release.go
+++ b/decision/group/release.go
@@ -44,7 +44,7 @@
 		g.learn(now, h, out)
 	}
 	if u := g.byName[out.FailedUpstream]; u != nil && out.Kind == OutcomeUpstreamCrashed {
-		g.cache.Reset(u.index)
+		g.cache.ResetUpstream(u.index)
 	}
 	if h.to.gone || (h.from != nil && h.from.gone) {
 		g.forgetGone()
@@ -90,7 +90,7 @@
 		prefilled = min(took, out.Prefill)
 	}
 	cost := prefilled.Seconds() + (took-prefilled).Seconds()*h.engineShare
-	g.queue.Settle(h.class, h.Organisation, h.key, cost-h.cost)
+	g.queue.AdjustCharge(h.class, h.Organisation, h.key, cost-h.cost)
 	g.estimate.released(took, cost)
 	if out.Kind != OutcomeDone {
 		return
