--- a/decision/escrow/escrow.go
+++ b/decision/escrow/escrow.go
@@ -42,29 +42,29 @@
 // Run identifies one run of one instance.
 type Run uint32
 
-// Hold is the most time that an instance keeps which it could not hand on, and the most that a
+// MaxCredit is the most time that an instance keeps which it could not hand on, and the most that a
 // home takes in at once. It is longer than the time between two reports to one hub.
-const Hold = 600 * time.Millisecond
+const MaxCredit = 600 * time.Millisecond
 
-// Giver is an instance's part of all rates. It is not safe for concurrent use. Times are of a
+// CreditSource is an instance's part of all rates. It is not safe for concurrent use. Times are of a
 // clock that counts through suspensions.
-type Giver struct {
+type CreditSource struct {
 	at   time.Duration
 	held [Shards]time.Duration
 	// given is the total that was handed to each run.
 	given map[Run]*[Shards]time.Duration
 }
 
-// NewGiver returns the part of an instance that starts now. It holds nothing.
-func NewGiver(now time.Duration) *Giver {
-	return &Giver{at: now, given: make(map[Run]*[Shards]time.Duration)}
+// NewCreditSource returns the part of an instance that starts now. It holds nothing.
+func NewCreditSource(now time.Duration) *CreditSource {
+	return &CreditSource{at: now, given: make(map[Run]*[Shards]time.Duration)}
 }
 
-// Pass lets time pass in which nothing flows here, since the size of the fleet is not known.
-func (g *Giver) Pass(now time.Duration) { g.at = max(g.at, now) }
+// Skip lets time pass in which nothing flows here, since the size of the fleet is not known.
+func (g *CreditSource) Skip(now time.Duration) { g.at = max(g.at, now) }
 
 // Accrue adds this instance's part of the time that has passed in a fleet of a size.
-func (g *Giver) Accrue(now time.Duration, instances int) {
+func (g *CreditSource) Accrue(now time.Duration, instances int) {
 	elapsed := now - g.at
 	if elapsed <= 0 {
 		return
@@ -72,12 +72,12 @@
 	g.at = now
 	size := time.Duration(max(instances, 1))
 	for s := range g.held {
-		g.held[s] = min(g.held[s]+elapsed/size, Hold/size)
+		g.held[s] = min(g.held[s]+elapsed/size, MaxCredit/size)
 	}
 }
 
-// Give hands what is held of some shards to a run and returns the totals handed to it.
-func (g *Giver) Give(to Run, shards []int) map[int]time.Duration {
+// Transfer hands what is held of some shards to a run and returns the totals handed to it.
+func (g *CreditSource) Transfer(to Run, shards []int) map[int]time.Duration {
 	totals, known := g.given[to]
 	if !known {
 		totals = new([Shards]time.Duration)
@@ -93,7 +93,7 @@
 }
 
 // Forget drops the totals of runs that have ended.
-func (g *Giver) Forget(ended func(Run) bool) {
+func (g *CreditSource) Forget(ended func(Run) bool) {
 	for run := range g.given {
 		if ended(run) {
 			delete(g.given, run)
--- a/decision/escrow/escrow_test.go
+++ b/decision/escrow/escrow_test.go
@@ -145,7 +145,7 @@
 	for w.admit(frozen, 1_000) {
 	}
 	// What it held when it was suspended was its own; others got none of it.
-	assert.Assert(t, w.spent(began) <= int64(busy.Burst+Hold.Seconds()*busy.Rate), "%d tokens on waking", w.spent(began))
+	assert.Assert(t, w.spent(began) <= int64(busy.Burst+MaxCredit.Seconds()*busy.Rate), "%d tokens on waking", w.spent(began))
 	w.run(window, w.hot(6))
 	assert.Assert(t, w.most() <= allowed(busy)+int64(0.1*float64(allowed(busy))))
 }
@@ -282,16 +282,16 @@
 
 // Guards against memory that grows with each restart of an instance.
 func TestEndedRunsAreForgotten(t *testing.T) {
-	h, g := full(busy), NewGiver(0)
+	h, g := full(busy), NewCreditSource(0)
 	for run := Run(2); run < 50; run++ {
 		h.Receive(fullAt, run, map[int]time.Duration{1: time.Millisecond})
 		h.Charge(run, org, 1)
-		g.Give(run, []int{1})
+		g.Transfer(run, []int{1})
 	}
-	assert.Equal(t, h.Runs(), 49)
+	assert.Equal(t, h.RunCount(), 49)
 	h.Forget(func(run Run) bool { return run >= 10 })
 	g.Forget(func(run Run) bool { return run >= 10 })
-	assert.Equal(t, h.Runs(), 9)
+	assert.Equal(t, h.RunCount(), 9)
 	assert.Equal(t, len(g.given), 8)
 }
 
--- a/decision/escrow/home.go
+++ b/decision/escrow/home.go
@@ -91,7 +91,7 @@
 		}
 		given := total - seen[s]
 		seen[s] = total
-		h.flow(now, s, min(given, Hold))
+		h.flow(now, s, min(given, MaxCredit))
 	}
 }
 
@@ -100,7 +100,7 @@
 	in := &h.shards[shard]
 	elapsed := max(now-in.at, 0)
 	in.at = now
-	in.room = min(in.room+elapsed, Hold)
+	in.room = min(in.room+elapsed, MaxCredit)
 	given = min(given, in.room)
 	in.room -= given
 	in.inflow = in.inflow*math.Exp(-elapsed.Seconds()/partTime.Seconds()) + given.Seconds()/partTime.Seconds()
@@ -200,8 +200,8 @@
 	}
 }
 
-// Short lists organisations whose buckets here are the ones in use, and empty.
-func (h *Home) Short() []uint64 {
+// Exhausted lists organisations whose buckets here are the ones in use, and empty.
+func (h *Home) Exhausted() []uint64 {
 	var out []uint64
 	for org, b := range h.buckets {
 		if b.limit.Rate > 0 && b.level <= 0 && h.shards[ShardOf(org)].part() >= leastPart {
@@ -211,8 +211,8 @@
 	return out
 }
 
-// Runs is the number of runs of which something is known.
-func (h *Home) Runs() int { return max(len(h.seen), len(h.bills)) }
+// RunCount is the number of runs of which something is known.
+func (h *Home) RunCount() int { return max(len(h.seen), len(h.bills)) }
 
 // Forget drops what is known of runs that have ended. One that has not would be charged its
 // total again, up to the bound on debts.
--- a/decision/escrow/network_test.go
+++ b/decision/escrow/network_test.go
@@ -54,7 +54,7 @@
 	dc    string
 	power int
 	run   Run
-	giver *Giver
+	giver *CreditSource
 	home  *Home
 	// heard is when each hub that was asked was last heard, asked since when it was not.
 	asked  map[int]time.Duration
@@ -87,7 +87,7 @@
 func (w *network) start(d *node) {
 	d.run++
 	d.run += Run(d.index << 8)
-	d.giver, d.home = NewGiver(w.now), NewHome(w.now)
+	d.giver, d.home = NewCreditSource(w.now), NewHome(w.now)
 	d.home.SetLimits(map[uint64]Limit{org: w.limit})
 	d.asked = make(map[int]time.Duration)
 	d.bills = make(map[Run]int64)
@@ -147,7 +147,7 @@
 		}
 	}
 	d.giver.Accrue(w.now, len(w.nodes))
-	totals := d.giver.Give(home.run, []int{ShardOf(org)})
+	totals := d.giver.Transfer(home.run, []int{ShardOf(org)})
 	if home == d {
 		d.home.Receive(w.now, d.run, totals)
 		return
--- a/gateway/quota.go
+++ b/gateway/quota.go
@@ -51,7 +51,7 @@
 // burst refuses requests that the window has room for.
 func (b QuotaBound) widen(limit escrow.Limit) escrow.Limit {
 	tolerance := (limit.Rate*b.Window.Seconds()+limit.Burst)*b.Over + b.Slack
-	limit.Burst += max(boundShare*tolerance-escrow.Hold.Seconds()*limit.Rate, 0)
+	limit.Burst += max(boundShare*tolerance-escrow.MaxCredit.Seconds()*limit.Rate, 0)
 	return limit
 }
 
@@ -75,7 +75,7 @@
 
 	mu      sync.Mutex
 	network Network
-	giver   *escrow.Giver
+	giver   *escrow.CreditSource
 	home    *escrow.Home
 	// homes is which of the hubs is the home of each shard.
 	homes  [escrow.Shards]fleet.Hub
@@ -105,7 +105,7 @@
 func NewQuotas(now boottime.Clock, self fleet.Member, bound QuotaBound) *Quotas {
 	return &Quotas{
 		now: now, bound: bound, self: fleet.Hub{Name: self.Name, Run: fleet.RunOf(self.Name, self.Incarnation)},
-		giver: escrow.NewGiver(now()), home: escrow.NewHome(now()), limits: make(map[fleet.Hash]escrow.Limit),
+		giver: escrow.NewCreditSource(now()), home: escrow.NewHome(now()), limits: make(map[fleet.Hash]escrow.Limit),
 		bills: make(map[fleet.Run]map[fleet.Hash]*bill), short: make(map[fleet.Hash]time.Duration), answers: make(map[uint64]givenGrant),
 	}
 }
@@ -318,12 +318,12 @@
 func (q *Quotas) giveOwn(now time.Duration) {
 	n, known := q.network.Size().Instances()
 	if !known {
-		q.giver.Pass(now)
+		q.giver.Skip(now)
 		return
 	}
 	q.giver.Accrue(now, n)
 	if shards := q.shardsOf(q.self.Run); len(shards) > 0 {
-		q.home.Receive(now, escrow.Run(q.self.Run), q.giver.Give(escrow.Run(q.self.Run), shards))
+		q.home.Receive(now, escrow.Run(q.self.Run), q.giver.Transfer(escrow.Run(q.self.Run), shards))
 	}
 }
 
@@ -347,7 +347,7 @@
 	defer q.mu.Unlock()
 	q.giveOwn(now)
 	if shards := q.shardsOf(to); len(shards) > 0 {
-		r.Shares = q.giver.Give(escrow.Run(to), shards)
+		r.Shares = q.giver.Transfer(escrow.Run(to), shards)
 	}
 	for org, b := range q.bills[to] {
 		if b.told < billsTold {
@@ -361,7 +361,7 @@
 func (q *Quotas) Answer(r *fleet.Report) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, org := range q.home.Short() {
+	for _, org := range q.home.Exhausted() {
 		r.Short = append(r.Short, fleet.Hash(org))
 	}
 }
@@ -415,7 +415,7 @@
 			delete(q.bills, run)
 		}
 	}
-	if n, known := q.network.Size().Instances(); known && q.home.Runs() > runsKept*n {
+	if n, known := q.network.Size().Instances(); known && q.home.RunCount() > runsKept*n {
 		q.home.Forget(ended)
 	}
 }
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -184,7 +184,7 @@
 	for _, rate := range []float64{1_000, 12_000, 45_000, 330_000, 5_000_000} {
 		b := QuotaBound{Window: 8 * time.Second, Over: 0.1, Slack: 73_000}
 		limit := escrow.Limit{Rate: rate, Burst: rate}
-		most := rate*b.Window.Seconds() + b.widen(limit).Burst + escrow.Hold.Seconds()*rate
+		most := rate*b.Window.Seconds() + b.widen(limit).Burst + escrow.MaxCredit.Seconds()*rate
 		bound := (rate*b.Window.Seconds()+limit.Burst)*(1+b.Over) + b.Slack
 		assert.Assert(t, most <= bound, "%.0f of %.0f at a rate of %.0f", most, bound, rate)
 	}
