--- a/decision/hub/hub.go
+++ b/decision/hub/hub.go
@@ -26,8 +26,8 @@
 
 // Figures of fleets.
 const (
-	// SmallFleet is the number of instances up to which each reports to all.
-	SmallFleet = 16
+	// MaxFullMesh is the number of instances up to which each reports to all.
+	MaxFullMesh = 16
 	// Hubs is the number of hubs of a larger fleet. Losing one moves an eighth of the homes;
 	// each instance reports to every one.
 	Hubs = 8
@@ -52,7 +52,7 @@
 // Choose picks a number of hubs for a fleet of a size, the best first.
 func Choose(candidates []Candidate, instances, count int) []string {
 	ordered := slices.Clone(candidates)
-	if instances <= SmallFleet {
+	if instances <= MaxFullMesh {
 		count = len(ordered)
 	}
 	slices.SortFunc(ordered, compare)
--- a/fleet/hubs_test.go
+++ b/fleet/hubs_test.go
@@ -43,7 +43,7 @@
 	}
 	assert.Equal(t, strong, 5)
 	assert.Assert(t, !x.IsHub() && x.Rank("s") >= len(hubs))
-	assert.Equal(t, len(fleetOf(t, hub.SmallFleet).Hubs()), hub.SmallFleet)
+	assert.Equal(t, len(fleetOf(t, hub.MaxFullMesh).Hubs()), hub.MaxFullMesh)
 }
 
 // Guards against a dead hub that an instance goes on asking.
--- a/fleet/size.go
+++ b/fleet/size.go
@@ -17,7 +17,7 @@
 func (s Size) Instances() (n int, ok bool) { return s.instances, s.instances > 0 }
 
 // Large reports whether the fleet is known to be so large that reports go by way of hubs.
-func (s Size) Large() bool { return s.instances > hub.SmallFleet }
+func (s Size) Large() bool { return s.instances > hub.MaxFullMesh }
 
 // Part is one instance's equal part of what the fleet shares, nothing where the size is not known.
 func (s Size) Part(whole float64) float64 {
