--- a/decision/split/split.go
+++ b/decision/split/split.go
@@ -53,11 +53,11 @@
 	// speeds are those of the last prompts, alone of those that were alone at their engine.
 	speeds, alone speeds
 	// peers is what other instances have seen, by name.
-	peers map[string]View
+	peers map[string]Stats
 }
 
 // New returns an advisor that has seen nothing.
-func New(cfg Config) *Advisor { return &Advisor{cfg: cfg, peers: make(map[string]View)} }
+func New(cfg Config) *Advisor { return &Advisor{cfg: cfg, peers: make(map[string]Stats)} }
 
 // Figures of the speed at which engines read prompts.
 const (
@@ -70,9 +70,9 @@
 	speedQuantile = 0.75
 )
 
-// Prefilled takes in how long the prompt of a request took. alone tells that no other prompt
+// ObservePrefill takes in how long the prompt of a request took. alone tells that no other prompt
 // was known to be at the engine, so that the time has no wait in it.
-func (a *Advisor) Prefilled(tokens int, took time.Duration, alone bool) {
+func (a *Advisor) ObservePrefill(tokens int, took time.Duration, alone bool) {
 	if took <= 0 || tokens <= 0 {
 		return
 	}
@@ -110,31 +110,31 @@
 	return sorted[int(speedQuantile*float64(len(sorted)-1))]
 }
 
-// Finished takes in a request: its prompt and the share of a decode engine that it
+// ObserveRequest takes in a request: its prompt and the share of a decode engine that it
 // claimed for some time.
-func (a *Advisor) Finished(prompt int, share float64, took time.Duration) {
+func (a *Advisor) ObserveRequest(prompt int, share float64, took time.Duration) {
 	a.n = min(a.n+1, a.cfg.Memory)
 	a.prompt += (float64(prompt) - a.prompt) / a.n
 	a.decode += (share*took.Seconds() - a.decode) / a.n
 }
 
-// View is what one instance, or all together, have seen.
-type View struct {
-	// Samples is the weight of finished requests, Prompts the number of prompts read.
-	Samples, Prompts float64
-	// Prompt is the mean prompt in tokens, Speed in tokens a second, Decode the mean
+// Stats is what one instance, or all together, have seen.
+type Stats struct {
+	// Samples is the weight of finished requests, PromptCount the number of prompts read.
+	Samples, PromptCount float64
+	// MeanPrompt is the mean prompt in tokens, PrefillSpeed in tokens a second, MeanDecodeWork the mean
 	// work of a request at decode engines in seconds of a whole engine.
-	Prompt, Speed, Decode float64
+	MeanPrompt, PrefillSpeed, MeanDecodeWork float64
 }
 
-// View returns what this instance has seen.
-func (a *Advisor) View() View {
-	return View{Samples: a.n, Prompts: float64(len(a.speeds)), Prompt: a.prompt, Speed: a.speed(), Decode: a.decode}
+// Stats returns what this instance has seen.
+func (a *Advisor) Stats() Stats {
+	return Stats{Samples: a.n, PromptCount: float64(len(a.speeds)), MeanPrompt: a.prompt, PrefillSpeed: a.speed(), MeanDecodeWork: a.decode}
 }
 
 // SetPeer replaces what another instance has seen. A view without samples forgets it.
-func (a *Advisor) SetPeer(name string, v View) {
-	if v.Samples <= 0 && v.Prompts <= 0 {
+func (a *Advisor) SetPeer(name string, v Stats) {
+	if v.Samples <= 0 && v.PromptCount <= 0 {
 		delete(a.peers, name)
 		return
 	}
@@ -143,27 +143,27 @@
 
 // Pooled returns what all have seen: means by their weights, and the speed that three
 // quarters of the prompts lie below, counted by instances' own quantiles.
-func (a *Advisor) Pooled() View {
-	views := []View{a.View()}
+func (a *Advisor) Pooled() Stats {
+	views := []Stats{a.Stats()}
 	for _, v := range a.peers {
 		views = append(views, v)
 	}
-	var all View
+	var all Stats
 	for _, v := range views {
 		all.Samples += v.Samples
-		all.Prompts += v.Prompts
-		all.Prompt += v.Samples * v.Prompt
-		all.Decode += v.Samples * v.Decode
+		all.PromptCount += v.PromptCount
+		all.MeanPrompt += v.Samples * v.MeanPrompt
+		all.MeanDecodeWork += v.Samples * v.MeanDecodeWork
 	}
 	if all.Samples > 0 {
-		all.Prompt /= all.Samples
-		all.Decode /= all.Samples
+		all.MeanPrompt /= all.Samples
+		all.MeanDecodeWork /= all.Samples
 	}
-	slices.SortFunc(views, func(x, y View) int { return cmp.Compare(x.Speed, y.Speed) })
+	slices.SortFunc(views, func(x, y Stats) int { return cmp.Compare(x.PrefillSpeed, y.PrefillSpeed) })
 	below := 0.0
 	for _, v := range views {
-		if below += v.Prompts; v.Prompts > 0 && below >= speedQuantile*all.Prompts {
-			all.Speed = v.Speed
+		if below += v.PromptCount; v.PromptCount > 0 && below >= speedQuantile*all.PromptCount {
+			all.PrefillSpeed = v.PrefillSpeed
 			break
 		}
 	}
@@ -175,23 +175,23 @@
 // and a few long prompts in a row make all others late.
 const leastPrefill = 2
 
-// Early reports whether those that have finished tell too little of those that still run.
+// TooFewFinished reports whether those that have finished tell too little of those that still run.
 // After all instances of a fleet lost power, the first thirteen answers to end were a third as
 // long as all: twelve of sixty engines were ordered to prefill by them, and back ten seconds
 // later, each of them away for six seconds in a burst.
-func (a *Advisor) Early(running int) bool {
+func (a *Advisor) TooFewFinished(running int) bool {
 	return a.Pooled().Samples < min(a.cfg.EarlyRuns*float64(running), a.cfg.Memory)
 }
 
-// Wanted returns how many of a number of engines should prefill, between the least and
+// Recommend returns how many of a number of engines should prefill, between the least and
 // one less than all, where have do now. ok is false while too little is known.
-func (a *Advisor) Wanted(engines, have int) (prefill int, ok bool) {
+func (a *Advisor) Recommend(engines, have int) (prefill int, ok bool) {
 	seen := a.Pooled()
-	few := min(seen.Samples, seen.Prompts) < a.cfg.MinSamples
-	if few || seen.Speed <= 0 || seen.Decode <= 0 || engines < 2 {
+	few := min(seen.Samples, seen.PromptCount) < a.cfg.MinSamples
+	if few || seen.PrefillSpeed <= 0 || seen.MeanDecodeWork <= 0 || engines < 2 {
 		return 0, false
 	}
-	l := load{engines: engines, reading: seen.Prompt / seen.Speed / a.cfg.PrefillUse, decode: seen.Decode}
+	l := load{engines: engines, reading: seen.MeanPrompt / seen.PrefillSpeed / a.cfg.PrefillUse, decode: seen.MeanDecodeWork}
 	exact := l.reading / (l.reading + l.decode) * float64(engines)
 	switch {
 	case exact > float64(have)+a.cfg.Margin:
--- a/decision/split/split_test.go
+++ b/decision/split/split_test.go
@@ -10,8 +10,8 @@
 func learnt(prompt int, share float64, took time.Duration) *Advisor {
 	a := New(DefaultConfig())
 	for range 20 {
-		a.Prefilled(prompt, time.Duration(float64(prompt)/50_000*float64(time.Second)), false)
-		a.Finished(prompt, share, took)
+		a.ObservePrefill(prompt, time.Duration(float64(prompt)/50_000*float64(time.Second)), false)
+		a.ObserveRequest(prompt, share, took)
 	}
 	return a
 }
@@ -34,7 +34,7 @@
 		{"right already", 5_000, 0.1, 3 * time.Second, 9, 3, 3},
 	}
 	for _, c := range cases {
-		got, ok := learnt(c.prompt, c.share, c.took).Wanted(c.engines, c.have)
+		got, ok := learnt(c.prompt, c.share, c.took).Recommend(c.engines, c.have)
 		assert.Assert(t, ok)
 		assert.Equal(t, got, c.want, c.name)
 	}
@@ -51,7 +51,7 @@
 	for _, prompt := range []int{1_000, 5_000, 10_000} {
 		for _, share := range []float64{0.05, 0.1, 0.2} {
 			a := learnt(prompt, share, 3*time.Second)
-			want, _ := a.Wanted(14, 5)
+			want, _ := a.Recommend(14, 5)
 			prefillWork, decodeWork := float64(prompt)/50_000, share*3
 			before, after := served(5, 14, prefillWork, decodeWork), served(want, 14, prefillWork, decodeWork)
 			assert.Assert(t, after >= 0.95*before, "prompt %d, share %.2f: %.1f after %.1f requests/s with %d", prompt, share, after, before, want)
@@ -63,9 +63,9 @@
 // each of them are away most of the time.
 func TestSmallDifferencesChangeNothing(t *testing.T) {
 	a := learnt(5_000, 0.1, 3*time.Second)
-	want, _ := a.Wanted(9, 3)
+	want, _ := a.Recommend(9, 3)
 	for _, have := range []int{want} {
-		again, _ := a.Wanted(9, have)
+		again, _ := a.Recommend(9, have)
 		assert.Equal(t, again, have)
 	}
 }
@@ -81,10 +81,10 @@
 			if i == before {
 				took = 4 * time.Millisecond
 			}
-			a.Prefilled(5_000, took, false)
-			a.Finished(5_000, 0.15, 3*time.Second)
+			a.ObservePrefill(5_000, took, false)
+			a.ObserveRequest(5_000, 0.15, 3*time.Second)
 		}
-		got, ok := a.Wanted(14, 5)
+		got, ok := a.Recommend(14, 5)
 		assert.Assert(t, ok)
 		assert.Equal(t, got, 4)
 	}
@@ -92,9 +92,9 @@
 
 // Nothing is known, or there is one engine: no change can be called for.
 func TestTooLittleIsKnown(t *testing.T) {
-	_, ok := New(DefaultConfig()).Wanted(9, 3)
+	_, ok := New(DefaultConfig()).Recommend(9, 3)
 	assert.Assert(t, !ok)
-	_, ok = learnt(5_000, 0.1, time.Second).Wanted(1, 1)
+	_, ok = learnt(5_000, 0.1, time.Second).Recommend(1, 1)
 	assert.Assert(t, !ok)
 }
 
@@ -103,19 +103,19 @@
 // prefill engines that idle.
 func TestFleetKnowsSooner(t *testing.T) {
 	a := learntFrom(1)
-	_, ok := a.Wanted(44, 15)
+	_, ok := a.Recommend(44, 15)
 	assert.Assert(t, !ok, "one request is enough to decide by")
 	for _, name := range []string{"b", "c", "d", "e", "f", "g"} {
-		a.SetPeer(name, learntFrom(1).View())
+		a.SetPeer(name, learntFrom(1).Stats())
 	}
-	want, ok := a.Wanted(44, 15)
+	want, ok := a.Recommend(44, 15)
 	assert.Assert(t, ok)
-	alone, _ := learntFrom(20).Wanted(44, 15)
+	alone, _ := learntFrom(20).Recommend(44, 15)
 	assert.Equal(t, want, alone, "what all have seen leads elsewhere than what one has seen for long")
 	for _, name := range []string{"b", "c", "d", "e", "f", "g"} {
-		a.SetPeer(name, View{})
+		a.SetPeer(name, Stats{})
 	}
-	_, ok = a.Wanted(44, 15)
+	_, ok = a.Recommend(44, 15)
 	assert.Assert(t, !ok, "instances that are gone still count")
 }
 
@@ -123,13 +123,13 @@
 func TestOneInstanceWithAFastPromptChangesNothing(t *testing.T) {
 	a := learntFrom(4)
 	for _, name := range []string{"b", "c", "d", "e", "f"} {
-		a.SetPeer(name, learntFrom(4).View())
+		a.SetPeer(name, learntFrom(4).Stats())
 	}
-	before, _ := a.Wanted(44, 15)
-	fast := learntFrom(4).View()
-	fast.Speed *= 30
+	before, _ := a.Recommend(44, 15)
+	fast := learntFrom(4).Stats()
+	fast.PrefillSpeed *= 30
 	a.SetPeer("g", fast)
-	after, _ := a.Wanted(44, 15)
+	after, _ := a.Recommend(44, 15)
 	assert.Equal(t, after, before)
 }
 
@@ -137,8 +137,8 @@
 func learntFrom(requests int) *Advisor {
 	a := New(DefaultConfig())
 	for range requests {
-		a.Prefilled(5_000, 100*time.Millisecond, false)
-		a.Finished(5_000, 0.13, 3*time.Second)
+		a.ObservePrefill(5_000, 100*time.Millisecond, false)
+		a.ObserveRequest(5_000, 0.13, 3*time.Second)
 	}
 	return a
 }
@@ -155,21 +155,21 @@
 	finish := func(until time.Duration) {
 		for i := range running {
 			if took(i) <= until {
-				a.Prefilled(3_000, 120*time.Millisecond, false)
-				a.Finished(3_000, 0.13, took(i))
+				a.ObservePrefill(3_000, 120*time.Millisecond, false)
+				a.ObserveRequest(3_000, 0.13, took(i))
 			}
 		}
 	}
 	finish(1500 * time.Millisecond)
-	assert.Assert(t, a.Early(running))
-	early, _ := a.Wanted(engines, have)
+	assert.Assert(t, a.TooFewFinished(running))
+	early, _ := a.Recommend(engines, have)
 	for range 3 {
 		finish(6 * time.Second)
 	}
-	assert.Assert(t, !a.Early(running))
-	want, ok := a.Wanted(engines, have)
+	assert.Assert(t, !a.TooFewFinished(running))
+	want, ok := a.Recommend(engines, have)
 	assert.Assert(t, ok && early > want, "%d engines by the first, %d by all", early, want)
-	assert.Assert(t, !learnt(3_000, 0.13, 3*time.Second).Early(5), "few run, and twenty have finished")
+	assert.Assert(t, !learnt(3_000, 0.13, 3*time.Second).TooFewFinished(5), "few run, and twenty have finished")
 }
 
 // Two prefill engines of five turn into four, and one decode engine holds fewer answers than
@@ -177,11 +177,11 @@
 func TestRoundingLeavesEnoughDecodeEngines(t *testing.T) {
 	a := New(DefaultConfig())
 	for range 20 {
-		a.Prefilled(800, 31*time.Millisecond, false)
-		a.Finished(800, 1.0/16, 205*time.Millisecond)
+		a.ObservePrefill(800, 31*time.Millisecond, false)
+		a.ObserveRequest(800, 1.0/16, 205*time.Millisecond)
 	}
 	for have := 2; have <= 3; have++ {
-		want, ok := a.Wanted(5, have)
+		want, ok := a.Recommend(5, have)
 		assert.Assert(t, ok)
 		assert.Equal(t, want, 3, "with %d prefill engines", have)
 	}
@@ -197,11 +197,11 @@
 		if !alone {
 			took *= time.Duration(2 + i%3)
 		}
-		a.Prefilled(800, took, alone)
-		a.Finished(800, 1.0/16, 280*time.Millisecond)
+		a.ObservePrefill(800, took, alone)
+		a.ObserveRequest(800, 1.0/16, 280*time.Millisecond)
 	}
-	want, ok := a.Wanted(5, 3)
+	want, ok := a.Recommend(5, 3)
 	assert.Assert(t, ok)
 	assert.Equal(t, want, 3)
-	assert.Assert(t, a.View().Speed > 26_000, "%.0f tokens a second", a.View().Speed)
+	assert.Assert(t, a.Stats().PrefillSpeed > 26_000, "%.0f tokens a second", a.Stats().PrefillSpeed)
 }
--- a/fleet/codec.go
+++ b/fleet/codec.go
@@ -187,15 +187,15 @@
 func marshalWork(service Hash, w Work) *fleetv1.Work {
 	v, l := w.Split, w.Lengths
 	return &fleetv1.Work{
-		Service: uint64(service), Samples: uint32(v.Samples), PromptTokens: uint32(v.Prompt), DecodeUs: uint64(v.Decode * 1e6),
-		Prompts: uint32(v.Prompts), TokensPerS: uint32(v.Speed), Lengths: []float64{l.N, l.X, l.Y, l.XX, l.XY, l.YY},
+		Service: uint64(service), Samples: uint32(v.Samples), PromptTokens: uint32(v.MeanPrompt), DecodeUs: uint64(v.MeanDecodeWork * 1e6),
+		Prompts: uint32(v.PromptCount), TokensPerS: uint32(v.PrefillSpeed), Lengths: []float64{l.N, l.X, l.Y, l.XX, l.XY, l.YY},
 	}
 }
 
 func unmarshalWork(m *fleetv1.Work) Work {
-	w := Work{Split: split.View{
-		Samples: float64(m.Samples), Prompt: float64(m.PromptTokens), Decode: float64(m.DecodeUs) / 1e6,
-		Prompts: float64(m.Prompts), Speed: float64(m.TokensPerS),
+	w := Work{Split: split.Stats{
+		Samples: float64(m.Samples), MeanPrompt: float64(m.PromptTokens), MeanDecodeWork: float64(m.DecodeUs) / 1e6,
+		PromptCount: float64(m.Prompts), PrefillSpeed: float64(m.TokensPerS),
 	}}
 	if l := m.Lengths; len(l) == 6 {
 		w.Lengths = length.Sums{N: l[0], X: l[1], Y: l[2], XX: l[3], XY: l[4], YY: l[5]}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -37,7 +37,7 @@
 		Place: &Place{ID: 57, State: PlaceGiven, Upstream: 58, Retry: 59 * time.Millisecond}, Partial: true,
 		Loads: map[Hash]Load{2: {Requests: 7, Tokens: 8}}, Heard: Heard{9, 11 * time.Millisecond, 15 * time.Microsecond}, Crashes: []Crash{{12, 13, 14 * time.Millisecond}},
 		Works: map[Hash]Work{22: {
-			Split:   split.View{Samples: 23, Prompts: 24, Prompt: 25, Speed: 26, Decode: 0.5},
+			Split:   split.Stats{Samples: 23, PromptCount: 24, MeanPrompt: 25, PrefillSpeed: 26, MeanDecodeWork: 0.5},
 			Lengths: length.Sums{N: 27, X: 28, Y: 29, XX: 30, XY: 31, YY: 32},
 		}},
 		Known: map[port.Topic]uint64{port.TopicUpstreams: 44},
--- a/fleet/report.go
+++ b/fleet/report.go
@@ -91,7 +91,7 @@
 
 // Work is what an instance has seen of the requests of a model service.
 type Work struct {
-	Split   split.View
+	Split   split.Stats
 	Lengths length.Sums
 }
 
--- a/gateway/roles.go
+++ b/gateway/roles.go
@@ -157,8 +157,8 @@
 	k.wanted[d.service] = 0
 	work := d.workView()
 	k.gateway.log.Info("role change wanted", zap.String("service", d.service), zap.Stringer("to", to), zap.Int("engines", count),
-		zap.Float64("samples", work.Samples), zap.Float64("prompt_tokens", work.Prompt), zap.Float64("prefill_tokens_per_s", work.Speed),
-		zap.Float64("decode_engine_s", work.Decode))
+		zap.Float64("samples", work.Samples), zap.Float64("prompt_tokens", work.MeanPrompt), zap.Float64("prefill_tokens_per_s", work.PrefillSpeed),
+		zap.Float64("decode_engine_s", work.MeanDecodeWork))
 	if err := k.carryOut(ctx, d, to, count); err != nil {
 		k.quiet[d.service] = boottime.Now() + takeover*k.Lease
 		k.gateway.log.Info("role not changed", zap.String("service", d.service), zap.Stringer("to", to), zap.Error(err))
--- a/gateway/work.go
+++ b/gateway/work.go
@@ -21,7 +21,7 @@
 // prefillPatience is how long a prompt may take: as long as it takes to read all that may wait
 // before it, and half as long again.
 func (k *desk) prefillPatience(tokens int) time.Duration {
-	speed := k.workView().Speed
+	speed := k.workView().PrefillSpeed
 	if speed <= 0 {
 		return leastPatience
 	}
@@ -46,18 +46,18 @@
 	if k.pool.MemoryTokens > 0 {
 		share = max(share, float64(claimed)/float64(k.pool.MemoryTokens))
 	}
-	k.work.Finished(c.PromptTokens, share, took)
+	k.work.ObserveRequest(c.PromptTokens, share, took)
 }
 
 // prefilled learns from a prompt that was read, alone at its engine or behind others.
 func (k *desk) prefilled(tokens int, took time.Duration, alone bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.work.Prefilled(tokens, took, alone)
+	k.work.ObservePrefill(tokens, took, alone)
 }
 
 // workView is what a decision about the division of engines rests on.
-func (k *desk) workView() split.View {
+func (k *desk) workView() split.Stats {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.work.Pooled()
@@ -67,7 +67,7 @@
 func (k *desk) ownWork() fleet.Work {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return fleet.Work{Split: k.work.View(), Lengths: k.lengths.Own()}
+	return fleet.Work{Split: k.work.Stats(), Lengths: k.lengths.Own()}
 }
 
 // peerWork takes in what another instance has seen. What one that reports no more has
@@ -103,8 +103,8 @@
 	running := k.decode.running()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.work.Early(running) {
+	if k.work.TooFewFinished(running) {
 		return 0, false
 	}
-	return k.work.Wanted(engines, have)
+	return k.work.Recommend(engines, have)
 }
