--- a/decision/waiting/waiting.go
+++ b/decision/waiting/waiting.go
@@ -61,8 +61,8 @@
 	Objective time.Duration
 	// Deadline is when the wait ends in any case.
 	Deadline time.Time
-	// Point spreads the times to come back, any number.
-	Point uint64
+	// RetrySeed spreads the times to come back, any number.
+	RetrySeed uint64
 }
 
 // until is when a request has waited enough.
@@ -104,10 +104,10 @@
 	}
 }
 
-// Serve gives places in order. claim tries to place a request and reports whether it
+// Dispatch gives places in order. claim tries to place a request and reports whether it
 // did; refuse ends the wait of a request that can no longer be on time, with the time
 // after which its caller is to come back.
-func (q *Queue) Serve(now time.Time, claim func(i *Item) bool, refuse func(i *Item, retry time.Duration)) {
+func (q *Queue) Dispatch(now time.Time, claim func(i *Item) bool, refuse func(i *Item, retry time.Duration)) {
 	q.forget(now)
 	q.sort()
 	kept := q.items[:0]
@@ -157,5 +157,5 @@
 const retrySteps = 1000
 
 func (q *Queue) retry(i *Item) time.Duration {
-	return q.cfg.Retry + q.cfg.RetrySpread*time.Duration(i.Point%retrySteps)/retrySteps
+	return q.cfg.Retry + q.cfg.RetrySpread*time.Duration(i.RetrySeed%retrySteps)/retrySteps
 }
--- a/decision/waiting/waiting_test.go
+++ b/decision/waiting/waiting_test.go
@@ -13,7 +13,7 @@
 const objective = 900 * time.Millisecond
 
 func item(i int, at time.Duration) *Item {
-	return &Item{Organisation: "a", Tokens: 10, Arrived: start.Add(at), Objective: objective, Deadline: start.Add(at + 14*time.Second), Point: uint64(i * 37)}
+	return &Item{Organisation: "a", Tokens: 10, Arrived: start.Add(at), Objective: objective, Deadline: start.Add(at + 14*time.Second), RetrySeed: uint64(i * 37)}
 }
 
 // pool is an engine pool whose places are taken for three seconds each.
@@ -55,7 +55,7 @@
 				break
 			}
 		}
-		q.Serve(start.Add(now), func(i *Item) bool {
+		q.Dispatch(start.Add(now), func(i *Item) bool {
 			if !p.claim(now) {
 				return false
 			}
@@ -99,7 +99,7 @@
 	for round := range 20 {
 		now := start.Add(time.Duration(round) * 5 * time.Millisecond)
 		left := 1
-		q.Serve(now, func(i *Item) bool {
+		q.Dispatch(now, func(i *Item) bool {
 			if left == 0 {
 				return false
 			}
@@ -124,7 +124,7 @@
 		n++
 		free += 10
 		placed := false
-		q.Serve(start.Add(now), func(i *Item) bool {
+		q.Dispatch(start.Add(now), func(i *Item) bool {
 			if i.Tokens > free {
 				return false
 			}
@@ -146,7 +146,7 @@
 		q.Add(item(i, 0))
 	}
 	times := map[time.Duration]int{}
-	q.Serve(start.Add(objective), func(*Item) bool { return false }, func(_ *Item, retry time.Duration) {
+	q.Dispatch(start.Add(objective), func(*Item) bool { return false }, func(_ *Item, retry time.Duration) {
 		times[retry]++
 		cfg := DefaultConfig()
 		assert.Assert(t, retry >= cfg.Retry && retry <= cfg.Retry+cfg.RetrySpread, fmt.Sprint(retry))
@@ -162,5 +162,5 @@
 	q.Add(i)
 	q.Remove(i)
 	q.Remove(i)
-	q.Serve(start, func(*Item) bool { t.Fatal("given"); return true }, nil)
+	q.Dispatch(start, func(*Item) bool { t.Fatal("given"); return true }, nil)
 }
--- a/gateway/claims.go
+++ b/gateway/claims.go
@@ -86,7 +86,7 @@
 	r.ticket = &ticket{
 		item: &waiting.Item{
 			Organisation: strconv.FormatUint(uint64(c.Organisation), 16), Priority: c.Priority, Tokens: c.Tokens, Output: c.Output, Arrived: now.Add(-c.Waited),
-			Objective: c.Objective, Deadline: now.Add(c.Left), Point: c.Point,
+			Objective: c.Objective, Deadline: now.Add(c.Left), RetrySeed: c.Point,
 		},
 		except: union(r.pool.named(c.Except), r.pool.named(c.Avoid)), remote: r,
 	}
--- a/gateway/desk.go
+++ b/gateway/desk.go
@@ -169,7 +169,7 @@
 	entries := k.gateway.state.Directory.Service(k.service)
 	suspects := k.gateway.suspects.among(entries)
 	now := time.Now()
-	k.queue.Serve(now, func(item *waiting.Item) bool {
+	k.queue.Dispatch(now, func(item *waiting.Item) bool {
 		t := k.tickets[item]
 		entry, ok := t.claim(k.decode, suspects)
 		if !ok {
--- a/gateway/homes.go
+++ b/gateway/homes.go
@@ -70,7 +70,7 @@
 	item := w.item
 	place, ok := k.claimAt(ctx, home, fleet.Claim{
 		Organisation: fleet.HashOf(item.Organisation), Priority: item.Priority, Tokens: item.Tokens, Output: item.Output,
-		Waited: time.Since(item.Arrived), Objective: item.Objective, Left: time.Until(item.Deadline), Point: item.Point,
+		Waited: time.Since(item.Arrived), Objective: item.Objective, Left: time.Until(item.Deadline), Point: item.RetrySeed,
 		Except: shortHashes(w.except), Avoid: shortHashes(suspects), Full: shortHashes(w.full),
 	})
 	if ctx.Err() != nil {
--- a/gateway/model.go
+++ b/gateway/model.go
@@ -215,7 +215,7 @@
 	c := r.admitted.call
 	item := &waiting.Item{
 		Organisation: c.Organisation, Priority: c.prio, Tokens: r.tokens, Output: r.output, Arrived: c.Arrived,
-		Objective: time.Duration(r.admitted.route.ObjectiveMS) * time.Millisecond, Deadline: c.Deadline, Point: hashPoint(c.ID),
+		Objective: time.Duration(r.admitted.route.ObjectiveMS) * time.Millisecond, Deadline: c.Deadline, RetrySeed: hashPoint(c.ID),
 	}
 	for {
 		entry, v := r.desk.place(ctx, want{item: item, except: r.except, full: r.full})
--- a/gateway/places_test.go
+++ b/gateway/places_test.go
@@ -131,7 +131,7 @@
 // item is a request for a quarter of an engine's memory.
 func item(patience time.Duration) *waiting.Item {
 	now := time.Now()
-	return &waiting.Item{Organisation: "o", Tokens: 250, Arrived: now, Objective: patience, Deadline: now.Add(time.Minute), Point: rand.Uint64()}
+	return &waiting.Item{Organisation: "o", Tokens: 250, Arrived: now, Objective: patience, Deadline: now.Add(time.Minute), RetrySeed: rand.Uint64()}
 }
 
 // burst places requests at random instances at once and returns how many each engine got.
