--- a/decision/group/config.go
+++ b/decision/group/config.go
@@ -33,8 +33,8 @@
 	// PreferenceLead is how many engine-seconds an organisation's interactive
 	// requests may put it ahead of one whose deferrable requests wait.
 	PreferenceLead float64
-	// Start are the estimates used before outcomes are known.
-	Start StartEstimates
+	// Initial are the estimates used before outcomes are known.
+	Initial InitialEstimates
 
 	// tune holds what only the sweeps of the tests change.
 	tune tuning
@@ -54,9 +54,9 @@
 	noClaims   bool
 }
 
-// StartEstimates stand in until outcomes are known. Each is replaced by what
+// InitialEstimates stand in until outcomes are known. Each is replaced by what
 // outcomes show within some twenty of them.
-type StartEstimates struct {
+type InitialEstimates struct {
 	// BetweenTokens is the time between tokens.
 	BetweenTokens time.Duration
 	// OutputRatio is the part of MaxTokens that an answer uses.
@@ -86,7 +86,7 @@
 // defaultStart: tokens come a little faster than the target on a healthy engine;
 // answers use about half of what callers allow; a plain lookup takes tens of
 // milliseconds.
-var defaultStart = StartEstimates{
+var defaultStart = InitialEstimates{
 	BetweenTokens: 40 * time.Millisecond,
 	OutputRatio:   0.5,
 	OutputTokens:  200,
@@ -148,10 +148,10 @@
 	setDefault(&c.tune.maxMisses, maxMisses)
 	setDefault(&c.tune.maxResumed, maxResumed)
 	setDefault(&c.tune.limit, placement.DefaultLimitPolicy)
-	setDefault(&c.Start.BetweenTokens, defaultStart.BetweenTokens)
-	setDefault(&c.Start.OutputRatio, defaultStart.OutputRatio)
-	setDefault(&c.Start.OutputTokens, defaultStart.OutputTokens)
-	setDefault(&c.Start.Call, defaultStart.Call)
+	setDefault(&c.Initial.BetweenTokens, defaultStart.BetweenTokens)
+	setDefault(&c.Initial.OutputRatio, defaultStart.OutputRatio)
+	setDefault(&c.Initial.OutputTokens, defaultStart.OutputTokens)
+	setDefault(&c.Initial.Call, defaultStart.Call)
 	return c
 }
 
--- a/decision/group/estimate.go
+++ b/decision/group/estimate.go
@@ -55,9 +55,9 @@
 	e := &estimates{
 		plain:         cfg.Kind == object.KindPlain,
 		speed:         prefill.NewSpeed(),
-		betweenTokens: cfg.Start.BetweenTokens.Seconds(),
-		outputRatio:   cfg.Start.OutputRatio,
-		call:          cfg.Start.Call.Seconds(),
+		betweenTokens: cfg.Initial.BetweenTokens.Seconds(),
+		outputRatio:   cfg.Initial.OutputRatio,
+		call:          cfg.Initial.Call.Seconds(),
 		firstSpread:   startDeviation.Seconds(),
 		deviations:    cfg.tune.deviations,
 	}
@@ -66,7 +66,7 @@
 		return e
 	}
 	e.prefillTime = e.speed.Estimate(startPrompt).Seconds()
-	decode := float64(cfg.Start.OutputTokens) * e.betweenTokens
+	decode := float64(cfg.Initial.OutputTokens) * e.betweenTokens
 	e.hold = e.prefillTime + decode
 	e.meanCost = e.prefillTime + decode*startEngineShare
 	return e
--- a/decision/group/group.go
+++ b/decision/group/group.go
@@ -70,7 +70,7 @@
 
 // held is a granted request.
 type held struct {
-	Held
+	ActiveGrant
 	class   request.Class
 	key     string
 	adopted bool
@@ -163,7 +163,7 @@
 
 // Adopt counts a grant that an instance still uses and another scheduler gave.
 // It fills the places it uses even beyond their number.
-func (g *Group) Adopt(now time.Time, h Held) {
+func (g *Group) Adopt(now time.Time, h ActiveGrant) {
 	if g.grants[h.ID] != nil {
 		return
 	}
@@ -174,7 +174,7 @@
 		to.gone = true
 	}
 	// The prefill is taken as done: a prefill lasts far less than a takeover.
-	adopted := &held{Held: h, adopted: true, granted: now, to: to}
+	adopted := &held{ActiveGrant: h, adopted: true, granted: now, to: to}
 	adopted.expectedEnd = now.Add(seconds(g.estimate.hold))
 	adopted.engineShare = g.shareOf(to, h.Pieces)
 	g.grants[h.ID] = adopted
--- a/decision/group/place.go
+++ b/decision/group/place.go
@@ -148,7 +148,7 @@
 // grant holds what the reservation found.
 func (g *Group) grant(now time.Time, w *waiter, r *reservation) {
 	h := &held{
-		Held: Held{
+		ActiveGrant: ActiveGrant{
 			ID: g.nextID, RequestID: w.ID, Organisation: w.Organisation,
 			Decode: r.to.spec.Name, Pieces: r.pieces,
 		},
--- a/decision/group/property_test.go
+++ b/decision/group/property_test.go
@@ -135,14 +135,14 @@
 func TestTakeoverCountsRunningRequestsOnce(t *testing.T) {
 	g := New(Config{FirstGrantID: 100})
 	g.SetUpstreams(epoch, pisar.upstreams(0))
-	g.Report(epoch, "sink-0", Load{Running: 15, PiecesUsed: 30})
+	g.Report(epoch, "sink-0", LoadReport{Running: 15, PiecesUsed: 30})
 	running := func() int { return g.byName["sink-0"].account.Used(epoch).Requests }
 	assert.Equal(t, running(), 15)
 	for id := range uint64(12) {
-		g.Adopt(epoch, Held{ID: 50 + id, RequestID: fmt.Sprint(id), Organisation: "o", Decode: "sink-0", Pieces: 2})
+		g.Adopt(epoch, ActiveGrant{ID: 50 + id, RequestID: fmt.Sprint(id), Organisation: "o", Decode: "sink-0", Pieces: 2})
 	}
 	assert.Equal(t, running(), 15)
-	g.Report(epoch, "sink-0", Load{Running: 3})
+	g.Report(epoch, "sink-0", LoadReport{Running: 3})
 	assert.Equal(t, running(), 12)
 	for id := range uint64(12) {
 		g.Release(epoch, 50+id, Outcome{Kind: OutcomeDone})
--- a/decision/group/types.go
+++ b/decision/group/types.go
@@ -101,8 +101,8 @@
 	Leaving bool
 }
 
-// Load is an upstream's lagging report of itself.
-type Load struct {
+// LoadReport is an upstream's lagging report of itself.
+type LoadReport struct {
 	Running    int
 	Slots      int
 	PiecesUsed int
@@ -111,8 +111,8 @@
 	Leaving    bool
 }
 
-// Held is a grant that another scheduler gave and an instance still uses.
-type Held struct {
+// ActiveGrant is a grant that another scheduler gave and an instance still uses.
+type ActiveGrant struct {
 	ID           uint64
 	RequestID    string
 	Organisation string
--- a/decision/group/upstream.go
+++ b/decision/group/upstream.go
@@ -83,7 +83,7 @@
 // Report takes in an upstream's lagging report of itself. More load than was
 // granted is believed, less is not; a smaller size than the object set gives is
 // believed too.
-func (g *Group) Report(now time.Time, name string, load Load) {
+func (g *Group) Report(now time.Time, name string, load LoadReport) {
 	u := g.byName[name]
 	if u == nil {
 		return
--- a/scheduler/takeover.go
+++ b/scheduler/takeover.go
@@ -38,7 +38,7 @@
 func (a *serviceActor) adopt(now time.Time, held heldGrant, holder request.Holder) {
 	a.nextHeld++
 	id := adoptedID | a.nextHeld
-	a.group.Adopt(now, group.Held{
+	a.group.Adopt(now, group.ActiveGrant{
 		ID: id, RequestID: held.key.String(), Organisation: held.organisation,
 		Prefill: held.prefill, Decode: held.decode, Pieces: held.pieces,
 	})
@@ -54,7 +54,7 @@
 // lease covers is either running under a scheduler that is gone, and its owner
 // will renew it, or is left behind, and its lease here will run out.
 func (a *serviceActor) report(now time.Time, msg reportMsg) {
-	a.group.Report(now, msg.upstream, group.Load{
+	a.group.Report(now, msg.upstream, group.LoadReport{
 		Running: msg.load.Running, Slots: msg.load.Slots, PiecesUsed: msg.load.PiecesUsed,
 		Pieces: msg.load.Pieces, Queued: msg.load.Queued, Leaving: msg.load.Leaving,
 	})
