--- a/caller/plain.go
+++ b/caller/plain.go
@@ -85,7 +85,7 @@
 func (x *exchange) serviceRequest(path string, body []byte) (port.ServiceRequest, error) {
 	key := x.r.Header.Get("Idempotency-Key")
 	if len(key) > maxIdempotencyKey {
-		return port.ServiceRequest{}, verdict.Refuse(verdict.ReasonIdempotencyNeeded, 0,
+		return port.ServiceRequest{}, verdict.Refuse(verdict.ReasonIdempotencyKeyInvalid, 0,
 			"the Idempotency-Key has %d bytes; %d are allowed", len(key), maxIdempotencyKey)
 	}
 	return port.ServiceRequest{
--- a/decision/retry/retry.go
+++ b/decision/retry/retry.go
@@ -126,7 +126,7 @@
 		return Decision{Reason: verdict.ReasonDeadlineUnmeetable}
 	}
 	if !p.charge(a.Service, a.Now) {
-		return Decision{Reason: verdict.ReasonRetryBudget}
+		return Decision{Reason: verdict.ReasonRetryBudgetSpent}
 	}
 	return Decision{Retry: true, Backoff: wait}
 }
@@ -139,7 +139,7 @@
 	case verdict.ReasonUpstreamUnreachable, verdict.ReasonUpstreamCrashed,
 		verdict.ReasonUpstreamRefused, verdict.ReasonTransferExpired,
 		verdict.ReasonTruncated, verdict.ReasonTimeout,
-		verdict.ReasonGrantLost, verdict.ReasonSchedulerGone:
+		verdict.ReasonGrantLost, verdict.ReasonSchedulerUnavailable:
 		return true
 	default:
 		return false
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -148,7 +148,7 @@
 		return verdict.Refuse(verdict.ReasonCancelled, 0, "the caller left")
 	case d.Unanswered:
 		g.Metrics.Quota("unanswered")
-		return verdict.Refuse(verdict.ReasonRateHomeUnknown, d.Retry, "%s", d)
+		return verdict.Refuse(verdict.ReasonRateHomeUnavailable, d.Retry, "%s", d)
 	}
 	g.Metrics.Quota("refused")
 	retry := max(min(d.Retry, time.Until(c.Deadline)), minQuotaRetry)
--- a/once/resolve.go
+++ b/once/resolve.go
@@ -22,7 +22,7 @@
 	case stateClaimed:
 		return nil, s.claimedVerdict(reply.holder)
 	case stateKeyReused:
-		return nil, verdict.Refuse(verdict.ReasonKeyReused, 0, "the idempotency key was used with another call")
+		return nil, verdict.Refuse(verdict.ReasonIdempotencyKeyReused, 0, "the idempotency key was used with another call")
 	case stateCannotVouch:
 		return nil, verdict.Refuse(verdict.ReasonRetentionOver, reply.retryAfter,
 			"records younger than %v were lost; an unknown key may have been used", s.cfg.Window)
--- a/once/service_test.go
+++ b/once/service_test.go
@@ -211,9 +211,9 @@
 		ticket := claims(t, a, booking)
 		other := booking
 		other.BodyHash[0]++
-		refused(t, a, other, verdict.ReasonKeyReused, verdict.NotRun)
+		refused(t, a, other, verdict.ReasonIdempotencyKeyReused, verdict.NotRun)
 		assert.NilError(t, a.Finish(t.Context(), ticket, booked))
-		refused(t, a, other, verdict.ReasonKeyReused, verdict.NotRun)
+		refused(t, a, other, verdict.ReasonIdempotencyKeyReused, verdict.NotRun)
 		foreign := booking
 		foreign.Organisation = "zoo"
 		claims(t, a, foreign)
--- a/rate/admit.go
+++ b/rate/admit.go
@@ -39,7 +39,7 @@
 }
 
 // Admit implements route.RateLimiter. It refuses with verdict.ReasonRateLimited and
-// the time until the shares hold the cost, or with verdict.ReasonRateHomeUnknown when
+// the time until the shares hold the cost, or with verdict.ReasonRateHomeUnavailable when
 // a share without a reachable home might hold what is missing. A cost above the burst
 // is refused without a time: it can never be admitted.
 func (s *Service) Admit(ctx context.Context, organisation string, cost uint64) (route.Charge, error) {
@@ -64,7 +64,7 @@
 	}
 	if s.now() > g.begun+maxGather {
 		g.giveBack()
-		return route.Charge{}, verdict.Refuse(verdict.ReasonRateHomeUnknown, time.Second,
+		return route.Charge{}, verdict.Refuse(verdict.ReasonRateHomeUnavailable, time.Second,
 			"gathering tokens took too long")
 	}
 	for i := range g.shares {
--- a/rate/fault_test.go
+++ b/rate/fault_test.go
@@ -383,7 +383,7 @@
 		before, _ := f.log.load()
 		k.load(f, others, 10, 10, 10*time.Minute)
 		k.pending.Wait()
-		refused := k.refused[verdict.ReasonRateHomeUnknown] + k.refused[verdict.ReasonRateLimited]
+		refused := k.refused[verdict.ReasonRateHomeUnavailable] + k.refused[verdict.ReasonRateLimited]
 		after, _ := f.log.load()
 		t.Logf("%d refused of 6000, %d appends in 10 minutes", refused, after-before)
 		assert.Assert(t, refused < 60)
--- a/rate/refuse.go
+++ b/rate/refuse.go
@@ -26,7 +26,7 @@
 		if !ok || after > homeRetryAfter {
 			after = homeRetryAfter
 		}
-		return verdict.Refuse(verdict.ReasonRateHomeUnknown, after,
+		return verdict.Refuse(verdict.ReasonRateHomeUnavailable, after,
 			"%d of %d tokens are there, and the rest may lie where nobody can be asked now", g.got, g.cost)
 	}
 	if !ok {
--- a/scheduler/actor.go
+++ b/scheduler/actor.go
@@ -266,7 +266,7 @@
 	if a.timer != nil {
 		a.timer.Stop()
 	}
-	refusal := verdict.Refuse(verdict.ReasonSchedulerGone, time.Second, "the scheduler is shutting down")
+	refusal := verdict.Refuse(verdict.ReasonSchedulerUnavailable, time.Second, "the scheduler is shutting down")
 	for _, msg := range a.waiting {
 		msg.answer <- reply{refusal: refusal}
 	}
--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -109,13 +109,13 @@
 	if ctx.Err() != nil {
 		return verdict.Refuse(verdict.ReasonCancelled, 0, "cancelled while waiting for a place")
 	}
-	v := verdict.Refuse(verdict.ReasonSchedulerGone, time.Second, "the service's scheduler cannot be reached")
+	v := verdict.Refuse(verdict.ReasonSchedulerUnavailable, time.Second, "the service's scheduler cannot be reached")
 	v.Cause = err
 	return v
 }
 
 func unavailable(err error) bool {
-	return verdict.From(err).Reason == verdict.ReasonSchedulerGone
+	return verdict.From(err).Reason == verdict.ReasonSchedulerUnavailable
 }
 
 func (c *Client) hold(home request.Holder, req *request.Request, attempt uint32, g *peerv1.Grant) *route.Grant {
--- a/verdict/reason.go
+++ b/verdict/reason.go
@@ -16,23 +16,23 @@
 	ReasonForbidden       Reason = "forbidden"
 	ReasonNoConfiguration Reason = "no_configuration"
 	// ReasonStarting means that the instance has not read yet what it decides by.
-	ReasonStarting          Reason = "starting"
-	ReasonMethodNotAllowed  Reason = "method_not_allowed"
-	ReasonIdempotencyNeeded Reason = "idempotency_key_invalid"
+	ReasonStarting              Reason = "starting"
+	ReasonMethodNotAllowed      Reason = "method_not_allowed"
+	ReasonIdempotencyKeyInvalid Reason = "idempotency_key_invalid"
 )
 
 // Reasons of admission, queueing and placement.
 const (
-	ReasonRateLimited        Reason = "rate_limited"
-	ReasonRateHomeUnknown    Reason = "rate_home_unavailable"
-	ReasonDeadlineUnmeetable Reason = "deadline_unmeetable"
-	ReasonQueueTimeout       Reason = "queue_timeout"
-	ReasonNoUpstream         Reason = "no_upstream"
-	ReasonSchedulerGone      Reason = "scheduler_unavailable"
-	ReasonQuarantined        Reason = "quarantined"
-	ReasonRetryBudget        Reason = "retry_budget_spent"
-	ReasonCancelled          Reason = "cancelled"
-	ReasonGrantLost          Reason = "grant_lost"
+	ReasonRateLimited          Reason = "rate_limited"
+	ReasonRateHomeUnavailable  Reason = "rate_home_unavailable"
+	ReasonDeadlineUnmeetable   Reason = "deadline_unmeetable"
+	ReasonQueueTimeout         Reason = "queue_timeout"
+	ReasonNoUpstream           Reason = "no_upstream"
+	ReasonSchedulerUnavailable Reason = "scheduler_unavailable"
+	ReasonQuarantined          Reason = "quarantined"
+	ReasonRetryBudgetSpent     Reason = "retry_budget_spent"
+	ReasonCancelled            Reason = "cancelled"
+	ReasonGrantLost            Reason = "grant_lost"
 )
 
 // Reasons of upstream failures.
@@ -52,11 +52,11 @@
 
 // Reasons of the at-most-once guard.
 const (
-	ReasonOutcomeUnknown Reason = "outcome_unknown"
-	ReasonInProgress     Reason = "in_progress"
-	ReasonKeyReused      Reason = "idempotency_key_reused"
-	ReasonLogUnavailable Reason = "log_unavailable"
-	ReasonRetentionOver  Reason = "retention_over"
+	ReasonOutcomeUnknown       Reason = "outcome_unknown"
+	ReasonInProgress           Reason = "in_progress"
+	ReasonIdempotencyKeyReused Reason = "idempotency_key_reused"
+	ReasonLogUnavailable       Reason = "log_unavailable"
+	ReasonRetentionOver        Reason = "retention_over"
 	// ReasonGuardFull means that too many keys are remembered already.
 	ReasonGuardFull Reason = "guard_full"
 	// ReasonAnswerNotKept means that the call ran and its answer was not kept.
@@ -84,7 +84,7 @@
 	switch r {
 	case ReasonBadRequest, ReasonBodyTooLarge, ReasonPromptTooLong, ReasonUnknownModel,
 		ReasonUnknownService, ReasonUnauthenticated, ReasonKeyWithdrawn, ReasonForbidden,
-		ReasonMethodNotAllowed, ReasonIdempotencyNeeded, ReasonKeyReused, ReasonRetentionOver,
+		ReasonMethodNotAllowed, ReasonIdempotencyKeyInvalid, ReasonIdempotencyKeyReused, ReasonRetentionOver,
 		ReasonCancelled, ReasonOutcomeUnknown, ReasonAnswerNotKept,
 		ReasonOrderConflict, ReasonOrderUnconfirmed:
 		return false
