--- a/decision/balance/balance.go
+++ b/decision/balance/balance.go
@@ -39,23 +39,23 @@
 type Upstream struct {
 	Name string
 	Role Role
-	// Busy is the used share of its slots or memory, whichever is higher, 0 to 1.
-	Busy float64
-	// Fixed upstreams cannot change role or are leaving.
-	Fixed bool
+	// Utilisation is the used share of its slots or memory, whichever is higher, 0 to 1.
+	Utilisation float64
+	// Ineligible upstreams cannot change role or are leaving.
+	Ineligible bool
 }
 
 // Config holds the figures of the package.
 type Config struct {
-	High, Room, Gain          float64
-	Smoothing, Hold, Cooldown time.Duration
+	HighUtilisation, MaxDonorUtilisation, MinGain float64
+	SmoothingTime, HoldTime, Cooldown             time.Duration
 }
 
 // DefaultConfig returns the default figures.
 func DefaultConfig() Config {
 	return Config{
-		High: 0.85, Room: 0.75, Gain: 0.05,
-		Smoothing: 30 * time.Second, Hold: time.Minute, Cooldown: 5 * time.Minute,
+		HighUtilisation: 0.85, MaxDonorUtilisation: 0.75, MinGain: 0.05,
+		SmoothingTime: 30 * time.Second, HoldTime: time.Minute, Cooldown: 5 * time.Minute,
 	}
 }
 
@@ -63,9 +63,9 @@
 type Advice struct {
 	Upstream string
 	To       Role
-	// Busy is the smoothed load of the pool that is to grow, Predicted the higher
+	// Utilisation is the smoothed load of the pool that is to grow, Predicted the higher
 	// load of both pools after the change.
-	Busy, Predicted float64
+	Utilisation, Predicted float64
 }
 
 // Advisor watches one service. It is not safe for concurrent use.
@@ -96,7 +96,7 @@
 	var pools [2]pool
 	for _, u := range upstreams {
 		pools[u.Role].size++
-		pools[u.Role].busy += u.Busy
+		pools[u.Role].busy += u.Utilisation
 	}
 	if a.changed(pools) {
 		a.startOver(now)
@@ -110,7 +110,7 @@
 	if a.since.IsZero() || role != a.wanting {
 		a.wanting, a.since, a.given = role, now, false
 	}
-	if now.Sub(a.since) < a.cfg.Hold {
+	if now.Sub(a.since) < a.cfg.HoldTime {
 		return
 	}
 	a.name(upstreams, predicted)
@@ -135,7 +135,7 @@
 func (a *Advisor) smooth(now time.Time, pools [2]pool) {
 	share := 1.0
 	if !a.last.IsZero() {
-		share = 1 - math.Exp(-now.Sub(a.last).Seconds()/a.cfg.Smoothing.Seconds())
+		share = 1 - math.Exp(-now.Sub(a.last).Seconds()/a.cfg.SmoothingTime.Seconds())
 	}
 	a.last = now
 	for role := range pools {
@@ -161,16 +161,16 @@
 	relieved := small.busy * float64(small.size) / float64(small.size+1)
 	loaded := giver.busy * float64(giver.size) / float64(giver.size-1)
 	predicted := max(relieved, loaded)
-	return role, predicted, loaded <= a.cfg.Room && predicted <= small.busy-a.cfg.Gain
+	return role, predicted, loaded <= a.cfg.MaxDonorUtilisation && predicted <= small.busy-a.cfg.MinGain
 }
 
 // high is the load from which a pool is too small. Advice that stands is withdrawn
 // only well below it, or it would come and go with each second's load.
 func (a *Advisor) high(role Role) float64 {
 	if a.given && a.wanting == role {
-		return a.cfg.High - 2*a.cfg.Gain
+		return a.cfg.HighUtilisation - 2*a.cfg.MinGain
 	}
-	return a.cfg.High
+	return a.cfg.HighUtilisation
 }
 
 // name picks the least busy upstream of the giving pool and keeps to it while it
@@ -178,15 +178,15 @@
 func (a *Advisor) name(upstreams []Upstream, predicted float64) {
 	best := -1
 	for i, u := range upstreams {
-		if u.Role == a.wanting || u.Fixed {
+		if u.Role == a.wanting || u.Ineligible {
 			continue
 		}
 		if a.given && u.Name == a.advice.Upstream {
 			best = i
 			break
 		}
-		if best < 0 || u.Busy < upstreams[best].Busy ||
-			u.Busy == upstreams[best].Busy && u.Name < upstreams[best].Name {
+		if best < 0 || u.Utilisation < upstreams[best].Utilisation ||
+			u.Utilisation == upstreams[best].Utilisation && u.Name < upstreams[best].Name {
 			best = i
 		}
 	}
@@ -194,7 +194,7 @@
 	if a.given {
 		a.advice = Advice{
 			Upstream: upstreams[best].Name, To: a.wanting,
-			Busy: a.pools[a.wanting].busy, Predicted: predicted,
+			Utilisation: a.pools[a.wanting].busy, Predicted: predicted,
 		}
 	}
 }
--- a/decision/balance/balance_test.go
+++ b/decision/balance/balance_test.go
@@ -17,9 +17,9 @@
 func engines(prefill, decode int, prefillBusy, decodeBusy float64) []Upstream {
 	var all []Upstream
 	for i := range prefill + decode {
-		u := Upstream{Name: fmt.Sprintf("engine-%02d", i), Role: Prefill, Busy: prefillBusy}
+		u := Upstream{Name: fmt.Sprintf("engine-%02d", i), Role: Prefill, Utilisation: prefillBusy}
 		if i >= prefill {
-			u.Role, u.Busy = Decode, decodeBusy
+			u.Role, u.Utilisation = Decode, decodeBusy
 		}
 		all = append(all, u)
 	}
@@ -43,7 +43,7 @@
 		{"fixed", 600, func() []Upstream {
 			all := engines(5, 5, 0.4, 1)
 			for i := range all {
-				all[i].Fixed = true
+				all[i].Ineligible = true
 			}
 			return all
 		}, false},
@@ -83,7 +83,7 @@
 			next = now
 		}
 	}
-	assert.Assert(t, next.Sub(changed) >= DefaultConfig().Cooldown+DefaultConfig().Hold)
+	assert.Assert(t, next.Sub(changed) >= DefaultConfig().Cooldown+DefaultConfig().HoldTime)
 }
 
 // naiveAdvice works the smoothed loads, and since how many samples the same pool
@@ -91,7 +91,7 @@
 func naiveAdvice(cfg Config, samples [][2]float64, sizes [2]int) (Role, bool) {
 	smoothed := samples[0]
 	lasting, wanting := 0, Prefill
-	keep := math.Exp(-1 / cfg.Smoothing.Seconds())
+	keep := math.Exp(-1 / cfg.SmoothingTime.Seconds())
 	for i, s := range samples {
 		for r := range smoothed {
 			if i > 0 {
@@ -105,19 +105,19 @@
 		if role != wanting {
 			lasting, wanting = 0, role
 		}
-		limit := cfg.High
-		if lasting > int(cfg.Hold.Seconds()) {
-			limit -= 2 * cfg.Gain
+		limit := cfg.HighUtilisation
+		if lasting > int(cfg.HoldTime.Seconds()) {
+			limit -= 2 * cfg.MinGain
 		}
 		n, m := float64(sizes[role]), float64(sizes[role.other()])
 		loaded := smoothed[role.other()] * m / (m - 1)
 		after := max(smoothed[role]*n/(n+1), loaded)
 		lasting++
-		if smoothed[role] < limit || loaded > cfg.Room || after > smoothed[role]-cfg.Gain {
+		if smoothed[role] < limit || loaded > cfg.MaxDonorUtilisation || after > smoothed[role]-cfg.MinGain {
 			lasting = 0
 		}
 	}
-	return wanting, lasting > int(cfg.Hold.Seconds())
+	return wanting, lasting > int(cfg.HoldTime.Seconds())
 }
 
 func TestAgainstNaive(t *testing.T) {
@@ -181,7 +181,7 @@
 		done += served / seconds
 		for i := range all {
 			r := all[i].Role
-			all[i].Busy = min(1, demand[r]/max(working[r], 0.1))
+			all[i].Utilisation = min(1, demand[r]/max(working[r], 0.1))
 		}
 		name, ok := advise(start.Add(time.Duration(second)*time.Second), all)
 		i := slices.IndexFunc(all, func(u Upstream) bool { return u.Name == name })
@@ -203,7 +203,7 @@
 		var load, size [2]float64
 		for _, u := range all {
 			size[u.Role]++
-			load[u.Role] = u.Busy
+			load[u.Role] = u.Utilisation
 		}
 		for _, u := range all {
 			if load[u.Role] < load[u.Role.other()] && load[u.Role.other()] > 0.85 && size[u.Role] > 1 {
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -138,7 +138,7 @@
 		if u.Role == object.RoleDecode {
 			role = balance.Decode
 		}
-		sample = append(sample, balance.Upstream{Name: u.Name, Role: role, Busy: busyShare(u), Fixed: u.Leaving})
+		sample = append(sample, balance.Upstream{Name: u.Name, Role: role, Utilisation: busyShare(u), Ineligible: u.Leaving})
 	}
 	a.health.advisor.Observe(now, sample)
 }
