--- a/decision/length/length.go
+++ b/decision/length/length.go
@@ -20,13 +20,13 @@
 
 // Config holds the figures of the package.
 type Config struct {
-	MinSamples  float64
-	Memory      float64
-	MinResidual float64
+	MinSamples   float64
+	MaxWeight    float64
+	MinDeviation float64
 }
 
 // DefaultConfig returns the default figures.
-func DefaultConfig() Config { return Config{MinSamples: 12, Memory: 200, MinResidual: 0.1} }
+func DefaultConfig() Config { return Config{MinSamples: 12, MaxWeight: 200, MinDeviation: 0.1} }
 
 // Estimator learns from the finished requests of one service. It is not safe for
 // concurrent use.
@@ -54,8 +54,8 @@
 // New returns an estimator that has seen nothing.
 func New(cfg Config) *Estimator { return &Estimator{cfg: cfg, peers: make(map[string]Sums)} }
 
-// Own returns what this instance has seen.
-func (e *Estimator) Own() Sums { return e.own }
+// OwnSums returns what this instance has seen.
+func (e *Estimator) OwnSums() Sums { return e.own }
 
 // SetPeer replaces what another instance has seen. Sums without weight forget it.
 func (e *Estimator) SetPeer(name string, s Sums) {
@@ -79,8 +79,8 @@
 // pooled is what all instances have seen.
 func (e *Estimator) pooled() Sums { return e.sum("", false) }
 
-// Without is what all instances but one have seen.
-func (e *Estimator) Without(name string) Sums { return e.sum(name, true) }
+// SumsWithout is what all instances but one have seen.
+func (e *Estimator) SumsWithout(name string) Sums { return e.sum(name, true) }
 
 func (e *Estimator) sum(name string, without bool) Sums {
 	all := e.own
@@ -105,7 +105,7 @@
 	} else if o.N > 0 {
 		x = o.X
 	}
-	o.N = min(o.N+1, e.cfg.Memory)
+	o.N = min(o.N+1, e.cfg.MaxWeight)
 	w := 1 / o.N
 	o.X += w * (x - o.X)
 	o.Y += w * (y - o.Y)
@@ -134,7 +134,7 @@
 	if seen.N < e.cfg.MinSamples {
 		return limit
 	}
-	slope, spread := seen.fit(e.cfg.MinResidual)
+	slope, spread := seen.fit(e.cfg.MinDeviation)
 	y := seen.Y
 	if hint > 0 {
 		y += slope * (math.Log(float64(hint)) - seen.X)
--- a/decision/length/length_test.go
+++ b/decision/length/length_test.go
@@ -93,7 +93,7 @@
 		if 3*peer < int(DefaultConfig().MinSamples) {
 			assert.Equal(t, e.Estimate(2_000, most, 0), most, "%d samples are enough", 3*peer)
 		}
-		e.SetPeer(string(rune('a'+peer)), other.Own())
+		e.SetPeer(string(rune('a'+peer)), other.OwnSums())
 	}
 	assert.Equal(t, e.Samples(), 18.0)
 	together, alone := e.Estimate(2_000, most, 0.25), all.Estimate(2_000, most, 0.25)
--- a/gateway/work.go
+++ b/gateway/work.go
@@ -67,7 +67,7 @@
 func (k *desk) ownWork() fleet.Work {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return fleet.Work{Split: k.work.View(), Lengths: k.lengths.Own()}
+	return fleet.Work{Split: k.work.View(), Lengths: k.lengths.OwnSums()}
 }
 
 // peerWork takes in what another instance has seen. What one that reports no more has
@@ -86,7 +86,7 @@
 func (k *desk) allWork(but string) fleet.Work {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return fleet.Work{Lengths: k.lengths.Without(but)}
+	return fleet.Work{Lengths: k.lengths.SumsWithout(but)}
 }
 
 // othersLengths takes in what all others have seen of the lengths of answers.
