--- a/decision/group/dispatch.go
+++ b/decision/group/dispatch.go
@@ -11,7 +11,7 @@
 // the zero time means that nothing is due.
 func (g *Group) Advance(now time.Time) ([]Decision, time.Time) {
 	for _, u := range g.byName {
-		u.account.Raise(now)
+		u.account.RaiseLimit(now)
 	}
 	decisions := g.dispatch(now)
 	next := g.queue.NextExpiry()
--- a/decision/group/parked.go
+++ b/decision/group/parked.go
@@ -136,14 +136,14 @@
 	w.claim = u
 	w.claimPieces = u.account.PiecesFor(w.PromptTokens, w.MaxTokens)
 	u.claimed = true
-	u.account.Claim(w.claimPieces)
+	u.account.ReservePieces(w.claimPieces)
 }
 
 func (g *Group) unclaim(w *waiter) {
 	if w.claim == nil {
 		return
 	}
-	w.claim.account.Unclaim(w.claimPieces)
+	w.claim.account.UnreservePieces(w.claimPieces)
 	w.claim.claimed = false
 	w.claim, w.claimPieces = nil, 0
 }
--- a/decision/group/place.go
+++ b/decision/group/place.go
@@ -52,7 +52,7 @@
 
 // sinkScore is how full the upstream will be, weighted by health; lower is better.
 func sinkScore(now time.Time, u *upstream, pieces int, dataCentre string) float64 {
-	score := u.account.Fill(now, pieces) / u.health
+	score := u.account.Utilisation(now, pieces) / u.health
 	if u.spec.DataCentre != dataCentre {
 		score += dataCentreFill
 	}
@@ -188,7 +188,7 @@
 	if !g.tellsPrefill {
 		g.untold = append(g.untold, h)
 	}
-	r.from.account.Hold(0)
+	r.from.account.AddGrant(0)
 	r.from.lastUse = g.uses
 	h.transfer = r.transfer
 	h.book(r.transferAt)
--- a/decision/group/release.go
+++ b/decision/group/release.go
@@ -60,7 +60,7 @@
 	}
 	h.prefilling = false
 	g.changed = true
-	h.from.account.Free(now, 0)
+	h.from.account.ReleaseGrant(now, 0)
 }
 
 // prefillBy is when a prefill place is taken for free without being told.
@@ -106,7 +106,7 @@
 		between := out.Decode / time.Duration(out.OutputTokens-1)
 		h.to.account.Observe(now, placement.Answer{
 			Granted: h.granted, RunningAtGrant: h.runningAtGrant,
-			BetweenTokens: between, Target: g.cfg.BetweenTokens,
+			TimeBetweenTokens: between, Target: g.cfg.BetweenTokens,
 			Policy:    g.cfg.tune.limit,
 			GroupSlow: g.estimate.step() > g.cfg.BetweenTokens,
 		})
--- a/decision/group/sweep_test.go
+++ b/decision/group/sweep_test.go
@@ -46,13 +46,13 @@
 		func(c *Config, v float64) { c.tune.noAffinity = v == 0 }},
 	{"prefix affinity (1) or none (0)", pisar, "overload 1.5", []float64{0, 1},
 		func(c *Config, v float64) { c.tune.noAffinity = v == 0 }},
-	{"LimitPolicy.DeepestCut", giltScribe, "slow upstream", []float64{0.25, 0.5, 0.75, 0.9},
+	{"LimitPolicy.MinCutFactor", giltScribe, "slow upstream", []float64{0.25, 0.5, 0.75, 0.9},
 		func(c *Config, v float64) {
-			c.tune.limit = placement.LimitPolicy{DeepestCut: v, Tolerance: 1.05, LowestPart: 0.25}
+			c.tune.limit = placement.LimitPolicy{MinCutFactor: v, Tolerance: 1.05, MinSlotShare: 0.25}
 		}},
 	{"LimitPolicy.Tolerance", giltScribe, "slow upstream", []float64{1.001, 1.05, 1.2, 1.5, 100},
 		func(c *Config, v float64) {
-			c.tune.limit = placement.LimitPolicy{DeepestCut: 0.5, Tolerance: v, LowestPart: 0.25}
+			c.tune.limit = placement.LimitPolicy{MinCutFactor: 0.5, Tolerance: v, MinSlotShare: 0.25}
 		}},
 }
 
--- a/decision/group/upstream.go
+++ b/decision/group/upstream.go
@@ -51,15 +51,15 @@
 
 func (u *upstream) hold(h *held) {
 	if h.adopted {
-		u.account.Adopt(h.Pieces)
+		u.account.AdoptGrant(h.Pieces)
 	} else {
-		u.account.Hold(h.Pieces)
+		u.account.AddGrant(h.Pieces)
 	}
 	u.holds = append(u.holds, h)
 }
 
 func (u *upstream) unhold(now time.Time, h *held) {
-	u.account.Free(now, h.Pieces)
+	u.account.ReleaseGrant(now, h.Pieces)
 	u.holds = slices.DeleteFunc(u.holds, func(other *held) bool { return other == h })
 }
 
--- a/decision/placement/limit.go
+++ b/decision/placement/limit.go
@@ -4,20 +4,20 @@
 
 // LimitPolicy is how the limit follows the token rate.
 type LimitPolicy struct {
-	// DeepestCut bounds one reduction, so that a single odd answer does not empty
+	// MinCutFactor bounds one reduction, so that a single odd answer does not empty
 	// an upstream.
-	DeepestCut float64
+	MinCutFactor float64
 	// Tolerance is the part of the target above which an answer counts as slow:
 	// the target is met by 95 in 100, so that single answers at its edge are no sign.
 	Tolerance float64
-	// LowestPart is the part of the slots that is kept when the whole group is
+	// MinSlotShare is the part of the slots that is kept when the whole group is
 	// slower than the target. Then fewer requests an upstream do not bring the
 	// target back, and cutting on would only refuse more.
-	LowestPart float64
+	MinSlotShare float64
 }
 
 // DefaultLimitPolicy halves a limit at most; docs/LOAD.md has the sweeps.
-var DefaultLimitPolicy = LimitPolicy{DeepestCut: 0.5, Tolerance: 1.05, LowestPart: 0.25}
+var DefaultLimitPolicy = LimitPolicy{MinCutFactor: 0.5, Tolerance: 1.05, MinSlotShare: 0.25}
 
 // Answer is what a finished answer shows of its decode upstream.
 type Answer struct {
@@ -25,9 +25,9 @@
 	// batch that it joined.
 	Granted        time.Time
 	RunningAtGrant int
-	// BetweenTokens is its mean time between tokens.
-	BetweenTokens time.Duration
-	Target        time.Duration
+	// TimeBetweenTokens is its mean time between tokens.
+	TimeBetweenTokens time.Duration
+	Target            time.Duration
 	// GroupSlow tells that the mean of the whole group misses the target too.
 	GroupSlow bool
 	Policy    LimitPolicy
@@ -73,15 +73,15 @@
 }
 
 func (l *Limit) observe(slots, running int, now time.Time, a Answer) {
-	if a.BetweenTokens <= 0 || !a.Granted.After(l.cutAt) {
+	if a.TimeBetweenTokens <= 0 || !a.Granted.After(l.cutAt) {
 		return
 	}
 	limit := float64(l.allowed(slots))
-	if float64(a.BetweenTokens) > float64(a.Target)*a.Policy.Tolerance {
-		cut := max(a.Policy.DeepestCut, float64(a.Target)/float64(a.BetweenTokens))
+	if float64(a.TimeBetweenTokens) > float64(a.Target)*a.Policy.Tolerance {
+		cut := max(a.Policy.MinCutFactor, float64(a.Target)/float64(a.TimeBetweenTokens))
 		cutTo := min(limit, float64(max(1, a.RunningAtGrant))) * cut
 		if a.GroupSlow {
-			cutTo = max(cutTo, min(limit, a.Policy.LowestPart*float64(slots)))
+			cutTo = max(cutTo, min(limit, a.Policy.MinSlotShare*float64(slots)))
 		}
 		l.set(slots, cutTo)
 		l.cutAt = now
--- a/decision/placement/placement.go
+++ b/decision/placement/placement.go
@@ -67,37 +67,37 @@
 	return (promptTokens + maxTokens + size - 1) / size
 }
 
-// Hold counts a grant.
-func (u *Upstream) Hold(pieces int) {
+// AddGrant counts a grant.
+func (u *Upstream) AddGrant(pieces int) {
 	u.running++
 	u.pieces += pieces
 }
 
-// Adopt counts a grant that another scheduler gave. Reports have shown it as
+// AdoptGrant counts a grant that another scheduler gave. Reports have shown it as
 // foreign load until now; counted twice, it would keep a place empty until the
 // next report.
-func (u *Upstream) Adopt(pieces int) {
+func (u *Upstream) AdoptGrant(pieces int) {
 	u.foreign.Requests = max(0, u.foreign.Requests-1)
 	u.foreign.Pieces = max(0, u.foreign.Pieces-pieces)
-	u.Hold(pieces)
+	u.AddGrant(pieces)
 }
 
-// Free gives a grant's place back. The release is remembered for as long as a
+// ReleaseGrant gives a grant's place back. The release is remembered for as long as a
 // lagging report may still count it.
-func (u *Upstream) Free(now time.Time, pieces int) {
+func (u *Upstream) ReleaseGrant(now time.Time, pieces int) {
 	u.running--
 	u.pieces -= pieces
 	u.forget(now)
 	u.recentRelease = append(u.recentRelease, release{at: now, pieces: pieces})
 }
 
-// Claim holds pieces alone, ahead of a grant that does not fit yet, so that the
+// ReservePieces holds pieces alone, ahead of a grant that does not fit yet, so that the
 // pieces that others free gather for it. Without it a large request waits for
 // ever behind small ones that take each piece as it comes free.
-func (u *Upstream) Claim(pieces int) { u.claimed += pieces }
+func (u *Upstream) ReservePieces(pieces int) { u.claimed += pieces }
 
-// Unclaim gives a claim back.
-func (u *Upstream) Unclaim(pieces int) { u.claimed -= pieces }
+// UnreservePieces gives a claim back.
+func (u *Upstream) UnreservePieces(pieces int) { u.claimed -= pieces }
 
 // Report takes in an upstream's own count. More than was granted is believed to
 // be another scheduler's work: filling those places would make the upstream
@@ -124,9 +124,9 @@
 	u.recentRelease = append(u.recentRelease[:0], u.recentRelease[old:]...)
 }
 
-// Raise lets a cut limit grow while the upstream is idle. It is called again and
+// RaiseLimit lets a cut limit grow while the upstream is idle. It is called again and
 // again, a few times in RaiseInterval at least.
-func (u *Upstream) Raise(now time.Time) { u.limit.raise(u.Slots, u.running, now) }
+func (u *Upstream) RaiseLimit(now time.Time) { u.limit.raise(u.Slots, u.running, now) }
 
 // Observe feeds the limit with an answer.
 func (u *Upstream) Observe(now time.Time, a Answer) {
--- a/decision/placement/query.go
+++ b/decision/placement/query.go
@@ -37,10 +37,10 @@
 	return u.Pieces == 0 || pieces <= u.FreePieces(now)
 }
 
-// Fill is how full the upstream is with one more request, from 0 to 1: the
+// Utilisation is how full the upstream is with one more request, from 0 to 1: the
 // larger of its slots' and its memory's part. Decode steps slow down with the
 // batch, so that the emptiest upstream gives the shortest time between tokens.
-func (u *Upstream) Fill(now time.Time, pieces int) float64 {
+func (u *Upstream) Utilisation(now time.Time, pieces int) float64 {
 	used := u.Used(now)
 	fill := float64(used.Requests+1) / float64(max(1, u.Allowed()))
 	if u.Pieces > 0 {
