--- a/decision/room/room.go
+++ b/decision/room/room.go
@@ -36,8 +36,8 @@
 	ID string
 	// Memory is its memory for KV cache and Slots the requests that it runs at once.
 	Memory, Slots int
-	// Near engines are in the own data centre.
-	Near bool
+	// SameDataCentre engines are in the own data centre.
+	SameDataCentre bool
 }
 
 // Load is what one instance has placed at an engine.
@@ -45,9 +45,9 @@
 	Requests, Tokens int
 }
 
-// Room knows the engines of one pool and what is claimed there. It is not safe for
+// Allocator knows the engines of one pool and what is claimed there. It is not safe for
 // concurrent use.
-type Room struct {
+type Allocator struct {
 	engines []Engine
 	own     map[string]Load
 	peers   map[string]map[string]Load
@@ -65,24 +65,24 @@
 }
 
 // New returns a room without engines.
-func New() *Room {
-	return &Room{
+func New() *Allocator {
+	return &Allocator{
 		own: make(map[string]Load), peers: make(map[string]map[string]Load), others: make(map[string]Load), shut: make(map[string]bool),
 		running: make(map[string][]runningRequest),
 	}
 }
 
 // SetEngines replaces the engines that may be given work.
-func (r *Room) SetEngines(engines []Engine) { r.engines = slices.Clone(engines) }
+func (r *Allocator) SetEngines(engines []Engine) { r.engines = slices.Clone(engines) }
 
 // Engines lists the engines that may be given work.
-func (r *Room) Engines() []Engine { return r.engines }
+func (r *Allocator) Engines() []Engine { return r.engines }
 
-// Sample makes claims compare two engines that are drawn. nil compares all.
-func (r *Room) Sample(draw func(n int) int) { r.draw = draw }
+// SetSampler makes claims compare two engines that are drawn. nil compares all.
+func (r *Allocator) SetSampler(draw func(n int) int) { r.draw = draw }
 
 // SetPeer replaces what another instance has placed, by engine id. nil forgets it.
-func (r *Room) SetPeer(instance string, loads map[string]Load) {
+func (r *Allocator) SetPeer(instance string, loads map[string]Load) {
 	for id, l := range r.peers[instance] {
 		r.addOther(id, -l.Requests, -l.Tokens)
 	}
@@ -100,7 +100,7 @@
 	r.peers[instance] = loads
 }
 
-func (r *Room) addOther(id string, requests, tokens int) {
+func (r *Allocator) addOther(id string, requests, tokens int) {
 	sum := r.others[id]
 	sum.Requests += requests
 	sum.Tokens += tokens
@@ -111,23 +111,23 @@
 	r.others[id] = sum
 }
 
-// Own returns what this instance has placed, by engine id.
-func (r *Room) Own() map[string]Load { return r.own }
+// OwnLoads returns what this instance has placed, by engine id.
+func (r *Allocator) OwnLoads() map[string]Load { return r.own }
 
-// Peer is what another instance has placed at an engine.
-func (r *Room) Peer(instance, id string) Load { return r.peers[instance][id] }
+// PeerLoad is what another instance has placed at an engine.
+func (r *Allocator) PeerLoad(instance, id string) Load { return r.peers[instance][id] }
 
 // Load is what all instances have placed at an engine.
-func (r *Room) Load(id string) Load {
+func (r *Allocator) Load(id string) Load {
 	own, others := r.own[id], r.others[id]
 	return Load{Requests: own.Requests + others.Requests, Tokens: own.Tokens + others.Tokens}
 }
 
-// Shut keeps claims away from an engine until Open.
-func (r *Room) Shut(id string) { r.shut[id] = true }
+// Disable keeps claims away from an engine until Open.
+func (r *Allocator) Disable(id string) { r.shut[id] = true }
 
-// Open lets an engine have claims again.
-func (r *Room) Open(id string) { delete(r.shut, id) }
+// Enable lets an engine have claims again.
+func (r *Allocator) Enable(id string) { delete(r.shut, id) }
 
 // nearBonus is the difference of load up to which an engine of the own data centre
 // goes before one with less: a twentieth, about half of one request's share.
@@ -140,18 +140,18 @@
 }
 
 // Claim places a request and returns the engine. Engines in except are left out.
-func (r *Room) Claim(n Need, except map[string]bool) (string, bool) {
+func (r *Allocator) Claim(n Demand, except map[string]bool) (string, bool) {
 	fits := r.fitting(n, except)
 	if len(fits) == 0 {
 		return "", false
 	}
 	id := r.lowest(fits).id
-	r.Hold(id, n)
+	r.RecordClaim(id, n)
 	return id, true
 }
 
 // ClaimFor places a request of another instance.
-func (r *Room) ClaimFor(instance string, n Need, except map[string]bool) (string, bool) {
+func (r *Allocator) ClaimFor(instance string, n Demand, except map[string]bool) (string, bool) {
 	fits := r.fitting(n, except)
 	if len(fits) == 0 {
 		return "", false
@@ -164,7 +164,7 @@
 }
 
 // SetPeerLoad replaces what another instance has placed at one engine.
-func (r *Room) SetPeerLoad(instance, id string, l Load) {
+func (r *Allocator) SetPeerLoad(instance, id string, l Load) {
 	loads, known := r.peers[instance]
 	if !known {
 		loads = make(map[string]Load)
@@ -180,8 +180,8 @@
 	loads[id] = l
 }
 
-// Part takes what one instance has placed out of a sum that holds it, before it is told by itself.
-func (r *Room) Part(sum string, loads map[string]Load) {
+// SubtractPeer takes what one instance has placed out of a sum that holds it, before it is told by itself.
+func (r *Allocator) SubtractPeer(sum string, loads map[string]Load) {
 	for id, l := range loads {
 		if of := r.peers[sum][id]; of != (Load{}) {
 			r.SetPeerLoad(sum, id, Load{Requests: max(of.Requests-l.Requests, 0), Tokens: max(of.Tokens-l.Tokens, 0)})
@@ -189,14 +189,14 @@
 	}
 }
 
-// Hold notes a request of this instance at an engine.
-func (r *Room) Hold(id string, n Need) {
+// RecordClaim notes a request of this instance at an engine.
+func (r *Allocator) RecordClaim(id string, n Demand) {
 	r.begin(own, id, n)
 	r.add(id, 1, n.Tokens)
 }
 
 // fitting lists the engines that a request fits at.
-func (r *Room) fitting(n Need, except map[string]bool) []candidate {
+func (r *Allocator) fitting(n Demand, except map[string]bool) []candidate {
 	var fits []candidate
 	for _, e := range r.engines {
 		if except[e.ID] || r.shut[e.ID] {
@@ -207,7 +207,7 @@
 		if used > 1 && load.Requests > 0 {
 			continue
 		}
-		if e.Near {
+		if e.SameDataCentre {
 			used -= nearBonus
 		}
 		fits = append(fits, candidate{e.ID, used})
@@ -217,7 +217,7 @@
 
 // lowest returns the candidate with the lowest load, of two that are drawn where
 // figures are old.
-func (r *Room) lowest(fits []candidate) candidate {
+func (r *Allocator) lowest(fits []candidate) candidate {
 	if r.draw == nil {
 		return slices.MinFunc(fits, compareUsed)
 	}
@@ -240,8 +240,8 @@
 	return max(slots, tokens/float64(e.Memory))
 }
 
-// Idlest returns the engine with the lowest load. Engines in except are left out.
-func (r *Room) Idlest(except map[string]bool) (string, bool) {
+// LeastLoaded returns the engine with the lowest load. Engines in except are left out.
+func (r *Allocator) LeastLoaded(except map[string]bool) (string, bool) {
 	best, lowest := "", math.Inf(1)
 	for _, e := range r.engines {
 		if except[e.ID] {
@@ -255,8 +255,8 @@
 	return best, best != ""
 }
 
-// Fill claims all of an engine's memory and returns the size of the claim.
-func (r *Room) Fill(id string) int {
+// ClaimEngine claims all of an engine's memory and returns the size of the claim.
+func (r *Allocator) ClaimEngine(id string) int {
 	for _, e := range r.engines {
 		if e.ID == id {
 			r.add(id, 1, e.Memory)
@@ -267,15 +267,15 @@
 }
 
 // Release ends a claim.
-func (r *Room) Release(id string, tokens int) {
+func (r *Allocator) Release(id string, tokens int) {
 	r.add(id, -1, -tokens)
 	r.endOwn(id, tokens)
 }
 
 // Resize changes a claim's size.
-func (r *Room) Resize(id string, by int) { r.add(id, 0, by) }
+func (r *Allocator) Resize(id string, by int) { r.add(id, 0, by) }
 
-func (r *Room) add(id string, requests, tokens int) {
+func (r *Allocator) add(id string, requests, tokens int) {
 	load := r.own[id]
 	load.Requests += requests
 	load.Tokens += tokens
@@ -287,7 +287,7 @@
 }
 
 // Requests is how many requests all instances have placed.
-func (r *Room) Requests() int {
+func (r *Allocator) Requests() int {
 	sum := 0
 	for _, e := range r.engines {
 		sum += r.Load(e.ID).Requests
@@ -295,9 +295,9 @@
 	return sum
 }
 
-// Free is the share of the whole pool's memory or slots, whichever is scarcer, that
+// FreeShare is the share of the whole pool's memory or slots, whichever is scarcer, that
 // is not claimed.
-func (r *Room) Free() float64 {
+func (r *Allocator) FreeShare() float64 {
 	var memory, slots, tokens, requests int
 	for _, e := range r.engines {
 		load := r.Load(e.ID)
--- a/decision/room/room_test.go
+++ b/decision/room/room_test.go
@@ -11,7 +11,7 @@
 func engines(n int) []Engine {
 	var out []Engine
 	for i := range n {
-		out = append(out, Engine{ID: fmt.Sprint("e", i), Memory: 100, Slots: 16, Near: i == 0})
+		out = append(out, Engine{ID: fmt.Sprint("e", i), Memory: 100, Slots: 16, SameDataCentre: i == 0})
 	}
 	return out
 }
@@ -31,7 +31,7 @@
 		var runs []*run
 		count := 0
 		for range 2000 {
-			if id, ok := r.Claim(Need{Tokens: claim}, nil); ok && rng.IntN(3) > 0 {
+			if id, ok := r.Claim(Demand{Tokens: claim}, nil); ok && rng.IntN(3) > 0 {
 				runs = append(runs, &run{id, 20, 20})
 			} else if ok {
 				r.Release(id, claim)
@@ -66,13 +66,13 @@
 	r := New()
 	r.SetEngines(engines(2))
 	r.SetPeer("other", map[string]Load{"e0": {Requests: 2, Tokens: 90}})
-	id, ok := r.Claim(Need{Tokens: 50}, nil)
+	id, ok := r.Claim(Demand{Tokens: 50}, nil)
 	assert.Assert(t, ok)
 	assert.Equal(t, id, "e1")
-	_, ok = r.Claim(Need{Tokens: 60}, nil)
+	_, ok = r.Claim(Demand{Tokens: 60}, nil)
 	assert.Assert(t, !ok)
 	r.SetPeer("other", nil)
-	id, _ = r.Claim(Need{Tokens: 60}, nil)
+	id, _ = r.Claim(Demand{Tokens: 60}, nil)
 	assert.Equal(t, id, "e0")
 }
 
@@ -80,11 +80,11 @@
 func TestNearEngineGoesFirst(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(3))
-	id, _ := r.Claim(Need{Tokens: 2}, nil)
+	id, _ := r.Claim(Demand{Tokens: 2}, nil)
 	assert.Equal(t, id, "e0")
 	r.Release(id, 2)
-	assert.Equal(t, len(r.Own()), 0)
-	id, _ = r.Claim(Need{Tokens: 2}, map[string]bool{"e0": true})
+	assert.Equal(t, len(r.OwnLoads()), 0)
+	id, _ = r.Claim(Demand{Tokens: 2}, map[string]bool{"e0": true})
 	assert.Assert(t, id != "e0")
 }
 
@@ -93,18 +93,18 @@
 func TestShutAndFilledEnginesGetNothing(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(1))
-	r.Shut("e0")
-	_, ok := r.Claim(Need{Tokens: 1}, nil)
+	r.Disable("e0")
+	_, ok := r.Claim(Demand{Tokens: 1}, nil)
 	assert.Assert(t, !ok)
-	r.Open("e0")
-	size := r.Fill("e0")
-	_, ok = r.Claim(Need{Tokens: 1}, nil)
+	r.Enable("e0")
+	size := r.ClaimEngine("e0")
+	_, ok = r.Claim(Demand{Tokens: 1}, nil)
 	assert.Assert(t, !ok)
-	assert.Equal(t, r.Free(), 0.0)
+	assert.Equal(t, r.FreeShare(), 0.0)
 	r.Release("e0", size)
-	_, ok = r.Claim(Need{Tokens: 1}, nil)
+	_, ok = r.Claim(Demand{Tokens: 1}, nil)
 	assert.Assert(t, ok)
-	idle, ok := r.Idlest(nil)
+	idle, ok := r.LeastLoaded(nil)
 	assert.Assert(t, ok)
 	assert.Equal(t, idle, "e0")
 }
@@ -113,9 +113,9 @@
 func TestRequestLargerThanAnEngineGetsAnIdleOne(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(1))
-	_, ok := r.Claim(Need{Tokens: 500}, nil)
+	_, ok := r.Claim(Demand{Tokens: 500}, nil)
 	assert.Assert(t, ok)
-	_, ok = r.Claim(Need{Tokens: 1}, nil)
+	_, ok = r.Claim(Demand{Tokens: 1}, nil)
 	assert.Assert(t, !ok)
 }
 
@@ -131,7 +131,7 @@
 	)
 	refused := func(sample bool) float64 {
 		rng := rand.New(rand.NewPCG(7, 7))
-		rooms := make([]*Room, instances)
+		rooms := make([]*Allocator, instances)
 		for i := range rooms {
 			rooms[i] = New()
 			var list []Engine
@@ -140,7 +140,7 @@
 			}
 			rooms[i].SetEngines(list)
 			if sample {
-				rooms[i].Sample(rng.IntN)
+				rooms[i].SetSampler(rng.IntN)
 			}
 		}
 		type call struct {
@@ -155,7 +155,7 @@
 			i := tick % late
 			if i < instances {
 				loads := make(map[string]Load)
-				for id, l := range rooms[i].Own() {
+				for id, l := range rooms[i].OwnLoads() {
 					loads[id] = l
 				}
 				for j := range rooms {
@@ -179,7 +179,7 @@
 			for range 4 {
 				from := rng.IntN(instances)
 				asked++
-				id, ok := rooms[from].Claim(Need{Tokens: 0}, nil)
+				id, ok := rooms[from].Claim(Demand{Tokens: 0}, nil)
 				if !ok || busy[id] >= slots {
 					full++
 					if ok {
@@ -207,7 +207,7 @@
 		r.SetPeer(fmt.Sprint(i), map[string]Load{fmt.Sprint("e", i%44): {Requests: 1, Tokens: 2}})
 	}
 	for b.Loop() {
-		if id, ok := r.Claim(Need{Tokens: 1}, nil); ok {
+		if id, ok := r.Claim(Demand{Tokens: 1}, nil); ok {
 			r.Release(id, 1)
 		}
 	}
--- a/decision/room/running.go
+++ b/decision/room/running.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Need is what a request asks of an engine.
-type Need struct {
+// Demand is what a request asks of an engine.
+type Demand struct {
 	// Tokens of memory that it holds at its end, and Output the part of them that comes while it
 	// runs. With an Output of 0 all are held from the beginning.
 	Tokens, Output int
@@ -18,7 +18,7 @@
 type runningRequest struct {
 	instance string
 	begun    time.Duration
-	need     Need
+	need     Demand
 }
 
 // own is the instance's own name among those of running requests.
@@ -75,17 +75,17 @@
 }
 
 // Advance sets the time of what follows.
-func (r *Room) Advance(now time.Duration) { r.now = now }
+func (r *Allocator) Advance(now time.Duration) { r.now = now }
 
 // begin notes a request that runs at an engine from now on.
-func (r *Room) begin(instance, id string, n Need) {
+func (r *Allocator) begin(instance, id string, n Demand) {
 	if n.Output > 0 {
 		r.running[id] = append(r.running[id], runningRequest{instance, r.now, n})
 	}
 }
 
 // endOwn ends the own request whose claim is nearest to a size, unless all of them still run.
-func (r *Room) endOwn(id string, tokens int) {
+func (r *Allocator) endOwn(id string, tokens int) {
 	best, apart, count := -1, 0, 0
 	for i, c := range r.running[id] {
 		if c.instance != own {
@@ -103,7 +103,7 @@
 
 // trim ends requests of another instance that are no longer among those that it tells of, the oldest
 // first.
-func (r *Room) trim(instance, id string, requests int) {
+func (r *Allocator) trim(instance, id string, requests int) {
 	for {
 		first, count := -1, 0
 		for i, c := range r.running[id] {
@@ -122,20 +122,20 @@
 }
 
 // forget drops the requests of an instance that is silent. When they ended is not known.
-func (r *Room) forget(instance string) {
+func (r *Allocator) forget(instance string) {
 	for id, list := range r.running {
 		r.keep(id, slices.DeleteFunc(list, func(c runningRequest) bool { return c.instance == instance }))
 	}
 }
 
-func (r *Room) end(id string, at int) {
+func (r *Allocator) end(id string, at int) {
 	if c := r.running[id][at]; r.now-c.begun >= leastRun {
 		r.growthRate.learn(c, r.now)
 	}
 	r.keep(id, slices.Delete(r.running[id], at, at+1))
 }
 
-func (r *Room) keep(id string, list []runningRequest) {
+func (r *Allocator) keep(id string, list []runningRequest) {
 	if len(list) == 0 {
 		delete(r.running, id)
 		return
@@ -143,29 +143,29 @@
 	r.running[id] = list
 }
 
-// demand is the memory that a request holds now, and what is still to come.
-type demand struct{ used, left float64 }
+// growth is the memory that a request holds now, and what is still to come.
+type growth struct{ used, left float64 }
 
 // peak is the most memory that an engine's requests will hold together, with one more. All grow
 // at one growthRate and end at different times, which are known no better than past ends were; what is
 // placed there by others and not known as a running request counts whole.
-func (r *Room) peak(id string, load Load, n Need) float64 {
+func (r *Allocator) peak(id string, load Load, n Demand) float64 {
 	speed := r.growthRate.perSecond()
 	if n.Output <= 0 || speed <= 0 {
 		return float64(load.Tokens + n.Tokens)
 	}
 	known := 0
-	grow := make([]demand, 0, len(r.running[id])+1)
+	grow := make([]growth, 0, len(r.running[id])+1)
 	for _, c := range r.running[id] {
 		known += c.need.Tokens
 		grow = append(grow, c.demandAt(r.now, speed))
 	}
-	grow = append(grow, demand{float64(n.Tokens - n.Output), float64(n.Output)})
+	grow = append(grow, growth{float64(n.Tokens - n.Output), float64(n.Output)})
 	return peakOf(grow) + r.growthRate.spread()*norm(grow) + float64(max(load.Tokens-known, 0))
 }
 
 // norm is the root of the sum of squares of what is still to come.
-func norm(grow []demand) float64 {
+func norm(grow []growth) float64 {
 	sum := 0.0
 	for _, g := range grow {
 		sum += g.left * g.left
@@ -173,16 +173,16 @@
 	return math.Sqrt(sum)
 }
 
-func (c runningRequest) demandAt(now time.Duration, speed float64) demand {
+func (c runningRequest) demandAt(now time.Duration, speed float64) growth {
 	output := float64(c.need.Output)
 	come := min((now-c.begun).Seconds()*speed, output)
-	return demand{float64(c.need.Tokens) - output + come, max(output-come, overdueShare*output)}
+	return growth{float64(c.need.Tokens) - output + come, max(output-come, overdueShare*output)}
 }
 
 // highest is the most that requests hold together which grow alike: right before one of them
 // ends.
-func peakOf(grow []demand) float64 {
-	slices.SortFunc(grow, func(a, b demand) int { return cmp.Compare(b.left, a.left) })
+func peakOf(grow []growth) float64 {
+	slices.SortFunc(grow, func(a, b growth) int { return cmp.Compare(b.left, a.left) })
 	most, used := 0.0, 0.0
 	for i, g := range grow {
 		used += g.used
--- a/decision/room/running_test.go
+++ b/decision/room/running_test.go
@@ -11,14 +11,14 @@
 // answering is a request in the simulation below; it holds its prompt and what has come.
 type answering struct {
 	engine         string
-	need           Need
+	need           Demand
 	produced, ends float64
 }
 
 // simulation plays requests whose lengths are known with some error at one pool: two of memory
 // 55,000 tokens, in steps of 50 ms, at 600 output tokens a second a request.
 type simulation struct {
-	room            *Room
+	room            *Allocator
 	rng             *rand.Rand
 	now             time.Duration
 	running         []*answering
@@ -41,7 +41,7 @@
 // offer places a request if there is room. whole tells that it claims all from the beginning.
 func (s *simulation) offer(whole bool) {
 	expected := 2000 * (0.6 + 0.8*s.rng.Float64())
-	need := Need{Tokens: 3200 + int(expected), Output: int(expected)}
+	need := Demand{Tokens: 3200 + int(expected), Output: int(expected)}
 	if whole {
 		need.Output = 0
 	}
@@ -107,9 +107,9 @@
 // Guards against a peak that is told too low: requests that begin together and end together hold all
 // that they claim right before their end.
 func TestRequestsThatBeginTogetherHoldAllTheyClaim(t *testing.T) {
-	together := []demand{{100, 50}, {100, 50}, {100, 50}}
+	together := []growth{{100, 50}, {100, 50}, {100, 50}}
 	assert.Equal(t, peakOf(together), 450.0)
-	staggered := []demand{{100, 50}, {125, 25}, {149, 1}}
+	staggered := []growth{{100, 50}, {125, 25}, {149, 1}}
 	assert.Equal(t, peakOf(staggered), 377.0)
 	assert.Equal(t, peakOf(nil), 0.0)
 }
@@ -121,7 +121,7 @@
 	r.SetEngines(engines(1))
 	r.Advance(time.Minute)
 	for range 2 {
-		_, ok := r.ClaimFor("i1", Need{Tokens: 20, Output: 10}, nil)
+		_, ok := r.ClaimFor("i1", Demand{Tokens: 20, Output: 10}, nil)
 		assert.Assert(t, ok)
 	}
 	r.SetPeer("i1", map[string]Load{"e0": {Requests: 1, Tokens: 20}})
@@ -138,9 +138,9 @@
 	r := New()
 	r.SetEngines(engines(1))
 	r.Advance(time.Minute)
-	_, ok := r.Claim(Need{Tokens: 20, Output: 10}, nil)
+	_, ok := r.Claim(Demand{Tokens: 20, Output: 10}, nil)
 	assert.Assert(t, ok)
-	r.Release("e0", r.Fill("e0"))
+	r.Release("e0", r.ClaimEngine("e0"))
 	assert.Equal(t, len(r.running["e0"]), 1)
 	r.Release("e0", 20)
 	assert.Equal(t, len(r.running), 0)
@@ -153,15 +153,15 @@
 	r.SetEngines(engines(1))
 	r.growthRate = growthRate{n: leastEnds, output: 100, seconds: 1}
 	r.SetPeer("i1", map[string]Load{"e0": {Requests: 3, Tokens: 90}})
-	_, ok := r.Claim(Need{Tokens: 20, Output: 10}, nil)
+	_, ok := r.Claim(Demand{Tokens: 20, Output: 10}, nil)
 	assert.Assert(t, !ok)
-	_, ok = r.Claim(Need{Tokens: 10}, nil)
+	_, ok = r.Claim(Demand{Tokens: 10}, nil)
 	assert.Assert(t, ok)
 }
 
 // BenchmarkClaimAmongRunning places one request at a pool of forty engines with ten running requests each.
 func BenchmarkClaimAmongRunning(b *testing.B) {
-	for name, need := range map[string]Need{"whole": {Tokens: 5200}, "peak": {Tokens: 5200, Output: 2000}} {
+	for name, need := range map[string]Demand{"whole": {Tokens: 5200}, "peak": {Tokens: 5200, Output: 2000}} {
 		b.Run(name, func(b *testing.B) {
 			r := New()
 			r.SetEngines(engines(40))
--- a/gateway/claims.go
+++ b/gateway/claims.go
@@ -98,9 +98,9 @@
 	except, avoid := r.pool.named(c.Except), r.pool.named(c.Avoid)
 	entries := r.desk.gateway.state.Directory.Service(r.desk.service)
 	avoid = union(avoid, r.desk.gateway.suspects.among(entries))
-	entry, ok := r.pool.claimFor(r.instance, room.Need{Tokens: c.Tokens}, union(except, avoid))
+	entry, ok := r.pool.claimFor(r.instance, room.Demand{Tokens: c.Tokens}, union(except, avoid))
 	if !ok {
-		entry, ok = r.pool.claimFor(r.instance, room.Need{Tokens: c.Tokens}, except)
+		entry, ok = r.pool.claimFor(r.instance, room.Demand{Tokens: c.Tokens}, except)
 	}
 	if !ok {
 		r.decide(fleet.Place{State: fleet.PlaceRefused}, "")
--- a/gateway/desk.go
+++ b/gateway/desk.go
@@ -66,7 +66,7 @@
 // claim claims memory for the request.
 func (t *ticket) claim(p *pool, suspects map[string]bool) (upstream.Entry, bool) {
 	except := union(suspects, t.except)
-	need := room.Need{Tokens: t.item.Tokens, Output: t.item.Output}
+	need := room.Demand{Tokens: t.item.Tokens, Output: t.item.Output}
 	if t.remote != nil {
 		return p.claimFor(t.remote.instance, need, except)
 	}
@@ -215,10 +215,10 @@
 		near = ""
 	}
 	k.decode.sync(k.gateway.state.Directory, k.service, upstream.Decode, shaped{near, memory}, func(e upstream.Entry) room.Engine {
-		return room.Engine{ID: e.ID, Memory: memory, Slots: e.Slots, Near: e.DataCentre == near}
+		return room.Engine{ID: e.ID, Memory: memory, Slots: e.Slots, SameDataCentre: e.DataCentre == near}
 	})
 	k.prefill.sync(k.gateway.state.Directory, k.service, upstream.Prefill, shaped{near, prefillDepth}, func(e upstream.Entry) room.Engine {
-		return room.Engine{ID: e.ID, Memory: prefillDepth, Slots: e.Slots, Near: e.DataCentre == near}
+		return room.Engine{ID: e.ID, Memory: prefillDepth, Slots: e.Slots, SameDataCentre: e.DataCentre == near}
 	})
 }
 
--- a/gateway/homes.go
+++ b/gateway/homes.go
@@ -82,7 +82,7 @@
 	if place.State == fleet.PlaceRefused {
 		return upstream.Entry{}, noRoom(item, place.Retry), true
 	}
-	entry, known := k.decode.hold(place.Upstream, room.Need{Tokens: item.Tokens, Output: item.Output})
+	entry, known := k.decode.hold(place.Upstream, room.Demand{Tokens: item.Tokens, Output: item.Output})
 	return entry, nil, known
 }
 
@@ -106,15 +106,15 @@
 			return upstream.Entry{}, false
 		}
 		if ok {
-			if entry, known := k.prefill.hold(place.Upstream, room.Need{Tokens: tokens}); known {
+			if entry, known := k.prefill.hold(place.Upstream, room.Demand{Tokens: tokens}); known {
 				return entry, true
 			}
 		}
 	}
-	if entry, ok := k.prefill.claim(room.Need{Tokens: tokens}, union(suspects, tried)); ok {
+	if entry, ok := k.prefill.claim(room.Demand{Tokens: tokens}, union(suspects, tried)); ok {
 		return entry, true
 	}
-	return k.prefill.claim(room.Need{Tokens: tokens}, tried)
+	return k.prefill.claim(room.Demand{Tokens: tokens}, tried)
 }
 
 // tell tells the home of the service's places what this instance has at an engine now.
--- a/gateway/model_test.go
+++ b/gateway/model_test.go
@@ -38,7 +38,7 @@
 	assert.Equal(t, rec.Body.String(), events(1, 5))
 	assert.Equal(t, w.options[0].Reservation, "reservation")
 	assert.Equal(t, w.options[0].Source.Handle, "handle")
-	assert.Equal(t, len(w.gateway.desks.all()[0].decode.room.Own()), 0, "a claim was left behind")
+	assert.Equal(t, len(w.gateway.desks.all()[0].decode.room.OwnLoads()), 0, "a claim was left behind")
 }
 
 // The engine breaks a stream off in the middle of an event. A caller whose stream may
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -201,7 +201,7 @@
 
 // plainShape is the size of a plain upstream.
 func (g *Gateway) plainShape(e upstream.Entry) room.Engine {
-	return room.Engine{ID: e.ID, Slots: max(e.Slots, 1) * plainDepth, Near: e.DataCentre == g.DataCentre}
+	return room.Engine{ID: e.ID, Slots: max(e.Slots, 1) * plainDepth, SameDataCentre: e.DataCentre == g.DataCentre}
 }
 
 // attempt sends the request to one upstream.
@@ -310,11 +310,11 @@
 	for id := range r.tried {
 		except[id] = true
 	}
-	if entry, ok := r.pool.claim(room.Need{}, except); ok {
+	if entry, ok := r.pool.claim(room.Demand{}, except); ok {
 		return entry, nil
 	}
 	// Better an upstream under suspicion than none.
-	if entry, ok := r.pool.claim(room.Need{}, r.tried); ok {
+	if entry, ok := r.pool.claim(room.Demand{}, r.tried); ok {
 		return entry, nil
 	}
 	return upstream.Entry{}, verdict.Refuse(verdict.ReasonNoUpstream, 0, "no upstream of %s has room", r.admitted.service.Name)
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -23,7 +23,7 @@
 // there. It is safe for concurrent use.
 type pool struct {
 	mu   sync.Mutex
-	room *room.Room
+	room *room.Allocator
 	// entries by id, and ids by their short form in reports.
 	entries map[string]upstream.Entry
 	ids     map[fleet.Hash]string
@@ -84,14 +84,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if late {
-		p.room.Sample(rand.IntN)
+		p.room.SetSampler(rand.IntN)
 		return
 	}
-	p.room.Sample(nil)
+	p.room.SetSampler(nil)
 }
 
-// claim places a request of a size; see room.Room.Claim.
-func (p *pool) claim(n room.Need, except map[string]bool) (upstream.Entry, bool) {
+// claim places a request of a size; see room.Allocator.Claim.
+func (p *pool) claim(n room.Demand, except map[string]bool) (upstream.Entry, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dropSilent()
@@ -99,8 +99,8 @@
 	return p.entries[id], ok
 }
 
-// claimFor places a request of another instance; see room.Room.ClaimFor.
-func (p *pool) claimFor(instance string, n room.Need, except map[string]bool) (upstream.Entry, bool) {
+// claimFor places a request of another instance; see room.Allocator.ClaimFor.
+func (p *pool) claimFor(instance string, n room.Demand, except map[string]bool) (upstream.Entry, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dropSilent()
@@ -115,19 +115,19 @@
 func (p *pool) giveBack(instance, id string, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if load := p.room.Peer(instance, id); load.Requests > 0 && load.Tokens >= tokens {
+	if load := p.room.PeerLoad(instance, id); load.Requests > 0 && load.Tokens >= tokens {
 		p.room.SetPeerLoad(instance, id, room.Load{Requests: load.Requests - 1, Tokens: load.Tokens - tokens})
 	}
 }
 
 // hold notes a request that another instance has placed for this one.
-func (p *pool) hold(hash fleet.Hash, n room.Need) (upstream.Entry, bool) {
+func (p *pool) hold(hash fleet.Hash, n room.Demand) (upstream.Entry, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.room.Advance(boottime.Now())
 	entry, known := p.entries[p.ids[hash]]
 	if known {
-		p.room.Hold(entry.ID, n)
+		p.room.RecordClaim(entry.ID, n)
 	}
 	return entry, known
 }
@@ -136,7 +136,7 @@
 func (p *pool) own(id string) fleet.Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.room.Own()[id]
+	l := p.room.OwnLoads()[id]
 	return fleet.Load{Requests: l.Requests, Tokens: l.Tokens}
 }
 
@@ -196,10 +196,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if open {
-		p.room.Open(id)
+		p.room.Enable(id)
 		return
 	}
-	p.room.Shut(id)
+	p.room.Disable(id)
 }
 
 // idlest returns the engine with the lowest load, of those that are not in except.
@@ -207,7 +207,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dropSilent()
-	id, ok := p.room.Idlest(except)
+	id, ok := p.room.LeastLoaded(except)
 	return p.entries[id], ok
 }
 
@@ -231,7 +231,7 @@
 	if _, already := p.away[id]; already {
 		return
 	}
-	p.away[id] = p.room.Fill(id)
+	p.away[id] = p.room.ClaimEngine(id)
 	time.AfterFunc(limit, func() { p.restore(id) })
 }
 
@@ -266,7 +266,7 @@
 func (p *pool) free() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.room.Free()
+	return p.room.FreeShare()
 }
 
 // requests is how many requests all instances have placed at an engine.
@@ -287,7 +287,7 @@
 func (p *pool) fill(loads map[fleet.Hash]fleet.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, l := range p.room.Own() {
+	for id, l := range p.room.OwnLoads() {
 		loads[fleet.ShortHashOf(id)] = fleet.Load{Requests: l.Requests, Tokens: l.Tokens}
 	}
 }
@@ -307,7 +307,7 @@
 	defer p.mu.Unlock()
 	p.dropSilent()
 	for id := range p.entries {
-		l, less := p.room.Load(id), p.room.Peer(but, id)
+		l, less := p.room.Load(id), p.room.PeerLoad(but, id)
 		if l.Requests > less.Requests {
 			loads[fleet.ShortHashOf(id)] = fleet.Load{Requests: l.Requests - less.Requests, Tokens: l.Tokens - less.Tokens}
 		}
@@ -334,7 +334,7 @@
 		// An instance that has just become a hub holds the sum that others told it; counted
 		// twice, all engines would look full until that sum is old.
 		p.whole[from] = true
-		p.room.Part(ofAll, loads)
+		p.room.SubtractPeer(ofAll, loads)
 	}
 	p.heard[from] = now
 	p.room.SetPeer(from, loads)
--- a/gateway/roles_test.go
+++ b/gateway/roles_test.go
@@ -120,7 +120,7 @@
 		changing = id
 	}
 	for range 4 {
-		e, ok := d.prefill.claim(room.Need{Tokens: 10}, nil)
+		e, ok := d.prefill.claim(room.Demand{Tokens: 10}, nil)
 		assert.Assert(t, !ok || e.ID != changing)
 	}
 	e := d.prefill.entries[changing]
