--- a/decision/room/room.go
+++ b/decision/room/room.go
@@ -1,27 +1,30 @@
-// Package room decides at which engine a request's memory is claimed.
+// Package room decides on which engine a request reserves its memory.
 //
-// Load pattern: a decode engine holds some ten long requests, each of which grows
-// from its prompt to twice that while it runs, and bursts bring two to four times
-// the usual load. All instances place work on the same engines.
+// Load pattern: a decode engine runs about ten long requests at once. The memory of
+// each grows to twice the size of its prompt while it runs, and bursts bring two to
+// four times the usual load. All instances place requests on the same engines.
 //
-// Without it: requests are sent where few run, and as they grow the engine's memory
-// runs out. It then throws the newest run out in the middle of its stream and reads
-// its prompt again, or refuses a request whose prompt was just prefilled; either
-// way the prompt was read in vain. TestClaimsPreventOverflow measures both.
+// Without reservations, requests go to the engines that run the fewest, and an engine
+// runs out of memory as they grow. It then preempts its newest request in the middle of
+// the stream and recomputes the prompt, or rejects a request whose prompt has just been
+// prefilled; either way a prefill is wasted. TestClaimsPreventOverflow counts the
+// overflows with and without full reservations.
 //
 // Rules:
-//   - A request claims the memory of its whole course when it is placed, and the
-//     claim ends with it.
-//   - Requests at one engine begin and end at different times, so that they never hold all that they
-//     claim together. Of those that were placed here it is known since when they run:
-//     the most that they will hold together stays below the engine's memory (peak, after the
-//     Past-Future scheduler, ASPLOS 2025). What others have placed counts whole.
-//   - Among the engines with room the one with the lowest load is taken, load being
-//     the higher of the used shares of memory and slots; equal ones in the own data
-//     centre go first, since a transfer between data centres takes twice as long.
-//   - Where what others have placed is known late, the lower of two that are drawn is
-//     taken instead (Sample): the lowest by old figures is the same for all instances,
-//     who would all fill it (TestSampledClaimsSpread).
+//   - A request claims its maximum memory when it is placed, and holds the claim until it
+//     ends.
+//   - Requests on one engine start and end at different times, so they never use all of
+//     their claimed memory at once. For requests placed through this allocator the start
+//     time is known: their predicted peak usage must stay below the engine's memory (see
+//     peak, after the Past-Future scheduler, ASPLOS 2025). Requests placed by other
+//     instances count with their full claims.
+//   - Of the engines with enough capacity, the one with the lowest load is chosen. Load is
+//     the used share of memory or of slots, whichever is higher. At nearly equal load,
+//     engines in the same data centre are preferred, because a transfer between data
+//     centres takes twice as long.
+//   - Where the loads reported by other instances are outdated, the less loaded of two
+//     randomly sampled engines is chosen (SetSampler). All instances would otherwise pick
+//     the same engine from the same old figures and overload it (TestSampledClaimsSpread).
 package room
 
 import (
@@ -31,148 +34,154 @@
 	"time"
 )
 
-// Engine is one engine that may be given work.
+// Engine is an engine that accepts requests.
 type Engine struct {
 	ID string
-	// Memory is its memory for KV cache and Slots the requests that it runs at once.
+	// Memory is the size of the KV cache in tokens, Slots the maximum number of concurrent
+	// requests.
 	Memory, Slots int
-	// SameDataCentre engines are in the own data centre.
+	// SameDataCentre reports whether the engine is in the data centre of this instance.
 	SameDataCentre bool
 }
 
-// Load is what one instance has placed at an engine.
+// Load is the number of requests placed on an engine and the tokens they claim.
 type Load struct {
 	Requests, Tokens int
 }
 
-// Allocator knows the engines of one pool and what is claimed there. It is not safe for
+// Allocator tracks the engines of one pool and the claims on them. It is not safe for
 // concurrent use.
 type Allocator struct {
-	engines []Engine
-	own     map[string]Load
-	peers   map[string]map[string]Load
-	// others is the sum of what peers have placed.
-	others map[string]Load
-	// draw returns a number below its argument, nil where all engines are compared.
-	draw func(n int) int
-	// shut engines refused a claim that should have fitted; they get none until
-	// they are opened again.
-	shut map[string]bool
-	// running are the requests that were placed here and still run, by engine id.
+	engines  []Engine
+	ownLoads map[string]Load
+	// peerLoads is indexed by instance and engine id.
+	peerLoads map[string]map[string]Load
+	// peerTotals is the sum of peerLoads over all instances, by engine id.
+	peerTotals map[string]Load
+	// sample returns a random number below its argument. If nil, all engines are compared.
+	sample func(n int) int
+	// disabled engines rejected a request although its claim should have fitted. They get
+	// no claims until they are enabled again.
+	disabled map[string]bool
+	// running lists the requests that were placed through this allocator and have not
+	// ended, by engine id.
 	running    map[string][]runningRequest
 	growthRate growthRate
 	now        time.Duration
 }
 
-// New returns a room without engines.
+// New returns an allocator without engines.
 func New() *Allocator {
 	return &Allocator{
-		own: make(map[string]Load), peers: make(map[string]map[string]Load), others: make(map[string]Load), shut: make(map[string]bool),
-		running: make(map[string][]runningRequest),
+		ownLoads: make(map[string]Load), peerLoads: make(map[string]map[string]Load), peerTotals: make(map[string]Load),
+		disabled: make(map[string]bool), running: make(map[string][]runningRequest),
 	}
 }
 
-// SetEngines replaces the engines that may be given work.
-func (r *Allocator) SetEngines(engines []Engine) { r.engines = slices.Clone(engines) }
+// SetEngines replaces the engines that accept requests.
+func (a *Allocator) SetEngines(engines []Engine) { a.engines = slices.Clone(engines) }
 
-// Engines lists the engines that may be given work.
-func (r *Allocator) Engines() []Engine { return r.engines }
+// Engines lists the engines that accept requests.
+func (a *Allocator) Engines() []Engine { return a.engines }
 
-// SetSampler makes claims compare two engines that are drawn. nil compares all.
-func (r *Allocator) SetSampler(draw func(n int) int) { r.draw = draw }
+// SetSampler makes claims compare two engines that are chosen with sample, which returns
+// a random number below n. With nil, claims compare all engines.
+func (a *Allocator) SetSampler(sample func(n int) int) { a.sample = sample }
 
-// SetPeer replaces what another instance has placed, by engine id. nil forgets it.
-func (r *Allocator) SetPeer(instance string, loads map[string]Load) {
-	for id, l := range r.peers[instance] {
-		r.addOther(id, -l.Requests, -l.Tokens)
+// SetPeer replaces the loads of another instance, by engine id. nil removes the instance.
+func (a *Allocator) SetPeer(instance string, loads map[string]Load) {
+	for id, l := range a.peerLoads[instance] {
+		a.addPeerTotal(id, -l.Requests, -l.Tokens)
 	}
 	for id, l := range loads {
-		r.addOther(id, l.Requests, l.Tokens)
+		a.addPeerTotal(id, l.Requests, l.Tokens)
 	}
 	if loads == nil {
-		delete(r.peers, instance)
-		r.forget(instance)
+		delete(a.peerLoads, instance)
+		a.dropRunning(instance)
 		return
 	}
-	for id := range r.running {
-		r.trim(instance, id, loads[id].Requests)
+	for id := range a.running {
+		a.endOldest(instance, id, loads[id].Requests)
 	}
-	r.peers[instance] = loads
+	a.peerLoads[instance] = loads
 }
 
-func (r *Allocator) addOther(id string, requests, tokens int) {
-	sum := r.others[id]
+// addPeerTotal adds to the load that all other instances have placed on an engine.
+func (a *Allocator) addPeerTotal(id string, requests, tokens int) {
+	sum := a.peerTotals[id]
 	sum.Requests += requests
 	sum.Tokens += tokens
 	if sum == (Load{}) {
-		delete(r.others, id)
+		delete(a.peerTotals, id)
 		return
 	}
-	r.others[id] = sum
+	a.peerTotals[id] = sum
 }
 
-// OwnLoads returns what this instance has placed, by engine id.
-func (r *Allocator) OwnLoads() map[string]Load { return r.own }
+// OwnLoads returns the loads placed by this instance, by engine id.
+func (a *Allocator) OwnLoads() map[string]Load { return a.ownLoads }
 
-// PeerLoad is what another instance has placed at an engine.
-func (r *Allocator) PeerLoad(instance, id string) Load { return r.peers[instance][id] }
+// PeerLoad returns the load that another instance has placed on an engine.
+func (a *Allocator) PeerLoad(instance, id string) Load { return a.peerLoads[instance][id] }
 
-// Load is what all instances have placed at an engine.
-func (r *Allocator) Load(id string) Load {
-	own, others := r.own[id], r.others[id]
+// Load returns the load that all instances together have placed on an engine.
+func (a *Allocator) Load(id string) Load {
+	own, others := a.ownLoads[id], a.peerTotals[id]
 	return Load{Requests: own.Requests + others.Requests, Tokens: own.Tokens + others.Tokens}
 }
 
-// Disable keeps claims away from an engine until Open.
-func (r *Allocator) Disable(id string) { r.shut[id] = true }
+// Disable excludes an engine from claims until Enable is called.
+func (a *Allocator) Disable(id string) { a.disabled[id] = true }
 
-// Enable lets an engine have claims again.
-func (r *Allocator) Enable(id string) { delete(r.shut, id) }
+// Enable makes an engine available for claims again.
+func (a *Allocator) Enable(id string) { delete(a.disabled, id) }
 
-// nearBonus is the difference of load up to which an engine of the own data centre
-// goes before one with less: a twentieth, about half of one request's share.
-const nearBonus = 0.05
+// sameDataCentreBonus is the load difference up to which an engine in the same data centre
+// is preferred to a less loaded one. One request takes about twice this share of an engine.
+const sameDataCentreBonus = 0.05
 
-// candidate is an engine that a request fits at, with its used share thereafter.
+// candidate is an engine with enough capacity for a request. used is its load with that
+// request, less sameDataCentreBonus where that applies.
 type candidate struct {
 	id   string
 	used float64
 }
 
-// Claim places a request and returns the engine. Engines in except are left out.
-func (r *Allocator) Claim(n Demand, except map[string]bool) (string, bool) {
-	fits := r.fitting(n, except)
+// Claim places a request and returns the engine. Engines in except are not considered.
+func (a *Allocator) Claim(d Demand, except map[string]bool) (string, bool) {
+	fits := a.fittingEngines(d, except)
 	if len(fits) == 0 {
 		return "", false
 	}
-	id := r.lowest(fits).id
-	r.RecordClaim(id, n)
+	id := a.pick(fits).id
+	a.RecordClaim(id, d)
 	return id, true
 }
 
-// ClaimFor places a request of another instance.
-func (r *Allocator) ClaimFor(instance string, n Demand, except map[string]bool) (string, bool) {
-	fits := r.fitting(n, except)
+// ClaimFor places a request on behalf of another instance.
+func (a *Allocator) ClaimFor(instance string, d Demand, except map[string]bool) (string, bool) {
+	fits := a.fittingEngines(d, except)
 	if len(fits) == 0 {
 		return "", false
 	}
-	id := r.lowest(fits).id
-	load := r.peers[instance][id]
-	r.begin(instance, id, n)
-	r.SetPeerLoad(instance, id, Load{Requests: load.Requests + 1, Tokens: load.Tokens + n.Tokens})
+	id := a.pick(fits).id
+	load := a.peerLoads[instance][id]
+	a.startRunning(instance, id, d)
+	a.SetPeerLoad(instance, id, Load{Requests: load.Requests + 1, Tokens: load.Tokens + d.Tokens})
 	return id, true
 }
 
-// SetPeerLoad replaces what another instance has placed at one engine.
-func (r *Allocator) SetPeerLoad(instance, id string, l Load) {
-	loads, known := r.peers[instance]
+// SetPeerLoad replaces the load that another instance has placed on one engine.
+func (a *Allocator) SetPeerLoad(instance, id string, l Load) {
+	loads, known := a.peerLoads[instance]
 	if !known {
 		loads = make(map[string]Load)
-		r.peers[instance] = loads
+		a.peerLoads[instance] = loads
 	}
-	r.trim(instance, id, l.Requests)
+	a.endOldest(instance, id, l.Requests)
 	before := loads[id]
-	r.addOther(id, l.Requests-before.Requests, l.Tokens-before.Tokens)
+	a.addPeerTotal(id, l.Requests-before.Requests, l.Tokens-before.Tokens)
 	if l == (Load{}) {
 		delete(loads, id)
 		return
@@ -180,48 +189,50 @@
 	loads[id] = l
 }
 
-// SubtractPeer takes what one instance has placed out of a sum that holds it, before it is told by itself.
-func (r *Allocator) SubtractPeer(sum string, loads map[string]Load) {
+// SubtractPeer subtracts the loads of one instance from the aggregate stored under the name
+// sum, so that they are not counted twice once the instance is stored by its own name.
+func (a *Allocator) SubtractPeer(sum string, loads map[string]Load) {
 	for id, l := range loads {
-		if of := r.peers[sum][id]; of != (Load{}) {
-			r.SetPeerLoad(sum, id, Load{Requests: max(of.Requests-l.Requests, 0), Tokens: max(of.Tokens-l.Tokens, 0)})
+		if total := a.peerLoads[sum][id]; total != (Load{}) {
+			a.SetPeerLoad(sum, id, Load{Requests: max(total.Requests-l.Requests, 0), Tokens: max(total.Tokens-l.Tokens, 0)})
 		}
 	}
 }
 
-// RecordClaim notes a request of this instance at an engine.
-func (r *Allocator) RecordClaim(id string, n Demand) {
-	r.begin(own, id, n)
-	r.add(id, 1, n.Tokens)
+// RecordClaim records a claim of this instance on a given engine.
+func (a *Allocator) RecordClaim(id string, d Demand) {
+	a.startRunning(self, id, d)
+	a.addOwn(id, 1, d.Tokens)
 }
 
-// fitting lists the engines that a request fits at.
-func (r *Allocator) fitting(n Demand, except map[string]bool) []candidate {
+// fittingEngines lists the engines with enough capacity for a request. An idle engine
+// fits any request: a request larger than any engine would otherwise never be placed.
+func (a *Allocator) fittingEngines(d Demand, except map[string]bool) []candidate {
 	var fits []candidate
-	for _, e := range r.engines {
-		if except[e.ID] || r.shut[e.ID] {
+	for _, e := range a.engines {
+		if except[e.ID] || a.disabled[e.ID] {
 			continue
 		}
-		load := r.Load(e.ID)
-		used := loadAfter(e, load, r.peak(e.ID, load, n))
+		load := a.Load(e.ID)
+		used := loadAfter(e, load, a.peak(e.ID, load, d))
 		if used > 1 && load.Requests > 0 {
 			continue
 		}
 		if e.SameDataCentre {
-			used -= nearBonus
+			used -= sameDataCentreBonus
 		}
 		fits = append(fits, candidate{e.ID, used})
 	}
 	return fits
 }
 
-// lowest returns the candidate with the lowest load, of two that are drawn where
-// figures are old.
-func (r *Allocator) lowest(fits []candidate) candidate {
-	if r.draw == nil {
+// pick returns the candidate with the lowest load, out of two sampled ones if a sampler is
+// set.
+func (a *Allocator) pick(fits []candidate) candidate {
+	if a.sample == nil {
 		return slices.MinFunc(fits, compareUsed)
 	}
-	first, second := fits[r.draw(len(fits))], fits[r.draw(len(fits))]
+	first, second := fits[a.sample(len(fits))], fits[a.sample(len(fits))]
 	if compareUsed(second, first) < 0 {
 		return second
 	}
@@ -230,8 +241,8 @@
 
 func compareUsed(a, b candidate) int { return cmp.Compare(a.used, b.used) }
 
-// loadAfter is the used share of an engine once a request has been added, and all hold some
-// tokens.
+// loadAfter returns the load of an engine with one more request, when all requests together
+// use the given number of tokens.
 func loadAfter(e Engine, load Load, tokens float64) float64 {
 	slots := float64(load.Requests+1) / float64(max(e.Slots, 1))
 	if e.Memory <= 0 {
@@ -240,14 +251,14 @@
 	return max(slots, tokens/float64(e.Memory))
 }
 
-// LeastLoaded returns the engine with the lowest load. Engines in except are left out.
-func (r *Allocator) LeastLoaded(except map[string]bool) (string, bool) {
+// LeastLoaded returns the engine with the lowest load. Engines in except are not considered.
+func (a *Allocator) LeastLoaded(except map[string]bool) (string, bool) {
 	best, lowest := "", math.Inf(1)
-	for _, e := range r.engines {
+	for _, e := range a.engines {
 		if except[e.ID] {
 			continue
 		}
-		load := r.Load(e.ID)
+		load := a.Load(e.ID)
 		if used := loadAfter(e, load, float64(load.Tokens)); used < lowest {
 			best, lowest = e.ID, used
 		}
@@ -255,11 +266,11 @@
 	return best, best != ""
 }
 
-// ClaimEngine claims all of an engine's memory and returns the size of the claim.
-func (r *Allocator) ClaimEngine(id string) int {
-	for _, e := range r.engines {
+// ClaimEngine claims an engine's entire memory and returns the size of the claim.
+func (a *Allocator) ClaimEngine(id string) int {
+	for _, e := range a.engines {
 		if e.ID == id {
-			r.add(id, 1, e.Memory)
+			a.addOwn(id, 1, e.Memory)
 			return e.Memory
 		}
 	}
@@ -267,40 +278,39 @@
 }
 
 // Release ends a claim.
-func (r *Allocator) Release(id string, tokens int) {
-	r.add(id, -1, -tokens)
-	r.endOwn(id, tokens)
+func (a *Allocator) Release(id string, tokens int) {
+	a.addOwn(id, -1, -tokens)
+	a.endNearestOwn(id, tokens)
 }
 
 // Resize changes a claim's size.
-func (r *Allocator) Resize(id string, by int) { r.add(id, 0, by) }
+func (a *Allocator) Resize(id string, by int) { a.addOwn(id, 0, by) }
 
-func (r *Allocator) add(id string, requests, tokens int) {
-	load := r.own[id]
+func (a *Allocator) addOwn(id string, requests, tokens int) {
+	load := a.ownLoads[id]
 	load.Requests += requests
 	load.Tokens += tokens
 	if load.Requests <= 0 {
-		delete(r.own, id)
+		delete(a.ownLoads, id)
 		return
 	}
-	r.own[id] = load
+	a.ownLoads[id] = load
 }
 
-// Requests is how many requests all instances have placed.
-func (r *Allocator) Requests() int {
+// Requests returns the number of requests that all instances have placed.
+func (a *Allocator) Requests() int {
 	sum := 0
-	for _, e := range r.engines {
-		sum += r.Load(e.ID).Requests
+	for _, e := range a.engines {
+		sum += a.Load(e.ID).Requests
 	}
 	return sum
 }
 
-// FreeShare is the share of the whole pool's memory or slots, whichever is scarcer, that
-// is not claimed.
-func (r *Allocator) FreeShare() float64 {
+// FreeShare returns the unclaimed share of the pool's memory or slots, whichever is lower.
+func (a *Allocator) FreeShare() float64 {
 	var memory, slots, tokens, requests int
-	for _, e := range r.engines {
-		load := r.Load(e.ID)
+	for _, e := range a.engines {
+		load := a.Load(e.ID)
 		memory += e.Memory
 		slots += e.Slots
 		tokens += load.Tokens
--- a/decision/room/room_test.go
+++ b/decision/room/room_test.go
@@ -16,8 +16,9 @@
 	return out
 }
 
-// Requests grow from 40 to 60 tokens of memory while they run. Sent where few run,
-// engines run out of memory as they grow, and prompts are read in vain.
+// Guards against engines that run out of memory: requests grow from 20 to 40 tokens while
+// they run, and a claim of the initial size lets too many start on one engine. Each overflow
+// costs a prefill.
 func TestClaimsPreventOverflow(t *testing.T) {
 	overflows := func(claim int) int {
 		r := New()
@@ -57,12 +58,12 @@
 		return count
 	}
 	assert.Equal(t, overflows(40), 0)
-	assert.Assert(t, overflows(20) > 100, "without whole claims nothing overflows: the load is too low")
+	assert.Assert(t, overflows(20) > 100, "no engine overflows with claims of the initial size: the load is too low")
 }
 
-// Two instances place at the same engines. Without what the other has placed, both
-// fill the same hole.
-func TestPeersPlacesCount(t *testing.T) {
+// Guards against two instances that both claim the same free memory because neither counts
+// the other's claims.
+func TestPeerLoadsCount(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(2))
 	r.SetPeer("other", map[string]Load{"e0": {Requests: 2, Tokens: 90}})
@@ -76,8 +77,9 @@
 	assert.Equal(t, id, "e0")
 }
 
-// Between engines with equal load the near one spares the transfer a detour.
-func TestNearEngineGoesFirst(t *testing.T) {
+// Guards against transfers to another data centre while an equally loaded engine in the same
+// data centre is available.
+func TestEngineInSameDataCentreIsPreferred(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(3))
 	id, _ := r.Claim(Demand{Tokens: 2}, nil)
@@ -88,9 +90,9 @@
 	assert.Assert(t, id != "e0")
 }
 
-// An engine refuses what should have fitted, or is about to change: it gets nothing
-// until it is opened, and all that it holds can be claimed at once.
-func TestShutAndFilledEnginesGetNothing(t *testing.T) {
+// Guards against requests that are sent to an engine that rejects them although they should
+// fit, or that is about to change its role. The first is disabled, the second claimed whole.
+func TestDisabledAndFullyClaimedEnginesGetNoRequests(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(1))
 	r.Disable("e0")
@@ -109,7 +111,7 @@
 	assert.Equal(t, idle, "e0")
 }
 
-// A request that is larger than an engine's memory would otherwise never be placed.
+// Guards against a request that is never placed because it is larger than any engine's memory.
 func TestRequestLargerThanAnEngineGetsAnIdleOne(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(1))
@@ -119,17 +121,18 @@
 	assert.Assert(t, !ok)
 }
 
-// Sixty instances place short calls on six engines and hear of one another's a second
-// late. All believe the same engine to be the least used, and fill it while the others
-// idle; its callers are refused, or wait. The lower of two drawn spreads them.
+// Guards against instances that overload one engine while others are idle. Sixty instances
+// place short calls on six engines and learn of each other's loads a second late, so all of
+// them take the same engine for the least loaded, and its callers are rejected or wait.
+// Comparing two sampled engines spreads the calls.
 func TestSampledClaimsSpread(t *testing.T) {
 	const (
-		instances = 60
-		late      = 100 // ticks of 10 ms
-		length    = 6
-		slots     = 6
+		instances      = 60
+		reportInterval = 100 // ticks of 10 ms
+		callTicks      = 6
+		slots          = 6
 	)
-	refused := func(sample bool) float64 {
+	rejectedShare := func(sample bool) float64 {
 		rng := rand.New(rand.NewPCG(7, 7))
 		rooms := make([]*Allocator, instances)
 		for i := range rooms {
@@ -149,10 +152,10 @@
 			end      int
 		}
 		var calls []call
-		asked, full := 0, 0
+		asked, rejected := 0, 0
 		for tick := range 3000 {
-			// Each instance reports once in the time by which reports are late.
-			i := tick % late
+			// Each instance reports once per interval.
+			i := tick % reportInterval
 			if i < instances {
 				loads := make(map[string]Load)
 				for id, l := range rooms[i].OwnLoads() {
@@ -175,31 +178,32 @@
 				kept = append(kept, c)
 			}
 			calls = kept
-			// Four a tick are two thirds of the slots.
+			// Four calls per tick occupy two thirds of the slots.
 			for range 4 {
 				from := rng.IntN(instances)
 				asked++
 				id, ok := rooms[from].Claim(Demand{Tokens: 0}, nil)
 				if !ok || busy[id] >= slots {
-					full++
+					rejected++
 					if ok {
 						rooms[from].Release(id, 0)
 					}
 					continue
 				}
 				busy[id]++
-				calls = append(calls, call{from, id, tick + length})
+				calls = append(calls, call{from, id, tick + callTicks})
 			}
 		}
-		return float64(full) / float64(asked)
+		return float64(rejected) / float64(asked)
 	}
-	lowest, sampled := refused(false), refused(true)
-	t.Logf("full: %.3f by the lowest, %.3f by two drawn", lowest, sampled)
-	assert.Assert(t, sampled < lowest/3, "full: %.3f by the lowest, %.3f by two drawn", lowest, sampled)
+	lowest, sampled := rejectedShare(false), rejectedShare(true)
+	t.Logf("rejected: %.3f with the lowest of all, %.3f with the lower of two samples", lowest, sampled)
+	assert.Assert(t, sampled < lowest/3, "rejected: %.3f with the lowest of all, %.3f with the lower of two samples", lowest, sampled)
 }
 
-// Claims are compared by sums that follow each report, since adding up sixty instances'
-// reports for each of forty engines costs more than the rest of a request.
+// Measures one claim with 400 peers. The allocator updates its totals with each report: adding
+// up the loads of sixty instances for each of forty engines per claim would cost more than the
+// rest of a request.
 func BenchmarkClaim(b *testing.B) {
 	r := New()
 	r.SetEngines(engines(44))
--- a/decision/room/running.go
+++ b/decision/room/running.go
@@ -7,106 +7,112 @@
 	"time"
 )
 
-// Demand is what a request asks of an engine.
+// Demand is the memory that a request requires.
 type Demand struct {
-	// Tokens of memory that it holds at its end, and Output the part of them that comes while it
-	// runs. With an Output of 0 all are held from the beginning.
+	// Tokens is the memory used at the end of the request. Output is the part of it that is
+	// allocated while the request runs; 0 means that all of it is used from the start.
 	Tokens, Output int
 }
 
-// runningRequest is a request that was placed here and whose memory grows while it runs.
+// runningRequest is a request that was placed through this allocator and whose memory grows
+// while it runs.
 type runningRequest struct {
 	instance string
-	begun    time.Duration
-	need     Demand
+	started  time.Duration
+	demand   Demand
 }
 
-// own is the instance's own name among those of running requests.
-const own = ""
+// self stands for the own instance in runningRequest.instance.
+const self = ""
 
-// Figures of running requests.
 const (
-	// leastRun is how long a request must have run to tell how fast answers grow, and to be ended by
-	// a report: shorter ones were given up before they ran, and a report may have been made before
-	// its sender knew of the place.
-	leastRun = 700 * time.Millisecond
-	// rateMemory is how many requests the growth is taken from.
-	rateMemory = 64
-	// leastEnds is how many must have ended for it to be known.
-	leastEnds = 12
-	// overdueShare is the part of its expected output that a request has left at least: of one that
-	// has lasted longer than expected it is not known when it ends.
-	overdueShare = 0.3
+	// minRunTime is the run time from which a request counts for the growth rate, and from which a
+	// load report can end it. Shorter requests were cancelled before they ran, and a report may
+	// have been sent before its sender knew of the placement.
+	minRunTime = 700 * time.Millisecond
+	// rateWindow is the number of recent requests that determine the growth rate.
+	rateWindow = 64
+	// minEnded is the number of ended requests from which the growth rate is known.
+	minEnded = 12
+	// minRemainingShare is the lowest share of its expected output that a running request is
+	// assumed to have left. When a request that exceeds its expected length will end is unknown.
+	minRemainingShare = 0.3
 )
 
-// growthRate is how fast answers grow and how well their ends are known.
+// growthRate estimates how fast the outputs of requests grow, and how accurately their lengths
+// are predicted.
 type growthRate struct {
-	n, output, seconds float64
-	// errors are of those whose end was expected, squares the sum of their squared errors as
-	// parts of what was expected.
-	errors, squares float64
-}
-
-func (p *growthRate) learn(c runningRequest, now time.Duration) {
-	keep := 1 - 1/float64(rateMemory)
-	took := (now - c.begun).Seconds()
+	// weight is the number of ended requests in the estimate, output the tokens that they were
+	// expected to generate, seconds their total run time; older requests count less.
+	weight, output, seconds float64
+	// errorWeight counts the ended requests that had a prediction, squaredErrors is the sum of
+	// their squared relative errors.
+	errorWeight, squaredErrors float64
+}
+
+// observe adds a request that ends now.
+func (p *growthRate) observe(c runningRequest, now time.Duration) {
+	keep := 1 - 1/float64(rateWindow)
+	took := (now - c.started).Seconds()
 	if speed := p.perSecond(); speed > 0 {
-		off := took*speed/float64(c.need.Output) - 1
-		p.errors, p.squares = p.errors*keep+1, p.squares*keep+off*off
+		off := took*speed/float64(c.demand.Output) - 1
+		p.errorWeight, p.squaredErrors = p.errorWeight*keep+1, p.squaredErrors*keep+off*off
 	}
-	p.n, p.output, p.seconds = p.n*keep+1, p.output*keep+float64(c.need.Output), p.seconds*keep+took
+	p.weight, p.output, p.seconds = p.weight*keep+1, p.output*keep+float64(c.demand.Output), p.seconds*keep+took
 }
 
-// spread is the standard deviation of outputs from what was expected, as a part of that, at
+// deviation returns the standard deviation of the relative prediction error of outputs, at
 // most 1.
-func (p *growthRate) spread() float64 {
-	if p.errors < leastEnds {
+func (p *growthRate) deviation() float64 {
+	if p.errorWeight < minEnded {
 		return 1
 	}
-	return min(math.Sqrt(p.squares/p.errors), 1)
+	return min(math.Sqrt(p.squaredErrors/p.errorWeight), 1)
 }
 
-// perSecond is in output tokens of one request, 0 while it is not known.
+// perSecond returns the output tokens that one request generates per second, 0 while unknown.
 func (p *growthRate) perSecond() float64 {
-	if p.n < leastEnds || p.seconds <= 0 {
+	if p.weight < minEnded || p.seconds <= 0 {
 		return 0
 	}
 	return p.output / p.seconds
 }
 
-// Advance sets the time of what follows.
-func (r *Allocator) Advance(now time.Duration) { r.now = now }
+// Advance sets the current time for the calls that follow.
+func (a *Allocator) Advance(now time.Duration) { a.now = now }
 
-// begin notes a request that runs at an engine from now on.
-func (r *Allocator) begin(instance, id string, n Demand) {
-	if n.Output > 0 {
-		r.running[id] = append(r.running[id], runningRequest{instance, r.now, n})
+// startRunning records that a request starts running on an engine now.
+func (a *Allocator) startRunning(instance, id string, d Demand) {
+	if d.Output > 0 {
+		a.running[id] = append(a.running[id], runningRequest{instance, a.now, d})
 	}
 }
 
-// endOwn ends the own request whose claim is nearest to a size, unless all of them still run.
-func (r *Allocator) endOwn(id string, tokens int) {
-	best, apart, count := -1, 0, 0
-	for i, c := range r.running[id] {
-		if c.instance != own {
+// endNearestOwn ends the request of this instance whose demand is nearest to tokens. It does
+// nothing if no more requests are running than this instance has claims: the released claim was
+// then not that of a running request.
+func (a *Allocator) endNearestOwn(id string, tokens int) {
+	best, distance, count := -1, 0, 0
+	for i, c := range a.running[id] {
+		if c.instance != self {
 			continue
 		}
 		count++
-		if d := max(c.need.Tokens-tokens, tokens-c.need.Tokens); best < 0 || d < apart {
-			best, apart = i, d
+		if d := max(c.demand.Tokens-tokens, tokens-c.demand.Tokens); best < 0 || d < distance {
+			best, distance = i, d
 		}
 	}
-	if count > r.own[id].Requests {
-		r.end(id, best)
+	if count > a.ownLoads[id].Requests {
+		a.endAt(id, best)
 	}
 }
 
-// trim ends requests of another instance that are no longer among those that it tells of, the oldest
-// first.
-func (r *Allocator) trim(instance, id string, requests int) {
+// endOldest ends requests of another instance, the oldest first, until no more are running than
+// the instance reports.
+func (a *Allocator) endOldest(instance, id string, requests int) {
 	for {
 		first, count := -1, 0
-		for i, c := range r.running[id] {
+		for i, c := range a.running[id] {
 			if c.instance != instance {
 				continue
 			}
@@ -114,79 +120,82 @@
 				first = i
 			}
 		}
-		if count <= requests || r.now-r.running[id][first].begun < leastRun {
+		if count <= requests || a.now-a.running[id][first].started < minRunTime {
 			return
 		}
-		r.end(id, first)
+		a.endAt(id, first)
 	}
 }
 
-// forget drops the requests of an instance that is silent. When they ended is not known.
-func (r *Allocator) forget(instance string) {
-	for id, list := range r.running {
-		r.keep(id, slices.DeleteFunc(list, func(c runningRequest) bool { return c.instance == instance }))
+// dropRunning removes the requests of an instance that no longer reports. The growth rate does
+// not learn from them, because the time at which they ended is unknown.
+func (a *Allocator) dropRunning(instance string) {
+	for id, list := range a.running {
+		a.setRunning(id, slices.DeleteFunc(list, func(c runningRequest) bool { return c.instance == instance }))
 	}
 }
 
-func (r *Allocator) end(id string, at int) {
-	if c := r.running[id][at]; r.now-c.begun >= leastRun {
-		r.growthRate.learn(c, r.now)
+// endAt ends the running request at an index.
+func (a *Allocator) endAt(id string, index int) {
+	if c := a.running[id][index]; a.now-c.started >= minRunTime {
+		a.growthRate.observe(c, a.now)
 	}
-	r.keep(id, slices.Delete(r.running[id], at, at+1))
+	a.setRunning(id, slices.Delete(a.running[id], index, index+1))
 }
 
-func (r *Allocator) keep(id string, list []runningRequest) {
+func (a *Allocator) setRunning(id string, list []runningRequest) {
 	if len(list) == 0 {
-		delete(r.running, id)
+		delete(a.running, id)
 		return
 	}
-	r.running[id] = list
+	a.running[id] = list
 }
 
-// growth is the memory that a request holds now, and what is still to come.
-type growth struct{ used, left float64 }
+// growth is the memory that a request uses now and the memory it is still expected to allocate.
+type growth struct{ used, remaining float64 }
 
-// peak is the most memory that an engine's requests will hold together, with one more. All grow
-// at one growthRate and end at different times, which are known no better than past ends were; what is
-// placed there by others and not known as a running request counts whole.
-func (r *Allocator) peak(id string, load Load, n Demand) float64 {
-	speed := r.growthRate.perSecond()
-	if n.Output <= 0 || speed <= 0 {
-		return float64(load.Tokens + n.Tokens)
+// peak predicts the highest total memory use of an engine's requests together with a new one.
+// All outputs are assumed to grow at the same rate. A margin is added for the error of past
+// predictions. Load that is not known as a running request counts with its full claim.
+func (a *Allocator) peak(id string, load Load, d Demand) float64 {
+	speed := a.growthRate.perSecond()
+	if d.Output <= 0 || speed <= 0 {
+		return float64(load.Tokens + d.Tokens)
 	}
 	known := 0
-	grow := make([]growth, 0, len(r.running[id])+1)
-	for _, c := range r.running[id] {
-		known += c.need.Tokens
-		grow = append(grow, c.demandAt(r.now, speed))
+	requests := make([]growth, 0, len(a.running[id])+1)
+	for _, c := range a.running[id] {
+		known += c.demand.Tokens
+		requests = append(requests, c.growthAt(a.now, speed))
 	}
-	grow = append(grow, growth{float64(n.Tokens - n.Output), float64(n.Output)})
-	return peakOf(grow) + r.growthRate.spread()*norm(grow) + float64(max(load.Tokens-known, 0))
+	requests = append(requests, growth{float64(d.Tokens - d.Output), float64(d.Output)})
+	return peakOf(requests) + a.growthRate.deviation()*remainingNorm(requests) + float64(max(load.Tokens-known, 0))
 }
 
-// norm is the root of the sum of squares of what is still to come.
-func norm(grow []growth) float64 {
+// remainingNorm returns the root of the sum of squares of the remaining growth.
+func remainingNorm(requests []growth) float64 {
 	sum := 0.0
-	for _, g := range grow {
-		sum += g.left * g.left
+	for _, g := range requests {
+		sum += g.remaining * g.remaining
 	}
 	return math.Sqrt(sum)
 }
 
-func (c runningRequest) demandAt(now time.Duration, speed float64) growth {
-	output := float64(c.need.Output)
-	come := min((now-c.begun).Seconds()*speed, output)
-	return growth{float64(c.need.Tokens) - output + come, max(output-come, overdueShare*output)}
+// growthAt returns the request's state at a time, given the output tokens it generates per second.
+func (c runningRequest) growthAt(now time.Duration, speed float64) growth {
+	output := float64(c.demand.Output)
+	generated := min((now-c.started).Seconds()*speed, output)
+	return growth{float64(c.demand.Tokens) - output + generated, max(output-generated, minRemainingShare*output)}
 }
 
-// highest is the most that requests hold together which grow alike: right before one of them
-// ends.
-func peakOf(grow []growth) float64 {
-	slices.SortFunc(grow, func(a, b growth) int { return cmp.Compare(b.left, a.left) })
+// peakOf returns the highest total memory use of requests that grow at the same rate. It occurs
+// immediately before one of them ends. requests is sorted in place.
+func peakOf(requests []growth) float64 {
+	slices.SortFunc(requests, func(a, b growth) int { return cmp.Compare(b.remaining, a.remaining) })
 	most, used := 0.0, 0.0
-	for i, g := range grow {
+	for i, g := range requests {
 		used += g.used
-		most = max(most, used+float64(i+1)*g.left)
+		most = max(most, used+float64(i+1)*g.remaining)
 	}
 	return most
 }
--- a/decision/room/running_test.go
+++ b/decision/room/running_test.go
@@ -8,104 +8,107 @@
 	"gotest.tools/v3/assert"
 )
 
-// answering is a request in the simulation below; it holds its prompt and what has come.
-type answering struct {
-	engine         string
-	need           Demand
-	produced, ends float64
+// simulatedRequest is a running request; its memory is its prompt and the output so far.
+type simulatedRequest struct {
+	engine string
+	demand Demand
+	// output is the number of tokens generated so far, length their final number.
+	output, length float64
 }
 
-// simulation plays requests whose lengths are known with some error at one pool: two of memory
-// 55,000 tokens, in steps of 50 ms, at 600 output tokens a second a request.
+// simulation runs requests whose output lengths are predicted with some error on a pool of two
+// engines with memory for 55,000 tokens each, in steps of 50 ms. Each request generates 600
+// output tokens per second.
 type simulation struct {
-	room            *Allocator
-	rng             *rand.Rand
-	now             time.Duration
-	running         []*answering
-	onTime, refused int
-	overfull        int
+	allocator        *Allocator
+	rng              *rand.Rand
+	now              time.Duration
+	running          []*simulatedRequest
+	placed, rejected int
+	// overflows counts steps of engines that use more memory than they have.
+	overflows int
 }
 
 func newSimulation() *simulation {
-	s := &simulation{room: New(), rng: rand.New(rand.NewPCG(4, 4)), now: time.Hour}
+	s := &simulation{allocator: New(), rng: rand.New(rand.NewPCG(4, 4)), now: time.Hour}
 	var engines []Engine
 	for _, id := range []string{"a", "b"} {
 		engines = append(engines, Engine{ID: id, Memory: 55_000, Slots: 48})
 	}
-	s.room.SetEngines(engines)
+	s.allocator.SetEngines(engines)
 	return s
 }
 
-const simulated = 50 * time.Millisecond
+const stepTime = 50 * time.Millisecond
 
-// offer places a request if there is room. whole tells that it claims all from the beginning.
-func (s *simulation) offer(whole bool) {
+// offer places a request if it fits. With full, it counts with its full claim from the start.
+func (s *simulation) offer(full bool) {
 	expected := 2000 * (0.6 + 0.8*s.rng.Float64())
-	need := Demand{Tokens: 3200 + int(expected), Output: int(expected)}
-	if whole {
-		need.Output = 0
+	demand := Demand{Tokens: 3200 + int(expected), Output: int(expected)}
+	if full {
+		demand.Output = 0
 	}
-	id, ok := s.room.Claim(need, nil)
+	id, ok := s.allocator.Claim(demand, nil)
 	if !ok {
-		s.refused++
+		s.rejected++
 		return
 	}
-	s.onTime++
-	s.running = append(s.running, &answering{engine: id, need: need, ends: expected * (0.6 + 0.8*s.rng.Float64())})
+	s.placed++
+	s.running = append(s.running, &simulatedRequest{engine: id, demand: demand, length: expected * (0.6 + 0.8*s.rng.Float64())})
 }
 
-// step lets answers grow and end, and counts engines that hold more than they can.
+// step lets outputs grow and requests end, and counts overflows.
 func (s *simulation) step() {
-	s.now += simulated
-	s.room.Advance(s.now)
-	held := make(map[string]float64)
+	s.now += stepTime
+	s.allocator.Advance(s.now)
+	used := make(map[string]float64)
 	kept := s.running[:0]
 	for _, r := range s.running {
-		if r.produced += 600 * simulated.Seconds(); r.produced >= r.ends {
-			s.room.Release(r.engine, r.need.Tokens)
+		if r.output += 600 * stepTime.Seconds(); r.output >= r.length {
+			s.allocator.Release(r.engine, r.demand.Tokens)
 			continue
 		}
-		held[r.engine] += 3200 + r.produced
+		used[r.engine] += 3200 + r.output
 		kept = append(kept, r)
 	}
 	s.running = kept
-	for _, tokens := range held {
+	for _, tokens := range used {
 		if tokens > 55_000 {
-			s.overfull++
+			s.overflows++
 		}
 	}
 }
 
-// play offers requests for a minute, and in bursts of three seconds twice as many.
-func (s *simulation) play(whole bool) {
-	s.room.Advance(s.now)
+// run offers requests for a minute, at twice the rate during the first three seconds of every ten.
+func (s *simulation) run(full bool) {
+	s.allocator.Advance(s.now)
 	for i := range 1200 {
 		rate := 5.5
 		if i%200 < 60 {
 			rate = 11
 		}
-		for arrivals := rate * simulated.Seconds(); s.rng.Float64() < arrivals; arrivals-- {
-			s.offer(whole)
+		for arrivals := rate * stepTime.Seconds(); s.rng.Float64() < arrivals; arrivals-- {
+			s.offer(full)
 		}
 		s.step()
 	}
 }
 
-// Guards against requests that are refused in a burst beside memory that is claimed by others and
-// not used, as they have only begun or are about to end.
+// Guards against requests that are rejected during a burst although memory is free: other requests
+// claim it but do not use it, as they have just started or are about to end.
 func TestBurstUsesMemoryThatOthersWillHaveFreed(t *testing.T) {
-	whole, peak := newSimulation(), newSimulation()
-	whole.play(true)
-	peak.play(false)
-	t.Logf("whole: %d placed, %d refused, %d overfull; peak: %d placed, %d refused, %d overfull",
-		whole.onTime, whole.refused, whole.overfull, peak.onTime, peak.refused, peak.overfull)
-	assert.Assert(t, whole.refused > 30, "the burst is too small")
-	assert.Assert(t, peak.refused < whole.refused)
-	assert.Assert(t, peak.overfull <= 1200*2/100, "engines are overfull in %d of 2,400 steps", peak.overfull)
+	full, peak := newSimulation(), newSimulation()
+	full.run(true)
+	peak.run(false)
+	t.Logf("full claims: %d placed, %d rejected, %d overflows; predicted peak: %d placed, %d rejected, %d overflows",
+		full.placed, full.rejected, full.overflows, peak.placed, peak.rejected, peak.overflows)
+	assert.Assert(t, full.rejected > 30, "the burst is too small")
+	assert.Assert(t, peak.rejected < full.rejected)
+	assert.Assert(t, peak.overflows <= 1200*2/100, "engines overflow in %d of 2,400 steps", peak.overflows)
 }
 
-// Guards against a peak that is told too low: requests that begin together and end together hold all
-// that they claim right before their end.
+// Guards against a predicted peak that is too low: requests that start and end together use all the
+// memory they claim immediately before they end.
 func TestRequestsThatBeginTogetherHoldAllTheyClaim(t *testing.T) {
 	together := []growth{{100, 50}, {100, 50}, {100, 50}}
 	assert.Equal(t, peakOf(together), 450.0)
@@ -114,8 +117,8 @@
 	assert.Equal(t, peakOf(nil), 0.0)
 }
 
-// Guards against requests that are counted for good since a report of their end was lost, or that are
-// ended by a report made before its sender knew of them.
+// Guards against requests that count forever because the report of their end was lost, and against
+// requests that are ended by a report sent before its sender knew of them.
 func TestRunningRequestsEndWithTheReportsOfTheirInstance(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(1))
@@ -125,15 +128,15 @@
 		assert.Assert(t, ok)
 	}
 	r.SetPeer("i1", map[string]Load{"e0": {Requests: 1, Tokens: 20}})
-	assert.Equal(t, len(r.running["e0"]), 2, "it may not know of the second yet")
-	r.Advance(time.Minute + 2*leastRun)
+	assert.Equal(t, len(r.running["e0"]), 2, "the instance may not know of the second request yet")
+	r.Advance(time.Minute + 2*minRunTime)
 	r.SetPeer("i1", map[string]Load{"e0": {Requests: 1, Tokens: 20}})
 	assert.Equal(t, len(r.running["e0"]), 1)
 	r.SetPeer("i1", nil)
 	assert.Equal(t, len(r.running), 0)
 }
 
-// Guards against requests that are taken for ended when an engine that was claimed whole comes back.
+// Guards against running requests that are taken for ended when the claim of a whole engine is released.
 func TestWithdrawnEngineKeepsItsRunningRequests(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(1))
@@ -146,12 +149,12 @@
 	assert.Equal(t, len(r.running), 0)
 }
 
-// Guards against memory that is given twice where little is known: an instance that has just become the
-// home knows no running requests, and others' requests count whole.
-func TestUnknownRequestsCountWhole(t *testing.T) {
+// Guards against memory that is allocated twice by an instance that has just become the home of a
+// service: it knows no running requests, so those of other instances must count with full claims.
+func TestUnknownRequestsCountFully(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(1))
-	r.growthRate = growthRate{n: leastEnds, output: 100, seconds: 1}
+	r.growthRate = growthRate{weight: minEnded, output: 100, seconds: 1}
 	r.SetPeer("i1", map[string]Load{"e0": {Requests: 3, Tokens: 90}})
 	_, ok := r.Claim(Demand{Tokens: 20, Output: 10}, nil)
 	assert.Assert(t, !ok)
@@ -159,23 +162,23 @@
 	assert.Assert(t, ok)
 }
 
-// BenchmarkClaimAmongRunning places one request at a pool of forty engines with ten running requests each.
+// BenchmarkClaimAmongRunning places one request on a pool of forty engines with ten running requests each.
 func BenchmarkClaimAmongRunning(b *testing.B) {
-	for name, need := range map[string]Demand{"whole": {Tokens: 5200}, "peak": {Tokens: 5200, Output: 2000}} {
+	for name, demand := range map[string]Demand{"whole": {Tokens: 5200}, "peak": {Tokens: 5200, Output: 2000}} {
 		b.Run(name, func(b *testing.B) {
 			r := New()
 			r.SetEngines(engines(40))
 			for i := range r.engines {
 				r.engines[i].Memory, r.engines[i].Slots = 100_000, 48
 			}
-			r.growthRate = growthRate{n: leastEnds, output: 600, seconds: 1}
+			r.growthRate = growthRate{weight: minEnded, output: 600, seconds: 1}
 			for range 400 {
-				_, ok := r.Claim(need, nil)
+				_, ok := r.Claim(demand, nil)
 				assert.Assert(b, ok)
 			}
 			for b.Loop() {
-				id, _ := r.Claim(need, nil)
-				r.Release(id, need.Tokens)
+				id, _ := r.Claim(demand, nil)
+				r.Release(id, demand.Tokens)
 			}
 		})
 	}
