--- a/decision/room/room_test.go
+++ b/decision/room/room_test.go
@@ -11,13 +11,14 @@
 func engines(n int) []Engine {
 	var out []Engine
 	for i := range n {
-		out = append(out, Engine{ID: fmt.Sprint("e", i), Memory: 100, Slots: 16, Near: i == 0})
+		out = append(out, Engine{ID: fmt.Sprint("e", i), Memory: 100, Slots: 16, SameDataCentre: i == 0})
 	}
 	return out
 }
 
-// Requests grow from 40 to 60 tokens of memory while they run. Sent where few run,
-// engines run out of memory as they grow, and prompts are read in vain.
+// Guards against engines that run out of memory: requests grow from 20 to 40 tokens while
+// they run, and a claim of the initial size lets too many start on one engine. Each overflow
+// costs a prefill.
 func TestClaimsPreventOverflow(t *testing.T) {
 	overflows := func(claim int) int {
 		r := New()
@@ -31,7 +32,7 @@
 		var runs []*run
 		count := 0
 		for range 2000 {
-			if id, ok := r.Claim(Need{Tokens: claim}, nil); ok && rng.IntN(3) > 0 {
+			if id, ok := r.Claim(Demand{Tokens: claim}, nil); ok && rng.IntN(3) > 0 {
 				runs = append(runs, &run{id, 20, 20})
 			} else if ok {
 				r.Release(id, claim)
@@ -57,81 +58,83 @@
 		return count
 	}
 	assert.Equal(t, overflows(40), 0)
-	assert.Assert(t, overflows(20) > 100, "without whole claims nothing overflows: the load is too low")
+	assert.Assert(t, overflows(20) > 100, "no engine overflows with claims of the initial size: the load is too low")
 }
 
-// Two instances place at the same engines. Without what the other has placed, both
-// fill the same hole.
-func TestPeersPlacesCount(t *testing.T) {
+// Guards against two instances that both claim the same free memory because neither counts
+// the other's claims.
+func TestPeerLoadsCount(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(2))
 	r.SetPeer("other", map[string]Load{"e0": {Requests: 2, Tokens: 90}})
-	id, ok := r.Claim(Need{Tokens: 50}, nil)
+	id, ok := r.Claim(Demand{Tokens: 50}, nil)
 	assert.Assert(t, ok)
 	assert.Equal(t, id, "e1")
-	_, ok = r.Claim(Need{Tokens: 60}, nil)
+	_, ok = r.Claim(Demand{Tokens: 60}, nil)
 	assert.Assert(t, !ok)
 	r.SetPeer("other", nil)
-	id, _ = r.Claim(Need{Tokens: 60}, nil)
+	id, _ = r.Claim(Demand{Tokens: 60}, nil)
 	assert.Equal(t, id, "e0")
 }
 
-// Between engines with equal load the near one spares the transfer a detour.
-func TestNearEngineGoesFirst(t *testing.T) {
+// Guards against transfers to another data centre while an equally loaded engine in the same
+// data centre is available.
+func TestEngineInSameDataCentreIsPreferred(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(3))
-	id, _ := r.Claim(Need{Tokens: 2}, nil)
+	id, _ := r.Claim(Demand{Tokens: 2}, nil)
 	assert.Equal(t, id, "e0")
 	r.Release(id, 2)
-	assert.Equal(t, len(r.Own()), 0)
-	id, _ = r.Claim(Need{Tokens: 2}, map[string]bool{"e0": true})
+	assert.Equal(t, len(r.OwnLoads()), 0)
+	id, _ = r.Claim(Demand{Tokens: 2}, map[string]bool{"e0": true})
 	assert.Assert(t, id != "e0")
 }
 
-// An engine refuses what should have fitted, or is about to change: it gets nothing
-// until it is opened, and all that it holds can be claimed at once.
-func TestShutAndFilledEnginesGetNothing(t *testing.T) {
+// Guards against requests that are sent to an engine that rejects them although they should
+// fit, or that is about to change its role. The first is disabled, the second claimed whole.
+func TestDisabledAndFullyClaimedEnginesGetNoRequests(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(1))
-	r.Shut("e0")
-	_, ok := r.Claim(Need{Tokens: 1}, nil)
+	r.Disable("e0")
+	_, ok := r.Claim(Demand{Tokens: 1}, nil)
 	assert.Assert(t, !ok)
-	r.Open("e0")
-	size := r.Fill("e0")
-	_, ok = r.Claim(Need{Tokens: 1}, nil)
+	r.Enable("e0")
+	size := r.ClaimEngine("e0")
+	_, ok = r.Claim(Demand{Tokens: 1}, nil)
 	assert.Assert(t, !ok)
-	assert.Equal(t, r.Free(), 0.0)
+	assert.Equal(t, r.FreeShare(), 0.0)
 	r.Release("e0", size)
-	_, ok = r.Claim(Need{Tokens: 1}, nil)
+	_, ok = r.Claim(Demand{Tokens: 1}, nil)
 	assert.Assert(t, ok)
-	idle, ok := r.Idlest(nil)
+	idle, ok := r.LeastLoaded(nil)
 	assert.Assert(t, ok)
 	assert.Equal(t, idle, "e0")
 }
 
-// A request that is larger than an engine's memory would otherwise never be placed.
+// Guards against a request that is never placed because it is larger than any engine's memory.
 func TestRequestLargerThanAnEngineGetsAnIdleOne(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(1))
-	_, ok := r.Claim(Need{Tokens: 500}, nil)
+	_, ok := r.Claim(Demand{Tokens: 500}, nil)
 	assert.Assert(t, ok)
-	_, ok = r.Claim(Need{Tokens: 1}, nil)
+	_, ok = r.Claim(Demand{Tokens: 1}, nil)
 	assert.Assert(t, !ok)
 }
 
-// Sixty instances place short calls on six engines and hear of one another's a second
-// late. All believe the same engine to be the least used, and fill it while the others
-// idle; its callers are refused, or wait. The lower of two drawn spreads them.
+// Guards against instances that overload one engine while others are idle. Sixty instances
+// place short calls on six engines and learn of each other's loads a second late, so all of
+// them take the same engine for the least loaded, and its callers are rejected or wait.
+// Comparing two sampled engines spreads the calls.
 func TestSampledClaimsSpread(t *testing.T) {
 	const (
-		instances = 60
-		late      = 100 // ticks of 10 ms
-		length    = 6
-		slots     = 6
+		instances      = 60
+		reportInterval = 100 // ticks of 10 ms
+		callTicks      = 6
+		slots          = 6
 	)
-	refused := func(sample bool) float64 {
+	rejectedShare := func(sample bool) float64 {
 		rng := rand.New(rand.NewPCG(7, 7))
-		rooms := make([]*Room, instances)
+		rooms := make([]*Allocator, instances)
 		for i := range rooms {
 			rooms[i] = New()
 			var list []Engine
@@ -140,7 +143,7 @@
 			}
 			rooms[i].SetEngines(list)
 			if sample {
-				rooms[i].Sample(rng.IntN)
+				rooms[i].SetSampler(rng.IntN)
 			}
 		}
 		type call struct {
@@ -149,13 +152,13 @@
 			end      int
 		}
 		var calls []call
-		asked, full := 0, 0
+		asked, rejected := 0, 0
 		for tick := range 3000 {
-			// Each instance reports once in the time by which reports are late.
-			i := tick % late
+			// Each instance reports once per interval.
+			i := tick % reportInterval
 			if i < instances {
 				loads := make(map[string]Load)
-				for id, l := range rooms[i].Own() {
+				for id, l := range rooms[i].OwnLoads() {
 					loads[id] = l
 				}
 				for j := range rooms {
@@ -175,31 +178,32 @@
 				kept = append(kept, c)
 			}
 			calls = kept
-			// Four a tick are two thirds of the slots.
+			// Four calls per tick occupy two thirds of the slots.
 			for range 4 {
 				from := rng.IntN(instances)
 				asked++
-				id, ok := rooms[from].Claim(Need{Tokens: 0}, nil)
+				id, ok := rooms[from].Claim(Demand{Tokens: 0}, nil)
 				if !ok || busy[id] >= slots {
-					full++
+					rejected++
 					if ok {
 						rooms[from].Release(id, 0)
 					}
 					continue
 				}
 				busy[id]++
-				calls = append(calls, call{from, id, tick + length})
+				calls = append(calls, call{from, id, tick + callTicks})
 			}
 		}
-		return float64(full) / float64(asked)
+		return float64(rejected) / float64(asked)
 	}
-	lowest, sampled := refused(false), refused(true)
-	t.Logf("full: %.3f by the lowest, %.3f by two drawn", lowest, sampled)
-	assert.Assert(t, sampled < lowest/3, "full: %.3f by the lowest, %.3f by two drawn", lowest, sampled)
+	lowest, sampled := rejectedShare(false), rejectedShare(true)
+	t.Logf("rejected: %.3f with the lowest of all, %.3f with the lower of two samples", lowest, sampled)
+	assert.Assert(t, sampled < lowest/3, "rejected: %.3f with the lowest of all, %.3f with the lower of two samples", lowest, sampled)
 }
 
-// Claims are compared by sums that follow each report, since adding up sixty instances'
-// reports for each of forty engines costs more than the rest of a request.
+// Measures one claim with 400 peers. The allocator updates its totals with each report: adding
+// up the loads of sixty instances for each of forty engines per claim would cost more than the
+// rest of a request.
 func BenchmarkClaim(b *testing.B) {
 	r := New()
 	r.SetEngines(engines(44))
@@ -207,7 +211,7 @@
 		r.SetPeer(fmt.Sprint(i), map[string]Load{fmt.Sprint("e", i%44): {Requests: 1, Tokens: 2}})
 	}
 	for b.Loop() {
-		if id, ok := r.Claim(Need{Tokens: 1}, nil); ok {
+		if id, ok := r.Claim(Demand{Tokens: 1}, nil); ok {
 			r.Release(id, 1)
 		}
 	}
