--- a/decision/group/bench_test.go
+++ b/decision/group/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// BenchmarkDecision is the cost of one request through a full group: its Submit,
-// PrefillDone and Release, with a place that goes to the next in the queue. The
-// queue holds one request of each organisation.
+// BenchmarkDecision measures Submit, PrefillDone and Release of one request while all
+// slots are in use, so that each release grants the next queued request. The queue
+// holds one request of each organisation.
 //
 //	go test ./decision/group -run '^$' -bench Decision -benchmem
 func BenchmarkDecision(b *testing.B) {
@@ -25,14 +25,14 @@
 
 func benchmarkDecision(b *testing.B, upstreams, orgs int) {
 	s := pisar
-	s.entries = max(1, upstreams/3)
-	s.sinks = upstreams - s.entries
+	s.prefillCount = max(1, upstreams/3)
+	s.servingCount = upstreams - s.prefillCount
 	g := New(Config{})
 	now := epoch
 	g.SetUpstreams(now, s.upstreams(linkRate))
 	var running []uint64
 	n := 0
-	take := func(decisions []Decision) {
+	apply := func(decisions []Decision) {
 		for len(decisions) > 0 {
 			d := decisions[0]
 			decisions = decisions[1:]
@@ -44,15 +44,15 @@
 	}
 	submit := func() {
 		n++
-		take(g.Submit(now, Request{
+		apply(g.Submit(now, Request{
 			ID: fmt.Sprint(n), Organisation: fmt.Sprint(n % orgs), KeyID: "key", Class: request.Deferrable,
-			PromptTokens: meanPrompt, MaxTokens: 2 * meanOutput, Arrived: now, Deadline: now.Add(1000 * time.Hour),
+			PromptTokens: meanPromptTokens, MaxTokens: 2 * meanOutputTokens, Arrived: now, Deadline: now.Add(1000 * time.Hour),
 			PrefixHashes: []uint64{uint64(n % orgs), uint64(n % 1000), uint64(n)},
 		}))
 	}
-	// One release an interval keeps all decode slots in use for 8 s each.
-	interval := 8 * time.Second / time.Duration(s.sinks*decodeSlots)
-	for g.queued() < orgs {
+	// One release per interval keeps all decode slots in use for 8 s each.
+	interval := 8 * time.Second / time.Duration(s.servingCount*decodeSlots)
+	for g.queueLength() < orgs {
 		now = now.Add(interval)
 		submit()
 	}
@@ -62,6 +62,6 @@
 		submit()
 		id := running[0]
 		running = running[1:]
-		take(g.Release(now, id, Outcome{Kind: OutcomeDone, Prefill: 150 * time.Millisecond, Decode: 8 * time.Second, OutputTokens: meanOutput}))
+		apply(g.Release(now, id, Outcome{Kind: OutcomeDone, Prefill: 150 * time.Millisecond, Decode: 8 * time.Second, OutputTokens: meanOutputTokens}))
 	}
 }
--- a/decision/group/capacity.go
+++ b/decision/group/capacity.go
@@ -6,15 +6,15 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// interval is the expected time in seconds between two grants while the service
-// is full, from the scarcest of decode slots, prefill places and links.
-func (g *Group) interval(now time.Time) float64 {
-	interval := g.estimate.hold / float64(max(1, allowed(g.sinks)))
+// grantInterval is the expected time in seconds between two grants while the service
+// is full. The scarcest of serving slots, prefill slots and links determines it.
+func (g *Group) grantInterval(now time.Time) float64 {
+	interval := g.estimates.holdTime / float64(max(1, allowedRequests(g.servingUpstreams)))
 	if g.cfg.Kind == object.KindModel {
-		interval = max(interval, g.estimate.prefillTime/float64(max(1, allowed(g.entries))))
-		// A transfer takes one link of each role.
-		links := min(usableCount(g.entries), usableCount(g.sinks))
-		interval = max(interval, g.estimate.transferTime/float64(max(1, links)))
+		interval = max(interval, g.estimates.prefillTime/float64(max(1, allowedRequests(g.prefillUpstreams))))
+		// A transfer uses one link of each role.
+		links := min(usableCount(g.prefillUpstreams), usableCount(g.servingUpstreams))
+		interval = max(interval, g.estimates.transferTime/float64(max(1, links)))
 	}
 	return interval
 }
@@ -29,31 +29,32 @@
 	return count
 }
 
-func allowed(ups []*upstream) int {
+func allowedRequests(ups []*upstream) int {
 	total := 0
 	for _, u := range ups {
 		if u.usable() {
-			total += u.account.Allowed()
+			total += u.capacity.Allowed()
 		}
 	}
 	return total
 }
 
-// engineShare is the part of a decode upstream that the request takes, judged by
-// the first usable one.
+// engineShare is the fraction of a serving upstream that the request would use,
+// computed for the first usable one.
 func (g *Group) engineShare(w *waiter) float64 {
-	for _, u := range g.sinks {
+	for _, u := range g.servingUpstreams {
 		if u.usable() {
-			return g.shareOf(u, u.account.PiecesFor(w.PromptTokens, w.MaxTokens))
+			return g.engineShareOn(u, u.capacity.PiecesFor(w.PromptTokens, w.MaxTokens))
 		}
 	}
 	return 1
 }
 
-// shareOf is the larger of the parts of slots and memory that a request holds.
-func (g *Group) shareOf(u *upstream, pieces int) float64 {
+// engineShareOn is the fraction of the upstream's slots or of its memory that a
+// request uses, whichever is larger.
+func (g *Group) engineShareOn(u *upstream, pieces int) float64 {
 	if u.spec.Slots == 0 {
-		return startEngineShare
+		return initialEngineShare
 	}
 	share := 1 / float64(u.spec.Slots)
 	if u.spec.Pieces > 0 {
--- a/decision/group/config.go
+++ b/decision/group/config.go
@@ -8,85 +8,86 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// Config sets a group up. Zero fields take the defaults below.
+// Config configures a Group. Zero fields take the defaults below.
 type Config struct {
 	// Kind of the service; empty means model.
 	Kind object.Kind
-	// FirstGrantID is the first grant id to use. A new scheduler starts above
-	// every id that its predecessors gave, so that a late release of an old grant
-	// cannot free a new one.
+	// FirstGrantID is the first grant ID to use. A new scheduler starts above every
+	// ID that its predecessors issued, so that a late release of an old grant cannot
+	// free a new one.
 	FirstGrantID uint64
-	// FirstToken is the target from arrival to first token or byte. It bounds the
-	// wait of interactive requests; deferrable ones wait until their deadline.
+	// FirstToken is the target time from arrival to the first token or byte. It
+	// limits the wait of interactive requests; deferrable ones may wait until their
+	// deadline.
 	FirstToken time.Duration
-	// BetweenTokens is the target between tokens.
+	// BetweenTokens is the target time between tokens.
 	BetweenTokens time.Duration
-	// KVExpiry is how long a prefill result lives.
+	// KVExpiry is how long an engine keeps a prefill result for the transfer.
 	KVExpiry time.Duration
-	// KVBytesPerToken is the size of a prompt token's KV cache on a link.
+	// KVBytesPerToken is the number of KV cache bytes transferred per prompt token.
 	KVBytesPerToken int64
-	// PrefixBlockTokens is the length of the blocks of Request.PrefixHashes.
+	// PrefixBlockTokens is the block length of Request.PrefixHashes in tokens.
 	PrefixBlockTokens int
-	// DeferrableShare is the part of the engine time for deferrable requests while
-	// interactive ones wait.
+	// DeferrableShare is the share of the engine time that deferrable requests get
+	// while interactive ones wait.
 	DeferrableShare float64
-	// PreferenceLead is how many engine-seconds an organisation's interactive
-	// requests may put it ahead of one whose deferrable requests wait.
+	// PreferenceLead limits, in engine-seconds, how far an organisation's interactive
+	// requests may put it ahead of an organisation whose deferrable requests wait.
 	PreferenceLead float64
-	// Initial are the estimates used before outcomes are known.
+	// Initial are the estimates used until outcomes have been observed.
 	Initial InitialEstimates
 
-	// tune holds what only the sweeps of the tests change.
-	tune tuning
+	// tuning holds constants that only the parameter sweeps in the tests change.
+	tuning tuning
 }
 
-// tuning are the constants below whose sweeps stand in docs/LOAD.md.
+// tuning holds constants defined below. docs/LOAD.md shows their parameter sweeps.
 type tuning struct {
-	kvSafePart float64
-	waitPart   float64
-	deviations float64
-	maxParked  int
-	maxMisses  int
-	maxResumed int
-	limit      placement.LimitPolicy
-	// noAffinity ignores prefix caches, noClaims never gathers memory.
-	noAffinity bool
-	noClaims   bool
+	transferBudgetShare float64
+	minWaitShare        float64
+	deviationMultiplier float64
+	maxParked           int
+	maxFailedPlacements int
+	maxResumedKeys      int
+	limitPolicy         placement.LimitPolicy
+	// disablePrefixAffinity ignores prefix caches; disableClaims never reserves
+	// memory for parked requests.
+	disablePrefixAffinity bool
+	disableClaims         bool
 }
 
-// InitialEstimates stand in until outcomes are known. Each is replaced by what
-// outcomes show within some twenty of them.
+// InitialEstimates are used until outcomes have been observed. About twenty
+// outcomes replace each of them.
 type InitialEstimates struct {
-	// BetweenTokens is the time between tokens.
+	// BetweenTokens is the mean time between tokens.
 	BetweenTokens time.Duration
-	// OutputRatio is the part of MaxTokens that an answer uses.
+	// OutputRatio is the fraction of Request.MaxTokens that an answer uses.
 	OutputRatio float64
-	// OutputTokens is the length of an answer, for the first estimate of how long
-	// a decode slot is held.
+	// OutputTokens is the length of an answer, for the first estimate of how long a
+	// request holds a decode slot.
 	OutputTokens int
 	// Call is the duration of a plain call.
 	Call time.Duration
 }
 
 const (
-	// DefaultFirstToken and DefaultBetweenTokens are the product's targets, for 95
-	// requests in 100.
+	// DefaultFirstToken and DefaultBetweenTokens are the product's targets at the
+	// 95th percentile.
 	DefaultFirstToken    = 1700 * time.Millisecond
 	DefaultBetweenTokens = 53 * time.Millisecond
-	// DefaultKVExpiry is below the second that platforms state at most.
+	// DefaultKVExpiry is below the second that platforms state as the maximum.
 	DefaultKVExpiry = 800 * time.Millisecond
-	// DefaultKVBytesPerToken is the KV cache of a token in a model of 80 layers
-	// with 8 key-value heads of 128 values in 8 bits: 80*8*128*2 bytes.
+	// DefaultKVBytesPerToken is the KV cache size per token of a model with 80
+	// layers and 8 key-value heads of 128 8-bit values: 80*8*128*2 bytes.
 	DefaultKVBytesPerToken = 163840
-	// DefaultPrefixBlockTokens is the length of the blocks that callers' instances
-	// hash.
+	// DefaultPrefixBlockTokens is the length of the blocks that instances hash.
 	DefaultPrefixBlockTokens = 64
 )
 
-// defaultStart: tokens come a little faster than the target on a healthy engine;
-// answers use about half of what callers allow; a plain lookup takes tens of
-// milliseconds.
-var defaultStart = InitialEstimates{
+// defaultInitialEstimates assumes that a healthy engine is a little faster than the
+// target between tokens, that answers use about half of the tokens that callers
+// allow, and that a plain lookup takes tens of milliseconds.
+var defaultInitialEstimates = InitialEstimates{
 	BetweenTokens: 40 * time.Millisecond,
 	OutputRatio:   0.5,
 	OutputTokens:  200,
@@ -94,39 +95,41 @@
 }
 
 const (
-	// kvSafePart is the part of KVExpiry within which a result's transfer, with its
-	// wait for the links, is planned to end. The rest is for prefills that end late
-	// and for the transfers that they push back.
-	kvSafePart = 0.4
-	// waitPart is the least part of a request's time to its deadline that it may
-	// wait. Without it a prompt whose prefill alone takes the whole target would
-	// be refused for ever while anything is queued, and an estimate that is once
-	// too long would refuse all and never be corrected by an outcome.
-	waitPart = 0.25
-	// maxParked bounds the requests taken from the queue that wait for memory or a
-	// link, because each is tried again at each decision.
+	// transferBudgetShare is the fraction of KVExpiry within which the transfer of a
+	// prefill result, including its wait for the links, is planned to end. The rest
+	// is a margin for prefills that end late and for the transfers that they delay.
+	transferBudgetShare = 0.4
+	// minWaitShare is the fraction of the time to its deadline that a request may
+	// always wait. Without it a prompt whose prefill alone takes the whole target
+	// would always be refused while anything is queued, and an estimate that became
+	// too long would cause every request to be refused, so that no outcome could
+	// correct it.
+	minWaitShare = 0.25
+	// maxParked limits the requests that were taken from the queue and wait for
+	// memory or a link, because each decision retries all of them.
 	maxParked = 8
-	// maxMisses bounds the requests that one decision tries in vain; the rest is
-	// tried after parkedRetry.
-	maxMisses = 4
-	// maxResumed is how many keys that were passed over get another turn when a
-	// grant is released: what one release frees seldom serves more.
-	maxResumed = 4
-	// parkedRetry is how often parked requests are tried when nothing else
-	// happens: a small part of the time that a link booking lasts.
-	parkedRetry = 10 * time.Millisecond
-	// claimRetry is how often a parked request seeks memory to claim, because it
-	// looks at the grants of every decode upstream.
-	claimRetry = 100 * time.Millisecond
-	// noUpstreamRetry is the advice when no upstream is usable: health probes and
-	// changes of configuration take effect within seconds.
-	noUpstreamRetry = 2 * time.Second
-	// prefillGrace is by how much a prefill place is kept beyond its estimate when
-	// the driver does not tell the end of prefills.
-	prefillGrace = 1.25
-	// dataCentreFill is how much fuller an upstream in the near data centre may be
-	// and still be preferred: a hop of a millisecond is worth no more than that.
-	dataCentreFill = 0.02
+	// maxFailedPlacements limits the requests that one decision fails to place; the
+	// others are tried after parkedRetryInterval.
+	maxFailedPlacements = 4
+	// maxResumedKeys is how many skipped keys become eligible again when a grant is
+	// released: one release seldom frees enough for more.
+	maxResumedKeys = 4
+	// parkedRetryInterval is how often parked requests are retried when nothing else
+	// happens. It is short compared to the booking of a link.
+	parkedRetryInterval = 10 * time.Millisecond
+	// claimRetryInterval is how often a parked request looks for memory to claim. The
+	// search is expensive because it reads the grants of every decode upstream.
+	claimRetryInterval = 100 * time.Millisecond
+	// noUpstreamRetryAfter is the retry delay given to callers while no upstream is
+	// usable: health probes and configuration changes take effect within seconds.
+	noUpstreamRetryAfter = 2 * time.Second
+	// prefillTimeoutFactor, times the expected duration of a prefill, is how long its
+	// slot is kept when the caller does not report the end of prefills.
+	prefillTimeoutFactor = 1.25
+	// remoteDataCentrePenalty is how much fuller an upstream in the same data centre
+	// may be and still be preferred to one in another. It is small because a network
+	// hop between data centres costs only about a millisecond.
+	remoteDataCentrePenalty = 0.02
 )
 
 func (c Config) withDefaults() Config {
@@ -141,17 +144,17 @@
 	setDefault(&c.PrefixBlockTokens, DefaultPrefixBlockTokens)
 	setDefault(&c.DeferrableShare, queue.DeferrableShare)
 	setDefault(&c.PreferenceLead, queue.PreferenceLead)
-	setDefault(&c.tune.kvSafePart, kvSafePart)
-	setDefault(&c.tune.waitPart, waitPart)
-	setDefault(&c.tune.deviations, deviations)
-	setDefault(&c.tune.maxParked, maxParked)
-	setDefault(&c.tune.maxMisses, maxMisses)
-	setDefault(&c.tune.maxResumed, maxResumed)
-	setDefault(&c.tune.limit, placement.DefaultLimitPolicy)
-	setDefault(&c.Initial.BetweenTokens, defaultStart.BetweenTokens)
-	setDefault(&c.Initial.OutputRatio, defaultStart.OutputRatio)
-	setDefault(&c.Initial.OutputTokens, defaultStart.OutputTokens)
-	setDefault(&c.Initial.Call, defaultStart.Call)
+	setDefault(&c.tuning.transferBudgetShare, transferBudgetShare)
+	setDefault(&c.tuning.minWaitShare, minWaitShare)
+	setDefault(&c.tuning.deviationMultiplier, deviationMultiplier)
+	setDefault(&c.tuning.maxParked, maxParked)
+	setDefault(&c.tuning.maxFailedPlacements, maxFailedPlacements)
+	setDefault(&c.tuning.maxResumedKeys, maxResumedKeys)
+	setDefault(&c.tuning.limitPolicy, placement.DefaultLimitPolicy)
+	setDefault(&c.Initial.BetweenTokens, defaultInitialEstimates.BetweenTokens)
+	setDefault(&c.Initial.OutputRatio, defaultInitialEstimates.OutputRatio)
+	setDefault(&c.Initial.OutputTokens, defaultInitialEstimates.OutputTokens)
+	setDefault(&c.Initial.Call, defaultInitialEstimates.Call)
 	return c
 }
 
--- a/decision/group/dispatch.go
+++ b/decision/group/dispatch.go
@@ -7,26 +7,26 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Advance handles what is due at now. It returns when it must be called next;
-// the zero time means that nothing is due.
+// Advance handles timeouts and retries that are due at now. It also returns the time
+// of the next call that is needed; the zero time means that none is.
 func (g *Group) Advance(now time.Time) ([]Decision, time.Time) {
 	for _, u := range g.byName {
-		u.account.Raise(now)
+		u.capacity.Raise(now)
 	}
 	decisions := g.dispatch(now)
 	next := g.queue.NextExpiry()
 	for _, w := range g.parked {
-		next = earliest(next, w.latest)
-		if w.claim == nil {
-			next = earliest(next, now.Add(parkedRetry))
+		next = earliest(next, w.latestStart)
+		if w.claimedOn == nil {
+			next = earliest(next, now.Add(parkedRetryInterval))
 		}
 	}
-	if g.triesSpent {
-		next = earliest(next, now.Add(parkedRetry))
+	if g.queueUnfinished {
+		next = earliest(next, now.Add(parkedRetryInterval))
 	}
-	if !g.tellsPrefill && g.queued()+len(g.parked) > 0 {
-		for _, h := range g.untold {
-			next = earliest(next, h.prefillBy())
+	if !g.prefillDoneReported && g.queueLength()+len(g.parked) > 0 {
+		for _, rec := range g.timedPrefills {
+			next = earliest(next, rec.prefillTimeout())
 		}
 	}
 	return decisions, next
@@ -39,77 +39,78 @@
 	return a
 }
 
-// dispatch serves and returns the decisions since the last call.
+// dispatch schedules requests and returns the decisions since the last call.
 func (g *Group) dispatch(now time.Time) []Decision {
-	g.serve(now)
-	out := g.out
-	g.out = nil
-	return out
+	g.schedule(now)
+	decisions := g.decisions
+	g.decisions = nil
+	return decisions
 }
 
-// serve refuses what can no longer be met and grants places while there are any.
-func (g *Group) serve(now time.Time) {
-	g.freeUntoldPrefills(now)
+// schedule refuses requests that can no longer meet their deadline and issues grants
+// while there is capacity.
+func (g *Group) schedule(now time.Time) {
+	g.freeTimedOutPrefills(now)
 	g.expire(now)
 	g.retryParked(now)
-	g.grantQueued(now)
+	g.placeQueued(now)
 }
 
-// grantQueued serves the queue in its order while a place is free. The number of
-// tries is bounded, so that a decision is short also when the next request of
-// every organisation is too large for what is free.
-func (g *Group) grantQueued(now time.Time) {
-	g.triesSpent = false
-	for misses := 0; g.hasPlace(now); {
+// placeQueued places queued requests in order while slots are free. The number of
+// failed placements is limited, so that a decision stays short even if the next
+// request of every organisation is too large for the free capacity.
+func (g *Group) placeQueued(now time.Time) {
+	g.queueUnfinished = false
+	for failed := 0; g.hasFreeSlots(now); {
 		it := g.queue.Pop()
 		if it == nil {
 			return
 		}
 		w := it.Value
-		if r := g.place(now, w); r != nil {
-			g.grant(now, w, r)
-			// Where this one fitted, one that was passed over may fit too.
+		if plan := g.place(now, w); plan != nil {
+			g.issueGrant(now, w, plan)
+			// A request that was skipped may fit now that this one did.
 			g.queue.Resume()
 			continue
 		}
 		g.park(now, it)
-		if misses++; misses >= g.cfg.tune.maxMisses {
-			g.triesSpent = true
+		if failed++; failed >= g.cfg.tuning.maxFailedPlacements {
+			g.queueUnfinished = true
 			return
 		}
 	}
 }
 
-// expire refuses waiting requests that can no longer meet their deadline, so that
-// no prefill is spent on an answer that comes too late.
+// expire refuses waiting requests that can no longer meet their deadline, so that no
+// prefill is spent on an answer that would be too late.
 func (g *Group) expire(now time.Time) {
 	for it := g.queue.PopExpired(now); it != nil; it = g.queue.PopExpired(now) {
-		g.refuseLate(now, it.Value)
+		g.refuseExpired(now, it.Value)
 	}
 	for i := 0; i < len(g.parked); {
 		w := g.parked[i]
-		if w.latest.After(now) {
+		if w.latestStart.After(now) {
 			i++
 			continue
 		}
-		g.drop(i)
-		g.refuseLate(now, w)
+		g.removeParked(i)
+		g.refuseExpired(now, w)
 	}
 }
 
-func (g *Group) refuseLate(now time.Time, w *waiter) {
-	g.refuse(w, verdict.Refuse(verdict.ReasonQueueTimeout, g.advice(now, w),
+func (g *Group) refuseExpired(now time.Time, w *waiter) {
+	g.refuse(w, verdict.Refuse(verdict.ReasonQueueTimeout, g.retryAfter(now, w),
 		"no place came free within %s", now.Sub(w.submitted).Round(time.Millisecond)))
 }
 
-// hasPlace reports whether some request can be granted now.
-func (g *Group) hasPlace(now time.Time) bool {
-	return anyFree(now, g.sinks) && (g.cfg.Kind == object.KindPlain || anyFree(now, g.entries))
+// hasFreeSlots reports whether every role that a request needs has a free slot.
+func (g *Group) hasFreeSlots(now time.Time) bool {
+	return anyHasFreeSlot(now, g.servingUpstreams) && (g.cfg.Kind == object.KindPlain || anyHasFreeSlot(now, g.prefillUpstreams))
 }
 
-func anyFree(now time.Time, ups []*upstream) bool {
+func anyHasFreeSlot(now time.Time, ups []*upstream) bool {
 	for _, u := range ups {
-		if u.free(now) {
+		if u.hasFreeSlot(now) {
 			return true
 		}
 	}
--- a/decision/group/estimate.go
+++ b/decision/group/estimate.go
@@ -10,168 +10,177 @@
 )
 
 const (
-	// learnRate is the weight of one outcome: a lasting change is followed within
-	// some twenty outcomes, a second or two of a service at peak.
-	learnRate = 0.05
-	// deviations is how many mean deviations are added to the expected time to the
-	// first token: for a normal spread two of them are 1.6 standard deviations,
-	// which 95 in 100 stay under, as the target asks.
-	deviations = 2.0
-	// startDeviation is a guess at that spread before outcomes are known.
-	startDeviation = 50 * time.Millisecond
-	// learntOutcomes is how many outcomes replace the start values by learnRate.
-	learntOutcomes = 20
-	// loadWindow is the time over which the load by interactive requests is
-	// averaged, a few decodes long.
+	// averagingWeight is the weight of one outcome in the exponential moving
+	// averages. They follow a lasting change within about twenty outcomes, which is a
+	// second or two of a service at peak load.
+	averagingWeight = 0.05
+	// deviationMultiplier is the number of mean deviations added to the expected time
+	// to the first token. For a normal distribution two of them are 1.6 standard
+	// deviations, which is the 95th percentile that the target is stated for.
+	deviationMultiplier = 2.0
+	// initialDeviation is the assumed mean deviation until outcomes are observed.
+	initialDeviation = 50 * time.Millisecond
+	// minOutcomes is the number of outcomes after which averagingWeight has replaced
+	// the initial estimates.
+	minOutcomes = 20
+	// loadWindow is the time constant of the average interactive load, the length of
+	// a few decodes.
 	loadWindow = 10 * time.Second
 )
 
-// estimates are learnt from outcomes; all times are in seconds.
+// estimates are exponential moving averages over outcomes. Times are in seconds.
 type estimates struct {
 	plain         bool
 	speed         *prefill.Speed
 	betweenTokens float64
 	outputRatio   float64
-	call          float64
-	// firstError and firstSpread are mean and mean deviation of the first token's
-	// time against what the grant expected.
-	firstError  float64
-	firstSpread float64
-	deviations  float64
-	// hold, prefillTime and meanCost are means over released requests,
-	// transferTime is the mean over bookings.
-	hold         float64
+	callTime      float64
+	// firstTokenError is the mean difference between the actual and the expected time
+	// to the first token, and firstTokenDeviation is the mean deviation from it.
+	firstTokenError     float64
+	firstTokenDeviation float64
+	deviationMultiplier float64
+	// holdTime is the mean time that a grant is held, prefillTime that of a prefill
+	// slot, meanCost the mean engine time of a request, and transferTime the mean
+	// duration of a link booking.
+	holdTime     float64
 	prefillTime  float64
 	meanCost     float64
 	transferTime float64
 	outcomes     int
-	// interactive is the engine time granted to interactive requests, decayed over
-	// loadWindow.
-	interactive   float64
-	interactiveAt time.Time
+	// interactiveWork is the engine time granted to interactive requests, with an
+	// exponential decay over loadWindow, as of interactiveWorkAt.
+	interactiveWork   float64
+	interactiveWorkAt time.Time
 }
 
 func newEstimates(cfg Config) *estimates {
 	e := &estimates{
-		plain:         cfg.Kind == object.KindPlain,
-		speed:         prefill.NewSpeed(),
-		betweenTokens: cfg.Initial.BetweenTokens.Seconds(),
-		outputRatio:   cfg.Initial.OutputRatio,
-		call:          cfg.Initial.Call.Seconds(),
-		firstSpread:   startDeviation.Seconds(),
-		deviations:    cfg.tune.deviations,
+		plain:               cfg.Kind == object.KindPlain,
+		speed:               prefill.NewSpeed(),
+		betweenTokens:       cfg.Initial.BetweenTokens.Seconds(),
+		outputRatio:         cfg.Initial.OutputRatio,
+		callTime:            cfg.Initial.Call.Seconds(),
+		firstTokenDeviation: initialDeviation.Seconds(),
+		deviationMultiplier: cfg.tuning.deviationMultiplier,
 	}
 	if e.plain {
-		e.hold, e.meanCost = e.call, e.call
+		e.holdTime, e.meanCost = e.callTime, e.callTime
 		return e
 	}
-	e.prefillTime = e.speed.Estimate(startPrompt).Seconds()
+	e.prefillTime = e.speed.Estimate(initialPromptTokens).Seconds()
 	decode := float64(cfg.Initial.OutputTokens) * e.betweenTokens
-	e.hold = e.prefillTime + decode
-	e.meanCost = e.prefillTime + decode*startEngineShare
+	e.holdTime = e.prefillTime + decode
+	e.meanCost = e.prefillTime + decode*initialEngineShare
 	return e
 }
 
-// Start values of a mean request: a prompt of a thousand tokens that takes one of
-// twenty slots.
+// A mean request is initially assumed to have about a thousand prompt tokens and to
+// use one of twenty slots.
 const (
-	startPrompt      = 1024
-	startEngineShare = 0.05
+	initialPromptTokens = 1024
+	initialEngineShare  = 0.05
 )
 
-// learnt reports whether the estimates rest on outcomes. A new scheduler of a small
-// service would otherwise refuse requests on the start values alone, though its
-// places may come free in time; until then only the latest start bounds the wait.
-func (e *estimates) learnt() bool { return e.outcomes >= learntOutcomes }
+// hasEnoughOutcomes reports whether the estimates are based on observed outcomes.
+// Until then only latestStart limits the wait of a request: the new scheduler of a
+// small service would otherwise refuse requests because of its initial estimates
+// although slots may become free in time.
+func (e *estimates) hasEnoughOutcomes() bool { return e.outcomes >= minOutcomes }
 
-func learnInto(mean *float64, observed float64) { *mean += learnRate * (observed - *mean) }
+func updateMean(mean *float64, observed float64) { *mean += averagingWeight * (observed - *mean) }
 
-// cost is the engine time in seconds that a request is expected to use: its
-// prefill alone on an engine, its decode on a share of one.
+// cost is the engine time in seconds that a request is expected to use. A prefill
+// counts as a whole engine and a decode as the given share of one.
 func (e *estimates) cost(w *waiter, engineShare float64) float64 {
 	if e.plain {
-		return e.call * engineShare
+		return e.callTime * engineShare
 	}
 	return e.speed.Estimate(w.PromptTokens).Seconds() + e.decodeTime(w.MaxTokens).Seconds()*engineShare
 }
 
-// decodeTime is how long the decode of an answer is expected to last.
+// decodeTime is the expected duration of the decode of an answer.
 func (e *estimates) decodeTime(maxTokens int) time.Duration {
 	if e.plain {
-		return seconds(e.call)
+		return seconds(e.callTime)
 	}
 	return seconds(e.outputRatio * float64(maxTokens) * e.betweenTokens)
 }
 
-// step is the time of the first decode step.
-func (e *estimates) step() time.Duration { return seconds(e.betweenTokens) }
+// stepTime is the expected duration of a decode step.
+func (e *estimates) stepTime() time.Duration { return seconds(e.betweenTokens) }
 
-// needed is the time from grant to first token that 95 in 100 such requests need.
-func (e *estimates) needed(w *waiter) time.Duration {
-	margin := seconds(e.firstError + e.deviations*e.firstSpread)
+// timeToFirstToken is the estimated 95th percentile of the time from the grant to
+// the first token.
+func (e *estimates) timeToFirstToken(w *waiter) time.Duration {
+	margin := seconds(e.firstTokenError + e.deviationMultiplier*e.firstTokenDeviation)
 	if e.plain {
-		return seconds(e.call) + margin
+		return seconds(e.callTime) + margin
 	}
-	return e.speed.Estimate(w.PromptTokens) + e.step() + margin
+	return e.speed.Estimate(w.PromptTokens) + e.stepTime() + margin
 }
 
-// drainTime is how long so much engine time takes to be granted when a request is
-// granted every interval.
+// drainTime is how long it takes to grant requests with the given total cost if one
+// mean request is granted every interval.
 func (e *estimates) drainTime(engineSeconds, interval float64) time.Duration {
 	return seconds((engineSeconds/e.meanCost + 1) * interval)
 }
 
-// interactiveLoad is the part of the capacity that interactive requests take.
+// interactiveLoad is the fraction of the capacity that interactive requests use.
 func (e *estimates) interactiveLoad(now time.Time, interval float64) float64 {
-	return e.decayed(now) / loadWindow.Seconds() * interval / e.meanCost
+	return e.decayedInteractiveWork(now) / loadWindow.Seconds() * interval / e.meanCost
 }
 
-func (e *estimates) decayed(now time.Time) float64 {
-	return e.interactive * math.Exp(-now.Sub(e.interactiveAt).Seconds()/loadWindow.Seconds())
+func (e *estimates) decayedInteractiveWork(now time.Time) float64 {
+	return e.interactiveWork * math.Exp(-now.Sub(e.interactiveWorkAt).Seconds()/loadWindow.Seconds())
 }
 
-// granted notes a grant.
-func (e *estimates) granted(now time.Time, w *waiter) {
+// observeGrant adds the cost of an interactive request to the interactive load.
+func (e *estimates) observeGrant(now time.Time, w *waiter) {
 	if w.Class == request.Deferrable {
 		return
 	}
-	e.interactive = e.decayed(now) + w.cost
-	e.interactiveAt = now
+	e.interactiveWork = e.decayedInteractiveWork(now) + w.cost
+	e.interactiveWorkAt = now
 }
 
-func (e *estimates) prefillHeld(took time.Duration) { learnInto(&e.prefillTime, took.Seconds()) }
+func (e *estimates) observePrefill(duration time.Duration) {
+	updateMean(&e.prefillTime, duration.Seconds())
+}
 
-// booked notes the length of a transfer's booking.
-func (e *estimates) booked(length time.Duration) { learnInto(&e.transferTime, length.Seconds()) }
+// observeTransfer records the duration of a link booking.
+func (e *estimates) observeTransfer(duration time.Duration) {
+	updateMean(&e.transferTime, duration.Seconds())
+}
 
-// released notes how long a grant was held and what it cost.
-func (e *estimates) released(took time.Duration, cost float64) {
+// observeRelease records how long a grant was held and how much it cost.
+func (e *estimates) observeRelease(held time.Duration, cost float64) {
 	e.outcomes++
-	learnInto(&e.hold, took.Seconds())
-	learnInto(&e.meanCost, max(cost, 1e-6))
+	updateMean(&e.holdTime, held.Seconds())
+	updateMean(&e.meanCost, max(cost, 1e-6))
 }
 
-// answered notes a whole answer.
-func (e *estimates) answered(h *held, out Outcome) {
+// observeAnswer records a complete answer.
+func (e *estimates) observeAnswer(rec *grantRecord, out Outcome) {
 	if e.plain {
-		learnInto(&e.call, out.Decode.Seconds())
-		e.learnFirst(out.Decode.Seconds() - e.call)
+		updateMean(&e.callTime, out.Decode.Seconds())
+		e.observeFirstToken(out.Decode.Seconds() - e.callTime)
 		return
 	}
 	if out.OutputTokens > 1 && out.Decode > 0 {
-		learnInto(&e.betweenTokens, out.Decode.Seconds()/float64(out.OutputTokens-1))
+		updateMean(&e.betweenTokens, out.Decode.Seconds()/float64(out.OutputTokens-1))
 	}
-	if h.maxTokens > 0 {
-		learnInto(&e.outputRatio, min(1, float64(out.OutputTokens)/float64(h.maxTokens)))
+	if rec.maxTokens > 0 {
+		updateMean(&e.outputRatio, min(1, float64(out.OutputTokens)/float64(rec.maxTokens)))
 	}
 	if out.FirstToken > 0 {
-		e.learnFirst((out.FirstToken - h.firstToken).Seconds())
+		e.observeFirstToken((out.FirstToken - rec.expectedFirstToken).Seconds())
 	}
 }
 
-func (e *estimates) learnFirst(diff float64) {
-	learnInto(&e.firstSpread, math.Abs(diff-e.firstError))
-	learnInto(&e.firstError, diff)
+func (e *estimates) observeFirstToken(difference float64) {
+	updateMean(&e.firstTokenDeviation, math.Abs(difference-e.firstTokenError))
+	updateMean(&e.firstTokenError, difference)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/decision/group/group.go
+++ b/decision/group/group.go
@@ -13,85 +13,92 @@
 type Group struct {
 	cfg Config
 
-	// entries are plain upstreams or prefill upstreams; sinks are plain or decode
-	// upstreams, which answer. For plain services entries is empty.
-	entries []*upstream
-	sinks   []*upstream
-	ordered []*upstream
-	byName  map[string]*upstream
-	byIndex map[int]*upstream
-	indexes int
+	// prefillUpstreams is empty for plain services. servingUpstreams are the decode
+	// or plain upstreams, which return answers.
+	prefillUpstreams []*upstream
+	servingUpstreams []*upstream
+	// upstreams holds both in the order of SetUpstreams.
+	upstreams []*upstream
+	byName    map[string]*upstream
+	byIndex   map[int]*upstream
+	nextIndex int
 
-	queue  *queue.Queue[*waiter]
+	queue *queue.Queue[*waiter]
+	// parked requests were taken from the queue and wait for memory or a link.
 	parked []*waiter
-	grants map[uint64]*held
-	// shares is what each organisation with grants holds, in engines.
-	shares  map[string]*share
-	engines float64
-	// returning is what was refused of late, by organisation.
-	returning    map[string]returns
-	returnsLimit int
-	nextID       uint64
-	uses         uint64
+	grants map[uint64]*grantRecord
+	// usage holds the resources used by each organisation with grants; enginesInUse
+	// is the sum of their engines.
+	usage        map[string]*organisationUsage
+	enginesInUse float64
+	// refusedWork holds recently refused work by organisation. It is pruned when its
+	// size reaches refusedWorkLimit.
+	refusedWork      map[string]refusedWork
+	refusedWorkLimit int
+	nextGrantID      uint64
+	// useCounter counts grants, for upstream.lastUse.
+	useCounter uint64
 
-	cache    *prefill.Index
-	trust    *prefill.Trust
-	estimate *estimates
-	// tellsPrefill is set once the driver has told the end of a prefill; from then
-	// on prefill places are kept until it does.
-	tellsPrefill bool
-	// untold are grants whose prefill place comes free by the estimate.
-	untold []*held
-	// triesSpent is set when a decision ended before the queue was served as far
-	// as there are places.
-	triesSpent bool
-	// changed is set when places may have come free since triedParked, the last
-	// try of parked requests.
-	changed     bool
-	triedParked time.Time
-	out         []Decision
+	prefixIndex *prefill.Index
+	cacheTrust  *prefill.Trust
+	estimates   *estimates
+	// prefillDoneReported is set by the first call of PrefillDone. From then on a
+	// prefill slot is kept until PrefillDone or Release.
+	prefillDoneReported bool
+	// timedPrefills are grants whose prefill slot is freed after a timeout.
+	timedPrefills []*grantRecord
+	// queueUnfinished is set when the last decision reached maxFailedPlacements
+	// while there were still free slots.
+	queueUnfinished bool
+	// capacityChanged is set when capacity may have become free since parkedTriedAt,
+	// the time of the last attempt to place parked requests.
+	capacityChanged bool
+	parkedTriedAt   time.Time
+	// decisions have not been returned to the caller yet.
+	decisions []Decision
 }
 
 // waiter is a request without a grant.
 type waiter struct {
 	Request
 	submitted time.Time
-	// latest is when it can no longer meet its deadline.
-	latest time.Time
+	// latestStart is the time after which it can no longer meet its deadline.
+	latestStart time.Time
 	// cost is the estimated engine time in seconds.
 	cost float64
 	item *queue.Item[*waiter]
-	// claim is the upstream whose memory gathers for a parked request.
-	claim       *upstream
-	claimPieces int
-	// claimAfter is when a claim may be sought again.
-	claimAfter time.Time
+	// claimedOn is the upstream that reserves memory for a parked request.
+	claimedOn     *upstream
+	claimedPieces int
+	// nextClaimAt is the earliest time of the next search for memory to claim.
+	nextClaimAt time.Time
 }
 
-// held is a granted request.
-type held struct {
+// grantRecord is a granted request.
+type grantRecord struct {
 	ActiveGrant
-	class   request.Class
-	key     string
-	adopted bool
-	granted time.Time
-	cost    float64
-	// engineShare is the part of the decode upstream that the request takes.
-	engineShare float64
-	prompt      int
-	uncached    int
-	maxTokens   int
-	// prefillEstimate and firstToken were expected at the grant.
-	prefillEstimate time.Duration
-	firstToken      time.Duration
-	prefilling      bool
-	expectedEnd     time.Time
-	// runningAtGrant is the size of the decode batch that it joined.
-	runningAtGrant int
-	transfer       time.Duration
-	prefix         []uint64
+	class     request.Class
+	keyID     string
+	adopted   bool
+	grantedAt time.Time
+	cost      float64
+	// engineShare is the fraction of the serving upstream that the request uses.
+	engineShare    float64
+	promptTokens   int
+	uncachedTokens int
+	maxTokens      int
+	// expectedPrefill and expectedFirstToken are durations estimated at the grant.
+	expectedPrefill    time.Duration
+	expectedFirstToken time.Duration
+	prefilling         bool
+	expectedEnd        time.Time
+	// runningAtGrant is the number of grants on the serving upstream, this one
+	// included, when it was issued.
+	runningAtGrant   int
+	transferDuration time.Duration
+	prefixHashes     []uint64
 
-	from, to *upstream
+	prefillUpstream, servingUpstream *upstream
 }
 
 // New returns a group without upstreams.
@@ -102,84 +109,84 @@
 		byName:  make(map[string]*upstream),
 		byIndex: make(map[int]*upstream),
 		queue:   queue.New[*waiter](cfg.DeferrableShare, cfg.PreferenceLead),
-		grants:  make(map[uint64]*held),
-		shares:  make(map[string]*share),
+		grants:  make(map[uint64]*grantRecord),
+		usage:   make(map[string]*organisationUsage),
 
-		returning: make(map[string]returns),
-		nextID:    cfg.FirstGrantID,
-		cache:     prefill.NewIndex(),
-		trust:     prefill.NewTrust(),
-		estimate:  newEstimates(cfg),
+		refusedWork: make(map[string]refusedWork),
+		nextGrantID: cfg.FirstGrantID,
+		prefixIndex: prefill.NewIndex(),
+		cacheTrust:  prefill.NewTrust(),
+		estimates:   newEstimates(cfg),
 	}
 }
 
-// SetUpstreams replaces the set of upstreams. Grants on upstreams that are no
-// longer in the set stay until they are released.
+// SetUpstreams replaces the set of upstreams. Grants on removed upstreams stay
+// until they are released.
 func (g *Group) SetUpstreams(now time.Time, ups []Upstream) []Decision {
-	for _, u := range g.ordered {
-		u.gone = true
+	for _, u := range g.upstreams {
+		u.removed = true
 	}
-	g.entries, g.sinks, g.ordered = nil, nil, nil
+	g.prefillUpstreams, g.servingUpstreams, g.upstreams = nil, nil, nil
 	for _, spec := range ups {
-		u := g.upstream(spec)
+		u := g.findOrAddUpstream(spec)
 		u.configure(spec)
-		g.ordered = append(g.ordered, u)
+		g.upstreams = append(g.upstreams, u)
 		if u.spec.Role == object.RolePrefill {
-			g.entries = append(g.entries, u)
+			g.prefillUpstreams = append(g.prefillUpstreams, u)
 		} else {
-			g.sinks = append(g.sinks, u)
+			g.servingUpstreams = append(g.servingUpstreams, u)
 		}
 	}
-	g.forgetGone()
-	g.changed = true
+	g.deleteRemovedUpstreams()
+	g.capacityChanged = true
 	return g.dispatch(now)
 }
 
-// upstream returns the account of an upstream and opens one if needed. An
-// upstream that changed its role keeps the account, because its grants do.
-func (g *Group) upstream(spec Upstream) *upstream {
+// findOrAddUpstream returns the record of an upstream and creates it if needed. An
+// upstream that changes its role keeps its record, because its grants remain.
+func (g *Group) findOrAddUpstream(spec Upstream) *upstream {
 	if u := g.byName[spec.Name]; u != nil {
 		return u
 	}
-	u := &upstream{index: g.indexes, health: 1, speed: prefill.NewUpstream()}
-	g.indexes++
+	u := &upstream{index: g.nextIndex, health: 1, speed: prefill.NewUpstream()}
+	g.nextIndex++
 	g.byName[spec.Name] = u
 	g.byIndex[u.index] = u
 	return u
 }
 
-// forgetGone drops upstreams that left the set and hold nothing any more. Those
-// that still hold something keep their account: if they come back, the slots in
-// use must still be counted.
-func (g *Group) forgetGone() {
+// deleteRemovedUpstreams deletes the records of removed upstreams without grants.
+// Those with grants keep their record: if they are added again, the slots in use
+// must still be counted.
+func (g *Group) deleteRemovedUpstreams() {
 	for name, u := range g.byName {
-		if u.gone && u.account.Running() == 0 {
+		if u.removed && u.capacity.Running() == 0 {
 			delete(g.byName, name)
 			delete(g.byIndex, u.index)
-			g.cache.Forget(u.index)
+			g.prefixIndex.Forget(u.index)
 		}
 	}
 }
 
-// Adopt counts a grant that an instance still uses and another scheduler gave.
-// It fills the places it uses even beyond their number.
-func (g *Group) Adopt(now time.Time, h ActiveGrant) {
-	if g.grants[h.ID] != nil {
+// Adopt counts a grant that another scheduler issued and an instance still uses. It
+// is counted even if that exceeds the slots or memory of the upstream.
+func (g *Group) Adopt(now time.Time, active ActiveGrant) {
+	if g.grants[active.ID] != nil {
 		return
 	}
-	to := g.byName[h.Decode]
-	if to == nil {
-		to = g.upstream(Upstream{Name: h.Decode})
-		to.spec.Name = h.Decode
-		to.gone = true
+	serving := g.byName[active.Decode]
+	if serving == nil {
+		serving = g.findOrAddUpstream(Upstream{Name: active.Decode})
+		serving.spec.Name = active.Decode
+		serving.removed = true
 	}
-	// The prefill is taken as done: a prefill lasts far less than a takeover.
-	adopted := &held{ActiveGrant: h, adopted: true, granted: now, to: to}
-	adopted.expectedEnd = now.Add(seconds(g.estimate.hold))
-	adopted.engineShare = g.shareOf(to, h.Pieces)
-	g.grants[h.ID] = adopted
-	g.addShare(adopted)
-	to.hold(adopted)
-	// Grant ids never meet, also when a driver started this group too low.
-	g.nextID = max(g.nextID, h.ID+1)
+	// The prefill is assumed to be done: it takes far less time than a takeover.
+	rec := &grantRecord{ActiveGrant: active, adopted: true, grantedAt: now, servingUpstream: serving}
+	rec.expectedEnd = now.Add(seconds(g.estimates.holdTime))
+	rec.engineShare = g.engineShareOn(serving, active.Pieces)
+	g.grants[active.ID] = rec
+	g.addUsage(rec)
+	serving.addGrant(rec)
+	// This keeps grant IDs unique even if Config.FirstGrantID was too low.
+	g.nextGrantID = max(g.nextGrantID, active.ID+1)
 }
--- a/decision/group/parked.go
+++ b/decision/group/parked.go
@@ -7,14 +7,14 @@
 	"github.com/cairnworks/cairnworks/decision/queue"
 )
 
-// park keeps a request that fits nowhere now, if memory can be claimed for it or
-// it only waits for a link. Others go back to the queue, where their key is passed
-// over until something is released.
+// park keeps a request that no upstream can serve now, if memory was claimed for it
+// or it does not need more memory. Other requests return to the queue, which skips
+// their key until a grant is released.
 func (g *Group) park(now time.Time, it *queue.Item[*waiter]) {
 	w := it.Value
-	if len(g.parked) < g.cfg.tune.maxParked {
-		short := g.claim(now, w)
-		if !short || w.claim != nil {
+	if len(g.parked) < g.cfg.tuning.maxParked {
+		needsMemory := g.claim(now, w)
+		if !needsMemory || w.claimedOn != nil {
 			g.parked = append(g.parked, w)
 			return
 		}
@@ -22,25 +22,25 @@
 	g.queue.Return(it)
 }
 
-// retryParked tries requests that were taken from the queue but did not fit.
-// Without a change since the last try that can only help when a link came free
-// with time.
+// retryParked tries to place the parked requests. If no capacity was freed since the
+// last attempt, it tries only every parkedRetryInterval, because then only the end
+// of a link booking can make a difference.
 func (g *Group) retryParked(now time.Time) {
-	if !g.changed && now.Before(g.triedParked.Add(parkedRetry)) {
+	if !g.capacityChanged && now.Before(g.parkedTriedAt.Add(parkedRetryInterval)) {
 		return
 	}
-	g.changed = false
-	g.triedParked = now
+	g.capacityChanged = false
+	g.parkedTriedAt = now
 	for i := 0; i < len(g.parked); {
 		w := g.parked[i]
-		claimed := w.claim
+		previousClaim := w.claimedOn
 		g.unclaim(w)
-		if r := g.place(now, w); r != nil {
+		if plan := g.place(now, w); plan != nil {
 			g.unpark(i)
-			g.grant(now, w, r)
+			g.issueGrant(now, w, plan)
 			continue
 		}
-		if g.claimAgain(now, w, claimed) && w.claim == nil {
+		if g.renewClaim(now, w, previousClaim) && w.claimedOn == nil {
 			g.unpark(i)
 			g.queue.Return(w.item)
 			continue
@@ -49,12 +49,13 @@
 	}
 }
 
-// claimAgain keeps a claim that can still be met and seeks another otherwise.
-func (g *Group) claimAgain(now time.Time, w *waiter, claimed *upstream) (short bool) {
-	if claimed != nil && claimed.usable() {
-		pieces := claimed.account.PiecesFor(w.PromptTokens, w.MaxTokens)
-		if at, ok := claimed.memoryAt(now, pieces); ok && at.Before(w.latest) {
-			g.claimOn(w, claimed)
+// renewClaim restores the previous claim if its memory is still expected in time and
+// looks for another one otherwise. The result is that of claim.
+func (g *Group) renewClaim(now time.Time, w *waiter, previousClaim *upstream) (needsMemory bool) {
+	if previousClaim != nil && previousClaim.usable() {
+		pieces := previousClaim.capacity.PiecesFor(w.PromptTokens, w.MaxTokens)
+		if at, ok := previousClaim.memoryFreeAt(now, pieces); ok && at.Before(w.latestStart) {
+			g.claimOn(w, previousClaim)
 			return true
 		}
 	}
@@ -64,46 +65,48 @@
 func (g *Group) unpark(i int) {
 	g.unclaim(g.parked[i])
 	g.parked = append(g.parked[:i], g.parked[i+1:]...)
-	g.resume()
+	g.resumeKeys()
 }
 
-// resume gives keys that were passed over another turn.
-func (g *Group) resume() {
-	for range g.cfg.tune.maxResumed {
+// resumeKeys makes up to maxResumedKeys skipped keys of the queue eligible again.
+func (g *Group) resumeKeys() {
+	for range g.cfg.tuning.maxResumedKeys {
 		if !g.queue.Resume() {
 			return
 		}
 	}
 }
 
-// drop takes out a parked request that is not granted and gives its charge back.
-func (g *Group) drop(i int) {
+// removeParked removes a parked request without a grant and refunds its cost to the
+// organisation's account in the queue.
+func (g *Group) removeParked(i int) {
 	w := g.parked[i]
 	g.unpark(i)
 	g.queue.Settle(w.Class, w.Organisation, w.KeyID, -w.cost)
 }
 
-// claim makes the memory of one upstream gather for a request that fits nowhere:
-// the one that is expected to have it first, if that is in time; memory that
-// gathers in vain would be lost to requests that fit. At most half of the
-// upstreams gather at a time, so that the others stay open. It reports false for a
-// request that waits for a link only, or for an upstream that it need not avoid.
-func (g *Group) claim(now time.Time, w *waiter) (short bool) {
+// claim reserves memory, as it becomes free, on one upstream for a request that fits
+// on none. It chooses the upstream that is expected to have enough first, and none
+// if that is too late for the request: smaller requests could not use the reserved
+// memory meanwhile. At most half of the upstreams have a claim at a time, so that
+// the others remain available. needsMemory is false if an upstream that the request
+// does not avoid has enough memory, so that only a slot or a link is missing.
+func (g *Group) claim(now time.Time, w *waiter) (needsMemory bool) {
 	if g.fitsMemory(now, w) {
 		return false
 	}
-	if g.cfg.tune.noClaims || now.Before(w.claimAfter) || g.claims() >= max(1, len(g.sinks)/2) || !g.mayClaim(w) {
+	if g.cfg.tuning.disableClaims || now.Before(w.nextClaimAt) || g.countClaims() >= max(1, len(g.servingUpstreams)/2) || !g.withinFairShare(w) {
 		return true
 	}
-	w.claimAfter = now.Add(claimRetry)
+	w.nextClaimAt = now.Add(claimRetryInterval)
 	var best *upstream
-	bestAt := w.latest
-	for _, u := range g.sinks {
-		if !u.usable() || u.claimed || u.account.Pieces == 0 || avoided(w, u, g.sinks) {
+	bestAt := w.latestStart
+	for _, u := range g.servingUpstreams {
+		if !u.usable() || u.hasClaim || u.capacity.Pieces == 0 || avoided(w, u, g.servingUpstreams) {
 			continue
 		}
-		pieces := u.account.PiecesFor(w.PromptTokens, w.MaxTokens)
-		if at, ok := u.memoryAt(now, pieces); ok && at.Before(bestAt) {
+		pieces := u.capacity.PiecesFor(w.PromptTokens, w.MaxTokens)
+		if at, ok := u.memoryFreeAt(now, pieces); ok && at.Before(bestAt) {
 			best, bestAt = u, at
 		}
 	}
@@ -113,19 +116,19 @@
 	return true
 }
 
-// fitsMemory reports whether some upstream has the memory, though perhaps no slot
-// or no link.
+// fitsMemory reports whether an upstream has enough free memory for the request. Its
+// slots and links are not considered.
 func (g *Group) fitsMemory(now time.Time, w *waiter) bool {
-	return slices.ContainsFunc(g.sinks, func(u *upstream) bool {
-		return u.usable() && !avoided(w, u, g.sinks) &&
-			u.account.PiecesFor(w.PromptTokens, w.MaxTokens) <= max(0, u.account.FreePieces(now))
+	return slices.ContainsFunc(g.servingUpstreams, func(u *upstream) bool {
+		return u.usable() && !avoided(w, u, g.servingUpstreams) &&
+			u.capacity.PiecesFor(w.PromptTokens, w.MaxTokens) <= max(0, u.capacity.FreePieces(now))
 	})
 }
 
-func (g *Group) claims() int {
+func (g *Group) countClaims() int {
 	claims := 0
 	for _, w := range g.parked {
-		if w.claim != nil {
+		if w.claimedOn != nil {
 			claims++
 		}
 	}
@@ -133,17 +136,17 @@
 }
 
 func (g *Group) claimOn(w *waiter, u *upstream) {
-	w.claim = u
-	w.claimPieces = u.account.PiecesFor(w.PromptTokens, w.MaxTokens)
-	u.claimed = true
-	u.account.Claim(w.claimPieces)
+	w.claimedOn = u
+	w.claimedPieces = u.capacity.PiecesFor(w.PromptTokens, w.MaxTokens)
+	u.hasClaim = true
+	u.capacity.Claim(w.claimedPieces)
 }
 
 func (g *Group) unclaim(w *waiter) {
-	if w.claim == nil {
+	if w.claimedOn == nil {
 		return
 	}
-	w.claim.account.Unclaim(w.claimPieces)
-	w.claim.claimed = false
-	w.claim, w.claimPieces = nil, 0
+	w.claimedOn.capacity.Unclaim(w.claimedPieces)
+	w.claimedOn.hasClaim = false
+	w.claimedOn, w.claimedPieces = nil, 0
 }
--- a/decision/group/place.go
+++ b/decision/group/place.go
@@ -8,38 +8,37 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// place finds upstreams for a request; nil if it fits nowhere now.
-func (g *Group) place(now time.Time, w *waiter) *reservation {
+// place chooses the upstreams for a request. It returns nil if none can serve it now.
+func (g *Group) place(now time.Time, w *waiter) *placementPlan {
 	if g.cfg.Kind == object.KindPlain {
-		return g.placePlain(now, w)
+		return g.choosePlain(now, w)
 	}
-	r := g.placePrefill(now, w)
-	if r == nil {
+	plan := g.choosePrefill(now, w)
+	if plan == nil {
 		return nil
 	}
-	return g.placeDecode(now, w, r)
+	return g.chooseDecode(now, w, plan)
 }
 
-// reservation is a place found and not yet held.
-type reservation struct {
-	from, to *upstream
-	pieces   int
-	uncached int
-	// prefill is the expected duration; transfer is the booked one.
-	prefill  time.Duration
-	transfer time.Duration
-	// transferAt is the start of the booking.
-	transferAt time.Time
+// placementPlan is a choice of upstreams for which nothing is reserved yet.
+type placementPlan struct {
+	prefillUpstream, servingUpstream *upstream
+	pieces                           int
+	uncachedTokens                   int
+	expectedPrefill                  time.Duration
+	// transferStart and transferDuration are the link time to book.
+	transferStart    time.Time
+	transferDuration time.Duration
 }
 
-func (g *Group) placePlain(now time.Time, w *waiter) *reservation {
+func (g *Group) choosePlain(now time.Time, w *waiter) *placementPlan {
 	var best *upstream
 	var bestScore float64
-	for _, u := range g.sinks {
-		if !u.free(now) || avoided(w, u, g.sinks) {
+	for _, u := range g.servingUpstreams {
+		if !u.hasFreeSlot(now) || avoided(w, u, g.servingUpstreams) {
 			continue
 		}
-		score := sinkScore(now, u, 0, w.DataCentre)
+		score := servingScore(now, u, 0, w.DataCentre)
 		if best == nil || score < bestScore || (score == bestScore && u.lastUse < best.lastUse) {
 			best, bestScore = u, score
 		}
@@ -47,172 +46,174 @@
 	if best == nil {
 		return nil
 	}
-	return &reservation{to: best}
+	return &placementPlan{servingUpstream: best}
 }
 
-// sinkScore is how full the upstream will be, weighted by health; lower is better.
-func sinkScore(now time.Time, u *upstream, pieces int, dataCentre string) float64 {
-	score := u.account.Fill(now, pieces) / u.health
+// servingScore is how full the upstream would be with the request, divided by its
+// health. Lower is better.
+func servingScore(now time.Time, u *upstream, pieces int, dataCentre string) float64 {
+	score := u.capacity.Fill(now, pieces) / u.health
 	if u.spec.DataCentre != dataCentre {
-		score += dataCentreFill
+		score += remoteDataCentrePenalty
 	}
 	return score
 }
 
-// placePrefill picks the free prefill upstream whose result is on its way first:
-// prefill time after what is cached, hop, and the wait for its own link.
-func (g *Group) placePrefill(now time.Time, w *waiter) *reservation {
+// choosePrefill chooses the free prefill upstream that is expected to finish sending
+// the result first. This includes the prefill of the uncached tokens, a network hop
+// to another data centre, and the wait for the upstream's own link.
+func (g *Group) choosePrefill(now time.Time, w *waiter) *placementPlan {
 	hashes := len(w.PrefixHashes)
-	if !g.cfg.tune.noAffinity {
-		g.cache.Match(now, w.PrefixHashes, g.noteMatch)
+	if !g.cfg.tuning.disablePrefixAffinity {
+		g.prefixIndex.Match(now, w.PrefixHashes, g.recordPrefixMatch)
 	}
-	var best reservation
+	var best placementPlan
 	var bestEnd time.Duration
-	for _, u := range g.entries {
-		matched := u.matched
-		u.matched = 0
-		if !u.free(now) || avoided(w, u, g.entries) {
+	for _, u := range g.prefillUpstreams {
+		matched := u.matchedHashes
+		u.matchedHashes = 0
+		if !u.hasFreeSlot(now) || avoided(w, u, g.prefillUpstreams) {
 			continue
 		}
-		r := reservation{from: u}
-		r.uncached = prefill.Uncached(w.PromptTokens, hashes, matched, g.cfg.PrefixBlockTokens)
-		expected := g.trust.Expected(w.PromptTokens, r.uncached)
-		r.prefill = u.speed.Estimate(g.estimate.speed.Estimate(expected))
+		plan := placementPlan{prefillUpstream: u}
+		plan.uncachedTokens = prefill.Uncached(w.PromptTokens, hashes, matched, g.cfg.PrefixBlockTokens)
+		expectedTokens := g.cacheTrust.Expected(w.PromptTokens, plan.uncachedTokens)
+		plan.expectedPrefill = u.speed.Estimate(g.estimates.speed.Estimate(expectedTokens))
 		if u.spec.DataCentre != w.DataCentre {
-			r.prefill += prefill.Hop
+			plan.expectedPrefill += prefill.Hop
 		}
 		u.link.Expire(now)
-		ready := now.Add(r.prefill)
-		length := transfer.Duration(&u.link, &transfer.Link{}, g.kvBytes(w))
-		end := transfer.Earliest(&u.link, &transfer.Link{}, ready, length).Add(length).Sub(now)
-		// Several prefills on one upstream share its processors. How much that slows
-		// them is in the learnt speed; here it keeps affinity from heaping them up.
-		end = time.Duration(float64(end) * float64(u.account.Used(now).Requests+1) / u.health)
-		if best.from == nil || end < bestEnd || (end == bestEnd && u.lastUse < best.from.lastUse) {
-			best, bestEnd = r, end
+		ready := now.Add(plan.expectedPrefill)
+		transferDuration := transfer.Duration(&u.link, &transfer.Link{}, g.kvBytes(w))
+		end := transfer.Earliest(&u.link, &transfer.Link{}, ready, transferDuration).Add(transferDuration).Sub(now)
+		// Concurrent prefills on one upstream share its processors. The measured speed
+		// already includes that; the factor keeps prefix affinity from sending too
+		// many requests to one upstream.
+		end = time.Duration(float64(end) * float64(u.capacity.Used(now).Requests+1) / u.health)
+		if best.prefillUpstream == nil || end < bestEnd || (end == bestEnd && u.lastUse < best.prefillUpstream.lastUse) {
+			best, bestEnd = plan, end
 		}
 	}
-	if best.from == nil {
+	if best.prefillUpstream == nil {
 		return nil
 	}
 	return &best
 }
 
-func (g *Group) noteMatch(index, matched int) {
+func (g *Group) recordPrefixMatch(index, matched int) {
 	if u := g.byIndex[index]; u != nil {
-		u.matched = max(u.matched, matched)
+		u.matchedHashes = max(u.matchedHashes, matched)
 	}
 }
 
 func (g *Group) kvBytes(w *waiter) int64 { return int64(w.PromptTokens) * g.cfg.KVBytesPerToken }
 
-// placeDecode picks the emptiest decode upstream that has a slot and the memory,
-// and to which the result can be transferred before it expires.
-func (g *Group) placeDecode(now time.Time, w *waiter, r *reservation) *reservation {
-	ready := now.Add(r.prefill)
+// chooseDecode chooses the least loaded decode upstream that has a slot and enough
+// memory, and to which the prefill result can be transferred before it expires.
+func (g *Group) chooseDecode(now time.Time, w *waiter, plan *placementPlan) *placementPlan {
+	ready := now.Add(plan.expectedPrefill)
 	var bestScore float64
-	for _, u := range g.sinks {
-		if !u.free(now) || avoided(w, u, g.sinks) {
+	for _, u := range g.servingUpstreams {
+		if !u.hasFreeSlot(now) || avoided(w, u, g.servingUpstreams) {
 			continue
 		}
-		pieces := u.account.PiecesFor(w.PromptTokens, w.MaxTokens)
-		if !u.account.Fits(now, pieces) {
+		pieces := u.capacity.PiecesFor(w.PromptTokens, w.MaxTokens)
+		if !u.capacity.Fits(now, pieces) {
 			continue
 		}
-		score := sinkScore(now, u, pieces, r.from.spec.DataCentre)
-		if r.to != nil && (score > bestScore || (score == bestScore && u.lastUse > r.to.lastUse)) {
+		score := servingScore(now, u, pieces, plan.prefillUpstream.spec.DataCentre)
+		if plan.servingUpstream != nil && (score > bestScore || (score == bestScore && u.lastUse > plan.servingUpstream.lastUse)) {
 			continue
 		}
 		u.link.Expire(now)
-		length := transfer.Duration(&r.from.link, &u.link, g.kvBytes(w))
-		at := transfer.Earliest(&r.from.link, &u.link, ready, length)
-		if at.Sub(ready) > g.longestLinkWait(length) {
+		transferDuration := transfer.Duration(&plan.prefillUpstream.link, &u.link, g.kvBytes(w))
+		transferStart := transfer.Earliest(&plan.prefillUpstream.link, &u.link, ready, transferDuration)
+		if transferStart.Sub(ready) > g.maxLinkWait(transferDuration) {
 			continue
 		}
-		r.to, r.pieces, r.transfer, r.transferAt, bestScore = u, pieces, length, at, score
+		plan.servingUpstream, plan.pieces, plan.transferDuration, plan.transferStart, bestScore = u, pieces, transferDuration, transferStart, score
 	}
-	if r.to == nil {
+	if plan.servingUpstream == nil {
 		return nil
 	}
-	return r
+	return plan
 }
 
-// longestLinkWait is how long a prefill result may wait for a link so that its
-// transfer, which takes length, ends before the result expires. A transfer that
-// takes longer than a result lives may only start at once: whether it can succeed
-// is the engine's to say.
-func (g *Group) longestLinkWait(length time.Duration) time.Duration {
-	return max(0, time.Duration(g.cfg.tune.kvSafePart*float64(g.cfg.KVExpiry))-length)
+// maxLinkWait is how long a prefill result may wait for a link so that its transfer
+// ends before the result expires. A transfer that is too long for that may only
+// start without a wait, and the engine decides whether it succeeds.
+func (g *Group) maxLinkWait(transferDuration time.Duration) time.Duration {
+	return max(0, time.Duration(g.cfg.tuning.transferBudgetShare*float64(g.cfg.KVExpiry))-transferDuration)
 }
 
-// grant holds what the reservation found.
-func (g *Group) grant(now time.Time, w *waiter, r *reservation) {
-	h := &held{
+// issueGrant reserves the resources of the plan and records the grant.
+func (g *Group) issueGrant(now time.Time, w *waiter, plan *placementPlan) {
+	rec := &grantRecord{
 		ActiveGrant: ActiveGrant{
-			ID: g.nextID, RequestID: w.ID, Organisation: w.Organisation,
-			Decode: r.to.spec.Name, Pieces: r.pieces,
+			ID: g.nextGrantID, RequestID: w.ID, Organisation: w.Organisation,
+			Decode: plan.servingUpstream.spec.Name, Pieces: plan.pieces,
 		},
-		class: w.Class, key: w.KeyID, granted: now, cost: w.cost,
-		engineShare: g.shareOf(r.to, r.pieces), prompt: w.PromptTokens, uncached: r.uncached, maxTokens: w.MaxTokens,
-		prefillEstimate: r.prefill, prefix: w.PrefixHashes,
-		from: r.from, to: r.to,
-	}
-	g.nextID++
-	g.uses++
-	g.grants[h.ID] = h
-	h.expectedEnd = now.Add(r.prefill + g.estimate.decodeTime(w.MaxTokens))
-	r.to.hold(h)
-	g.addShare(h)
-	r.to.lastUse = g.uses
-	h.runningAtGrant = r.to.account.Running()
+		class: w.Class, keyID: w.KeyID, grantedAt: now, cost: w.cost,
+		engineShare: g.engineShareOn(plan.servingUpstream, plan.pieces), promptTokens: w.PromptTokens, uncachedTokens: plan.uncachedTokens, maxTokens: w.MaxTokens,
+		expectedPrefill: plan.expectedPrefill, prefixHashes: w.PrefixHashes,
+		prefillUpstream: plan.prefillUpstream, servingUpstream: plan.servingUpstream,
+	}
+	g.nextGrantID++
+	g.useCounter++
+	g.grants[rec.ID] = rec
+	rec.expectedEnd = now.Add(plan.expectedPrefill + g.estimates.decodeTime(w.MaxTokens))
+	plan.servingUpstream.addGrant(rec)
+	g.addUsage(rec)
+	plan.servingUpstream.lastUse = g.useCounter
+	rec.runningAtGrant = plan.servingUpstream.capacity.Running()
 	grant := &Grant{
-		ID: h.ID, RequestID: w.ID, Decode: h.Decode, Pieces: r.pieces,
+		ID: rec.ID, RequestID: w.ID, Decode: rec.Decode, Pieces: plan.pieces,
 		Queued: now.Sub(w.submitted),
 	}
-	if r.from != nil {
-		grant.Prefill = r.from.spec.Name
-		grant.TransferAfter = transferAfter(now, r)
+	if plan.prefillUpstream != nil {
+		grant.Prefill = plan.prefillUpstream.spec.Name
+		grant.TransferAfter = earliestTransfer(now, plan)
 	}
-	if r.from != nil {
-		g.holdPrefill(h, r)
+	if plan.prefillUpstream != nil {
+		g.holdPrefill(rec, plan)
 	}
-	g.estimate.granted(now, w)
-	g.out = append(g.out, Decision{RequestID: w.ID, Grant: grant})
+	g.estimates.observeGrant(now, w)
+	g.decisions = append(g.decisions, Decision{RequestID: w.ID, Grant: grant})
 }
 
-func (g *Group) holdPrefill(h *held, r *reservation) {
-	h.Prefill = r.from.spec.Name
-	h.prefilling = true
-	h.firstToken = r.transferAt.Sub(h.granted) + r.transfer + g.estimate.step()
-	g.estimate.booked(r.transfer)
-	if !g.tellsPrefill {
-		g.untold = append(g.untold, h)
-	}
-	r.from.account.Hold(0)
-	r.from.lastUse = g.uses
-	h.transfer = r.transfer
-	h.book(r.transferAt)
+func (g *Group) holdPrefill(rec *grantRecord, plan *placementPlan) {
+	rec.Prefill = plan.prefillUpstream.spec.Name
+	rec.prefilling = true
+	rec.expectedFirstToken = plan.transferStart.Sub(rec.grantedAt) + plan.transferDuration + g.estimates.stepTime()
+	g.estimates.observeTransfer(plan.transferDuration)
+	if !g.prefillDoneReported {
+		g.timedPrefills = append(g.timedPrefills, rec)
+	}
+	plan.prefillUpstream.capacity.Hold(0)
+	plan.prefillUpstream.lastUse = g.useCounter
+	rec.transferDuration = plan.transferDuration
+	rec.bookLinks(plan.transferStart)
 }
 
-// transferAfter is when the transfer may start. That is before its booking if the
-// links are free then, because a prefill that ends much sooner than expected would
-// otherwise wait for the booking until its result expires.
-func transferAfter(now time.Time, r *reservation) time.Time {
-	since := transfer.FreeSince(&r.from.link, &r.to.link, r.transferAt)
-	if since.Before(now) {
+// earliestTransfer is when the transfer may start. It may be earlier than the booking
+// if the links are free before, because otherwise the result of a prefill that ends
+// much sooner than expected could expire while it waits for the booking.
+func earliestTransfer(now time.Time, plan *placementPlan) time.Time {
+	freeSince := transfer.FreeSince(&plan.prefillUpstream.link, &plan.servingUpstream.link, plan.transferStart)
+	if freeSince.Before(now) {
 		return now
 	}
-	return since
+	return freeSince
 }
 
-func (h *held) book(at time.Time) {
-	h.from.link.Book(h.ID, at, h.transfer)
-	h.to.link.Book(h.ID, at, h.transfer)
+func (rec *grantRecord) bookLinks(at time.Time) {
+	rec.prefillUpstream.link.Book(rec.ID, at, rec.transferDuration)
+	rec.servingUpstream.link.Book(rec.ID, at, rec.transferDuration)
 }
 
-func (h *held) unbook() {
-	h.to.link.Cancel(h.ID)
-	if h.from != nil {
-		h.from.link.Cancel(h.ID)
+func (rec *grantRecord) cancelLinks() {
+	rec.servingUpstream.link.Cancel(rec.ID)
+	if rec.prefillUpstream != nil {
+		rec.prefillUpstream.link.Cancel(rec.ID)
 	}
 }
--- a/decision/group/property_test.go
+++ b/decision/group/property_test.go
@@ -12,137 +12,138 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// walk drives a group through random events and checks after each of them.
-type walk struct {
-	t       *testing.T
-	rng     *rand.Rand
-	g       *Group
-	ups     []Upstream
-	now     time.Time
-	next    int
-	waiting map[string]bool
-	granted []*Grant
+// randomRun applies random events to a Group and checks its invariants after each.
+type randomRun struct {
+	t             *testing.T
+	rng           *rand.Rand
+	g             *Group
+	ups           []Upstream
+	now           time.Time
+	lastRequestID int
+	waiting       map[string]bool
+	granted       []*Grant
 }
 
-func (w *walk) take(decisions []Decision) {
+func (run *randomRun) apply(decisions []Decision) {
 	for _, d := range decisions {
-		assert.Assert(w.t, (d.Grant == nil) != (d.Refusal == nil))
-		assert.Assert(w.t, w.waiting[d.RequestID], "%s was decided twice", d.RequestID)
-		delete(w.waiting, d.RequestID)
+		assert.Assert(run.t, (d.Grant == nil) != (d.Refusal == nil))
+		assert.Assert(run.t, run.waiting[d.RequestID], "second decision for %s", d.RequestID)
+		delete(run.waiting, d.RequestID)
 		if d.Grant != nil {
-			assert.Assert(w.t, w.g.byName[d.Grant.Decode].usable())
-			w.granted = append(w.granted, d.Grant)
+			assert.Assert(run.t, run.g.byName[d.Grant.Decode].usable())
+			run.granted = append(run.granted, d.Grant)
 		}
 	}
-	for _, u := range w.g.Status(w.now).Upstreams {
-		assert.Assert(w.t, u.PiecesUsed <= max(u.Pieces, 0) || u.Role != object.RoleDecode, "%+v", u)
-		assert.Assert(w.t, u.Running <= u.Slots, "%+v", u)
+	for _, u := range run.g.Status(run.now).Upstreams {
+		assert.Assert(run.t, u.PiecesUsed <= max(u.Pieces, 0) || u.Role != object.RoleDecode, "%+v", u)
+		assert.Assert(run.t, u.Running <= u.Slots, "%+v", u)
 	}
 }
 
-func (w *walk) step() {
-	g, rng := w.g, w.rng
-	w.now = w.now.Add(time.Duration(rng.IntN(60)) * time.Millisecond)
-	up := w.ups[rng.IntN(len(w.ups))].Name
+func (run *randomRun) step() {
+	g, rng := run.g, run.rng
+	run.now = run.now.Add(time.Duration(rng.IntN(60)) * time.Millisecond)
+	up := run.ups[rng.IntN(len(run.ups))].Name
 	switch op := rng.IntN(20); {
 	case op < 8:
-		w.next++
+		run.lastRequestID++
 		req := Request{
-			ID: fmt.Sprint(w.next), Organisation: fmt.Sprint(rng.IntN(4)), KeyID: fmt.Sprint(rng.IntN(2)),
+			ID: fmt.Sprint(run.lastRequestID), Organisation: fmt.Sprint(rng.IntN(4)), KeyID: fmt.Sprint(rng.IntN(2)),
 			Class: request.Class(1 + rng.IntN(2)), PromptTokens: 1 + rng.IntN(12000), MaxTokens: 1 + rng.IntN(4000),
-			PrefixHashes: []uint64{uint64(rng.IntN(9)), uint64(rng.IntN(99))}, Arrived: w.now, Attempt: 1,
-			Deadline: w.now.Add(time.Duration(rng.IntN(8000)) * time.Millisecond),
+			PrefixHashes: []uint64{uint64(rng.IntN(9)), uint64(rng.IntN(99))}, Arrived: run.now, Attempt: 1,
+			Deadline: run.now.Add(time.Duration(rng.IntN(8000)) * time.Millisecond),
 		}
 		if rng.IntN(4) == 0 {
 			req.Avoid = []string{up}
 		}
-		w.waiting[req.ID] = true
-		w.take(g.Submit(w.now, req))
+		run.waiting[req.ID] = true
+		run.apply(g.Submit(run.now, req))
 	case op < 9:
-		for id := range w.waiting {
-			if id < fmt.Sprint(w.next-5) {
+		for id := range run.waiting {
+			if id < fmt.Sprint(run.lastRequestID-5) {
 				continue
 			}
-			delete(w.waiting, id)
-			w.take(g.Withdraw(w.now, id))
+			delete(run.waiting, id)
+			run.apply(g.Withdraw(run.now, id))
 			break
 		}
-	case op < 14 && len(w.granted) > 0:
-		i := rng.IntN(len(w.granted))
-		id := w.granted[i].ID
-		w.granted = append(w.granted[:i], w.granted[i+1:]...)
-		w.take(g.Release(w.now, id, Outcome{
+	case op < 14 && len(run.granted) > 0:
+		i := rng.IntN(len(run.granted))
+		id := run.granted[i].ID
+		run.granted = append(run.granted[:i], run.granted[i+1:]...)
+		run.apply(g.Release(run.now, id, Outcome{
 			Kind: OutcomeKind(1 + rng.IntN(6)), Prefill: time.Duration(rng.IntN(900)) * time.Millisecond,
 			Decode: time.Duration(rng.IntN(9)) * time.Second, OutputTokens: rng.IntN(200), FailedUpstream: up,
 		}))
-		assert.Equal(w.t, len(g.Release(w.now, id, Outcome{})), 0)
-	case op < 16 && len(w.granted) > 0:
-		w.take(g.PrefillDone(w.now, w.granted[rng.IntN(len(w.granted))].ID))
+		assert.Equal(run.t, len(g.Release(run.now, id, Outcome{})), 0)
+	case op < 16 && len(run.granted) > 0:
+		run.apply(g.PrefillDone(run.now, run.granted[rng.IntN(len(run.granted))].ID))
 	case op < 17:
-		g.SetHealth(w.now, up, float64(rng.IntN(3))/2)
+		g.SetHealth(run.now, up, float64(rng.IntN(3))/2)
 	case op < 18:
-		at := rng.IntN(len(w.ups))
-		w.ups[at].Leaving = !w.ups[at].Leaving
-		w.take(g.SetUpstreams(w.now, w.ups[rng.IntN(2):]))
+		at := rng.IntN(len(run.ups))
+		run.ups[at].Leaving = !run.ups[at].Leaving
+		run.apply(g.SetUpstreams(run.now, run.ups[rng.IntN(2):]))
 	default:
-		decisions, _ := g.Advance(w.now)
-		w.take(decisions)
-		conserving := !g.queue.Ready() || !g.hasPlace(w.now) || g.triesSpent
-		assert.Assert(w.t, conserving, "a request waits beside a free place")
+		decisions, _ := g.Advance(run.now)
+		run.apply(decisions)
+		workConserving := !g.queue.Ready() || !g.hasFreeSlots(run.now) || g.queueUnfinished
+		assert.Assert(run.t, workConserving, "a request waits although a slot is free")
 	}
 }
 
-// Clients hang up, prefills fail, upstreams crash, leave and come back, and each of
-// these ends a request in another way. A way that forgets a slot or memory is not
-// noticed at once: the service holds fewer and fewer requests until a restart.
-func TestNothingIsHeldAfterTheRequest(t *testing.T) {
+// Guards against leaks of slots, memory and link bookings when a request ends because
+// its client disconnects, its prefill fails, or its upstream crashes, leaves or
+// returns. A leak is not noticed immediately: the service accepts fewer and fewer
+// requests until a restart.
+func TestRequestsReleaseAllResources(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(16) {
-		w := &walk{
+		run := &randomRun{
 			t: t, rng: rand.New(rand.NewPCG(seed, 2)), g: New(Config{}),
 			ups: pisar.upstreams(1 << 30), now: epoch, waiting: map[string]bool{},
 		}
-		w.take(w.g.SetUpstreams(w.now, w.ups))
+		run.apply(run.g.SetUpstreams(run.now, run.ups))
 		for range 1500 {
-			w.step()
+			run.step()
 		}
-		for len(w.granted) > 0 {
-			id := w.granted[0].ID
-			w.granted = w.granted[1:]
-			w.take(w.g.Release(w.now, id, Outcome{Kind: OutcomeCancelled}))
+		for len(run.granted) > 0 {
+			id := run.granted[0].ID
+			run.granted = run.granted[1:]
+			run.apply(run.g.Release(run.now, id, Outcome{Kind: OutcomeCancelled}))
 		}
-		w.now = w.now.Add(time.Minute)
-		decisions, _ := w.g.Advance(w.now)
-		w.take(decisions)
-		for len(w.granted) > 0 {
-			id := w.granted[0].ID
-			w.granted = w.granted[1:]
-			w.take(w.g.Release(w.now, id, Outcome{Kind: OutcomeDone}))
+		run.now = run.now.Add(time.Minute)
+		decisions, _ := run.g.Advance(run.now)
+		run.apply(decisions)
+		for len(run.granted) > 0 {
+			id := run.granted[0].ID
+			run.granted = run.granted[1:]
+			run.apply(run.g.Release(run.now, id, Outcome{Kind: OutcomeDone}))
 		}
-		assert.Equal(t, len(w.waiting), 0)
-		assert.Equal(t, len(w.g.grants)+len(w.g.shares)+len(w.g.parked)+w.g.queued(), 0)
-		for _, u := range w.g.byName {
-			assert.Equal(t, u.account.Used(w.now).Requests+u.account.Used(w.now).Pieces, 0)
-			assert.Equal(t, u.link.Bookings()+len(u.holds), 0)
+		assert.Equal(t, len(run.waiting), 0)
+		assert.Equal(t, len(run.g.grants)+len(run.g.usage)+len(run.g.parked)+run.g.queueLength(), 0)
+		for _, u := range run.g.byName {
+			assert.Equal(t, u.capacity.Used(run.now).Requests+u.capacity.Used(run.now).Pieces, 0)
+			assert.Equal(t, u.link.Bookings()+len(u.grants), 0)
 		}
 	}
 }
 
-// A scheduler takes over while decodes run that another one granted. If it counts
-// them in the upstream's report and again when their instances tell of them, half
-// the slots stay empty; if it counts neither, decodes are refused after their
-// prefill was paid for.
+// Guards against miscounted decodes after a takeover from another scheduler. If they
+// are counted both from the upstream's report and from their instances, half of the
+// slots stay empty; if they are not counted at all, upstreams refuse decodes after
+// their prefill.
 func TestTakeoverCountsRunningRequestsOnce(t *testing.T) {
 	g := New(Config{FirstGrantID: 100})
 	g.SetUpstreams(epoch, pisar.upstreams(0))
-	g.Report(epoch, "sink-0", LoadReport{Running: 15, PiecesUsed: 30})
-	running := func() int { return g.byName["sink-0"].account.Used(epoch).Requests }
+	g.Report(epoch, "serving-0", LoadReport{Running: 15, PiecesUsed: 30})
+	running := func() int { return g.byName["serving-0"].capacity.Used(epoch).Requests }
 	assert.Equal(t, running(), 15)
 	for id := range uint64(12) {
-		g.Adopt(epoch, ActiveGrant{ID: 50 + id, RequestID: fmt.Sprint(id), Organisation: "o", Decode: "sink-0", Pieces: 2})
+		g.Adopt(epoch, ActiveGrant{ID: 50 + id, RequestID: fmt.Sprint(id), Organisation: "o", Decode: "serving-0", Pieces: 2})
 	}
 	assert.Equal(t, running(), 15)
-	g.Report(epoch, "sink-0", LoadReport{Running: 3})
+	g.Report(epoch, "serving-0", LoadReport{Running: 3})
 	assert.Equal(t, running(), 12)
 	for id := range uint64(12) {
 		g.Release(epoch, 50+id, Outcome{Kind: OutcomeDone})
--- a/decision/group/recover_test.go
+++ b/decision/group/recover_test.go
@@ -11,20 +11,21 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// A decode engine answers far too slowly for a while, so that its limit of
-// requests is cut to one, and is well again. Its peers have room, so it would
-// never be chosen, never show that it is well, and stay unused until its
-// scheduler moves; operators saw one idle beside busy peers and nothing in the log.
-func TestAnEngineThatWasSlowIsTriedAgain(t *testing.T) {
+// Guards against a decode engine that stays unused after it recovers. While it was
+// slow, its limit was cut to one request; the other engines have capacity, so it
+// would never be chosen and could not show that it is fast again until another
+// scheduler takes over. Operators saw an idle engine next to busy ones and nothing in
+// the log.
+func TestRecoveredEngineIsUsedAgain(t *testing.T) {
 	now := time.Unix(0, 0)
 	g := New(Config{})
 	g.SetUpstreams(now, []Upstream{
 		{Name: "p", Role: object.RolePrefill, Slots: 8},
-		{Name: "well", Role: object.RoleDecode, Slots: 20, Pieces: 400},
+		{Name: "healthy", Role: object.RoleDecode, Slots: 20, Pieces: 400},
 		{Name: "slow", Role: object.RoleDecode, Slots: 20, Pieces: 400},
 	})
 	served := map[string]int{}
-	request := func(n int, slow bool) {
+	run := func(n int, slow bool) {
 		decisions := g.Submit(now, Request{
 			ID: fmt.Sprint(n), Organisation: "o", Class: request.Interactive,
 			PromptTokens: 100, MaxTokens: 100, Arrived: now, Deadline: now.Add(time.Minute),
@@ -43,11 +44,11 @@
 		})
 	}
 	for n := range 50 {
-		request(n, true)
+		run(n, true)
 	}
-	before := served["slow"]
+	servedWhileSlow := served["slow"]
 	for n := range 900 {
-		request(100+n, false)
+		run(100+n, false)
 	}
-	assert.Assert(t, served["slow"]-before > 50, "it got %d of 900 after it was well again", served["slow"]-before)
+	assert.Assert(t, served["slow"]-servedWhileSlow > 50, "it got %d of 900 requests after it recovered", served["slow"]-servedWhileSlow)
 }
--- a/decision/group/release.go
+++ b/decision/group/release.go
@@ -8,121 +8,122 @@
 	"github.com/cairnworks/cairnworks/decision/transfer"
 )
 
-// PrefillDone frees the prefill place of a grant whose decode goes on. A driver
-// that never calls it has its prefill places freed at their estimated end.
+// PrefillDone frees the prefill slot of a grant and keeps the rest. If the caller
+// never calls it, prefill slots are freed after a timeout based on the estimate.
 func (g *Group) PrefillDone(now time.Time, grantID uint64) []Decision {
-	g.tellsPrefill = true
-	h := g.grants[grantID]
-	if h == nil || !h.prefilling {
+	g.prefillDoneReported = true
+	rec := g.grants[grantID]
+	if rec == nil || !rec.prefilling {
 		return nil
 	}
-	g.freePrefill(now, h)
-	g.estimate.prefillHeld(now.Sub(h.granted))
-	// The transfer starts now, not when the prefill was expected to end; a booking
-	// left there would keep others off a link that is idle.
-	h.unbook()
-	h.book(transfer.Earliest(&h.from.link, &h.to.link, now, h.transfer))
-	for _, hash := range h.prefix {
-		g.cache.Store(now, h.from.index, hash)
+	g.freePrefill(now, rec)
+	g.estimates.observePrefill(now.Sub(rec.grantedAt))
+	// The transfer can start now instead of at the expected end of the prefill. The
+	// old booking would keep other transfers off an idle link.
+	rec.cancelLinks()
+	rec.bookLinks(transfer.Earliest(&rec.prefillUpstream.link, &rec.servingUpstream.link, now, rec.transferDuration))
+	for _, hash := range rec.prefixHashes {
+		g.prefixIndex.Store(now, rec.prefillUpstream.index, hash)
 	}
 	return g.dispatch(now)
 }
 
-// Release frees everything that a grant holds. Unknown grants are ignored, so
-// that a release can be repeated.
+// Release frees everything that a grant holds. It ignores unknown grants, so that a
+// release may be repeated.
 func (g *Group) Release(now time.Time, grantID uint64, out Outcome) []Decision {
-	h := g.grants[grantID]
-	if h == nil {
+	rec := g.grants[grantID]
+	if rec == nil {
 		return nil
 	}
 	delete(g.grants, grantID)
-	g.freePrefill(now, h)
-	h.to.unhold(now, h)
-	g.dropShare(h)
-	h.unbook()
-	if !h.adopted {
-		g.learn(now, h, out)
+	g.freePrefill(now, rec)
+	rec.servingUpstream.removeGrant(now, rec)
+	g.removeUsage(rec)
+	rec.cancelLinks()
+	if !rec.adopted {
+		g.recordOutcome(now, rec, out)
 	}
 	if u := g.byName[out.FailedUpstream]; u != nil && out.Kind == OutcomeUpstreamCrashed {
-		g.cache.Reset(u.index)
+		g.prefixIndex.Reset(u.index)
 	}
-	if h.to.gone || (h.from != nil && h.from.gone) {
-		g.forgetGone()
+	if rec.servingUpstream.removed || (rec.prefillUpstream != nil && rec.prefillUpstream.removed) {
+		g.deleteRemovedUpstreams()
 	}
-	g.changed = true
-	g.resume()
+	g.capacityChanged = true
+	g.resumeKeys()
 	return g.dispatch(now)
 }
 
-func (g *Group) freePrefill(now time.Time, h *held) {
-	if !h.prefilling {
+func (g *Group) freePrefill(now time.Time, rec *grantRecord) {
+	if !rec.prefilling {
 		return
 	}
-	h.prefilling = false
-	g.changed = true
-	h.from.account.Free(now, 0)
+	rec.prefilling = false
+	g.capacityChanged = true
+	rec.prefillUpstream.capacity.Free(now, 0)
 }
 
-// prefillBy is when a prefill place is taken for free without being told.
-func (h *held) prefillBy() time.Time {
-	return h.granted.Add(time.Duration(prefillGrace * float64(h.prefillEstimate)))
+// prefillTimeout is when the prefill slot is freed if PrefillDone is never called.
+func (rec *grantRecord) prefillTimeout() time.Time {
+	return rec.grantedAt.Add(time.Duration(prefillTimeoutFactor * float64(rec.expectedPrefill)))
 }
 
-func (g *Group) freeUntoldPrefills(now time.Time) {
-	if g.tellsPrefill {
-		g.untold = nil
+func (g *Group) freeTimedOutPrefills(now time.Time) {
+	if g.prefillDoneReported {
+		g.timedPrefills = nil
 		return
 	}
-	g.untold = slices.DeleteFunc(g.untold, func(h *held) bool {
-		if h.prefilling && !h.prefillBy().After(now) {
-			g.freePrefill(now, h)
+	g.timedPrefills = slices.DeleteFunc(g.timedPrefills, func(rec *grantRecord) bool {
+		if rec.prefilling && !rec.prefillTimeout().After(now) {
+			g.freePrefill(now, rec)
 		}
-		return !h.prefilling
+		return !rec.prefilling
 	})
 }
 
-// learn feeds the estimates and settles the organisation's charge by what the
-// attempt really used.
-func (g *Group) learn(now time.Time, h *held, out Outcome) {
-	took := now.Sub(h.granted)
-	prefilled := min(took, h.prefillEstimate)
+// recordOutcome updates the estimates and corrects the cost charged to the
+// organisation to what the attempt actually used.
+func (g *Group) recordOutcome(now time.Time, rec *grantRecord, out Outcome) {
+	held := now.Sub(rec.grantedAt)
+	prefillTime := min(held, rec.expectedPrefill)
 	if out.Prefill > 0 {
-		prefilled = min(took, out.Prefill)
+		prefillTime = min(held, out.Prefill)
 	}
-	cost := prefilled.Seconds() + (took-prefilled).Seconds()*h.engineShare
-	g.queue.Settle(h.class, h.Organisation, h.key, cost-h.cost)
-	g.estimate.released(took, cost)
+	cost := prefillTime.Seconds() + (held-prefillTime).Seconds()*rec.engineShare
+	g.queue.Settle(rec.class, rec.Organisation, rec.keyID, cost-rec.cost)
+	g.estimates.observeRelease(held, cost)
 	if out.Kind != OutcomeDone {
 		return
 	}
-	g.estimate.answered(h, out)
-	if h.from != nil && out.Prefill > 0 {
-		g.learnPrefill(h, out.Prefill)
-		if !g.tellsPrefill {
-			g.estimate.prefillHeld(out.Prefill)
+	g.estimates.observeAnswer(rec, out)
+	if rec.prefillUpstream != nil && out.Prefill > 0 {
+		g.recordPrefillTime(rec, out.Prefill)
+		if !g.prefillDoneReported {
+			g.estimates.observePrefill(out.Prefill)
 		}
 	}
 	if out.OutputTokens > 1 && out.Decode > 0 {
 		between := out.Decode / time.Duration(out.OutputTokens-1)
-		h.to.account.Observe(now, placement.Answer{
-			Granted: h.granted, RunningAtGrant: h.runningAtGrant,
+		rec.servingUpstream.capacity.Observe(now, placement.Answer{
+			Granted: rec.grantedAt, RunningAtGrant: rec.runningAtGrant,
 			BetweenTokens: between, Target: g.cfg.BetweenTokens,
-			Policy:    g.cfg.tune.limit,
-			GroupSlow: g.estimate.step() > g.cfg.BetweenTokens,
+			Policy:    g.cfg.tuning.limitPolicy,
+			GroupSlow: g.estimates.stepTime() > g.cfg.BetweenTokens,
 		})
 	}
 }
 
-// learnPrefill learns the speed from prompts without believed cached tokens, and
-// from the others how far beliefs hold. Learnt from all, wrong beliefs would pass
-// for slow engines.
-func (g *Group) learnPrefill(h *held, took time.Duration) {
-	without := g.estimate.speed.Estimate(h.prompt)
-	if h.uncached == h.prompt {
-		h.from.speed.Learn(without, took)
-		g.estimate.speed.Learn(h.prompt, took)
+// recordPrefillTime updates the speed estimates from prompts that were expected to
+// have no cached tokens. Other prompts update only the estimate of how reliable the
+// prefix index is: if they updated the speed, errors of the index would look like
+// slow engines.
+func (g *Group) recordPrefillTime(rec *grantRecord, took time.Duration) {
+	fullPrefill := g.estimates.speed.Estimate(rec.promptTokens)
+	if rec.uncachedTokens == rec.promptTokens {
+		rec.prefillUpstream.speed.Learn(fullPrefill, took)
+		g.estimates.speed.Learn(rec.promptTokens, took)
 		return
 	}
-	with := g.estimate.speed.Estimate(h.uncached)
-	g.trust.Learn(h.from.speed.Estimate(without), h.from.speed.Estimate(with), took)
+	cachedPrefill := g.estimates.speed.Estimate(rec.uncachedTokens)
+	g.cacheTrust.Learn(rec.prefillUpstream.speed.Estimate(fullPrefill), rec.prefillUpstream.speed.Estimate(cachedPrefill), took)
 }
--- a/decision/group/status.go
+++ b/decision/group/status.go
@@ -6,7 +6,7 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// Status reports queue lengths and use per upstream.
+// Status returns the queue lengths and the usage of each upstream.
 func (g *Group) Status(now time.Time) Status {
 	status := Status{
 		QueuedInteractive: g.queue.Len(request.Interactive),
@@ -20,13 +20,13 @@
 			status.QueuedInteractive++
 		}
 	}
-	for _, u := range g.ordered {
-		used := u.account.Used(now)
+	for _, u := range g.upstreams {
+		used := u.capacity.Used(now)
 		status.Upstreams = append(status.Upstreams, UpstreamStatus{
 			Name: u.spec.Name, Role: u.spec.Role,
-			Running: used.Requests, Slots: u.account.Slots,
-			PiecesUsed: used.Pieces, Pieces: u.account.Pieces,
-			Health: u.health, Leaving: u.spec.Leaving || u.leaving,
+			Running: used.Requests, Slots: u.capacity.Slots,
+			PiecesUsed: used.Pieces, Pieces: u.capacity.Pieces,
+			Health: u.health, Leaving: u.spec.Leaving || u.reportedLeaving,
 		})
 	}
 	return status
--- a/decision/group/submit.go
+++ b/decision/group/submit.go
@@ -10,39 +10,42 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Submit adds a request. It is refused at once when it cannot meet its target or
-// deadline behind what already waits. The decisions may concern other requests too.
+// Submit adds a request. The request is refused immediately if it cannot meet its
+// target or deadline after the requests that already wait. The decisions may include
+// those of other requests.
 func (g *Group) Submit(now time.Time, req Request) []Decision {
-	g.unqueue(req.ID)
-	// Places that came free with time are given to those that wait before the new
-	// request is judged; else it could be refused beside a free place.
-	g.serve(now)
+	g.removeWaiting(req.ID)
+	// Capacity that became free with time is granted to waiting requests before the
+	// admission check; otherwise the new request could be refused although a slot is
+	// free.
+	g.schedule(now)
 	w := g.newWaiter(now, req)
-	if refusal := g.refusal(now, w); refusal != nil {
+	if refusal := g.checkAdmission(now, w); refusal != nil {
 		g.refuse(w, refusal)
 		return g.dispatch(now)
 	}
 	w.item = &queue.Item[*waiter]{
 		ID: w.ID, Organisation: w.Organisation, Key: w.KeyID, Class: w.Class,
-		Cost: w.cost, LatestStart: w.latest, Value: w,
+		Cost: w.cost, LatestStart: w.latestStart, Value: w,
 	}
 	g.queue.Push(w.item)
 	return g.dispatch(now)
 }
 
-// Withdraw removes a waiting request whose caller is gone. It gets no decision.
+// Withdraw removes a waiting request whose caller has disconnected, without a
+// decision for it.
 func (g *Group) Withdraw(now time.Time, requestID string) []Decision {
-	g.unqueue(requestID)
+	g.removeWaiting(requestID)
 	return g.dispatch(now)
 }
 
-func (g *Group) unqueue(requestID string) {
+func (g *Group) removeWaiting(requestID string) {
 	if g.queue.Remove(requestID) {
 		return
 	}
 	for i, w := range g.parked {
 		if w.ID == requestID {
-			g.drop(i)
+			g.removeParked(i)
 			return
 		}
 	}
@@ -59,15 +62,15 @@
 		req.Deadline = req.Arrived.Add(g.cfg.FirstToken)
 	}
 	w := &waiter{Request: req, submitted: now}
-	w.cost = g.estimate.cost(w, g.engineShare(w))
-	w.latest = g.latestStart(w)
+	w.cost = g.estimates.cost(w, g.engineShare(w))
+	w.latestStart = g.latestStart(w)
 	return w
 }
 
-// bound is when the first token is due. The target binds interactive first
-// attempts; a later attempt has lost time to a fault and may use all of its
-// deadline, and so may deferrable requests.
-func (g *Group) bound(w *waiter) time.Time {
+// firstTokenDeadline is when the first token is due. The target applies to the first
+// attempt of interactive requests. A later attempt has lost time to a failure and may
+// use its whole deadline, as deferrable requests may.
+func (g *Group) firstTokenDeadline(w *waiter) time.Time {
 	target := w.Arrived.Add(g.cfg.FirstToken)
 	if w.Class == request.Interactive && w.Attempt <= 1 && target.Before(w.Deadline) {
 		return target
@@ -75,80 +78,85 @@
 	return w.Deadline
 }
 
+// latestStart is the latest time at which a grant still lets the request meet its
+// deadline.
 func (g *Group) latestStart(w *waiter) time.Time {
-	bound := g.bound(w)
-	need := g.estimate.needed(w)
-	most := time.Duration((1 - g.cfg.tune.waitPart) * float64(bound.Sub(w.submitted)))
-	return bound.Add(-max(0, min(need, most)))
+	deadline := g.firstTokenDeadline(w)
+	needed := g.estimates.timeToFirstToken(w)
+	maxReserve := time.Duration((1 - g.cfg.tuning.minWaitShare) * float64(deadline.Sub(w.submitted)))
+	return deadline.Add(-max(0, min(needed, maxReserve)))
 }
 
-// refusal returns the verdict of a request that is not let into the queue, or nil.
-func (g *Group) refusal(now time.Time, w *waiter) *verdict.Verdict {
+// checkAdmission returns the refusal of a request that must not be queued, or nil.
+func (g *Group) checkAdmission(now time.Time, w *waiter) *verdict.Verdict {
 	if !g.anyUsable() {
-		return verdict.Refuse(verdict.ReasonNoUpstream, noUpstreamRetry, "no upstream of the service takes work")
+		return verdict.Refuse(verdict.ReasonNoUpstream, noUpstreamRetryAfter, "no upstream of the service takes work")
 	}
-	if !g.everFits(w) {
+	if !g.canEverFit(w) {
 		return verdict.Refuse(verdict.ReasonPromptTooLong, 0, "prompt and answer pass the memory of every upstream")
 	}
-	wait := g.wait(now, w)
-	if !now.Before(g.bound(w)) {
-		return verdict.Refuse(verdict.ReasonDeadlineUnmeetable, g.advice(now, w), "the deadline has passed")
+	wait := g.expectedWait(now, w)
+	if !now.Before(g.firstTokenDeadline(w)) {
+		return verdict.Refuse(verdict.ReasonDeadlineUnmeetable, g.retryAfter(now, w), "the deadline has passed")
 	}
-	if g.estimate.learnt() && now.Add(wait).After(w.latest) {
-		return verdict.Refuse(verdict.ReasonDeadlineUnmeetable, g.advice(now, w),
+	if g.estimates.hasEnoughOutcomes() && now.Add(wait).After(w.latestStart) {
+		return verdict.Refuse(verdict.ReasonDeadlineUnmeetable, g.retryAfter(now, w),
 			"expected wait of %s is too long for the deadline", wait.Round(time.Millisecond))
 	}
 	return nil
 }
 
 func (g *Group) anyUsable() bool {
-	return anyUsable(g.sinks) && (g.cfg.Kind == object.KindPlain || anyUsable(g.entries))
+	return anyUsable(g.servingUpstreams) && (g.cfg.Kind == object.KindPlain || anyUsable(g.prefillUpstreams))
 }
 
 func anyUsable(ups []*upstream) bool { return slices.ContainsFunc(ups, (*upstream).usable) }
 
-func (g *Group) everFits(w *waiter) bool {
+// canEverFit reports whether a usable upstream has enough memory for the request
+// when it is empty.
+func (g *Group) canEverFit(w *waiter) bool {
 	if g.cfg.Kind == object.KindPlain {
 		return true
 	}
-	for _, u := range g.sinks {
+	for _, u := range g.servingUpstreams {
 		if !u.usable() {
 			continue
 		}
-		if u.account.PiecesFor(w.PromptTokens, w.MaxTokens) <= u.account.Pieces {
+		if u.capacity.PiecesFor(w.PromptTokens, w.MaxTokens) <= u.capacity.Pieces {
 			return true
 		}
 	}
 	return false
 }
 
-// wait estimates how long a new request waits for its grant.
-func (g *Group) wait(now time.Time, w *waiter) time.Duration {
-	// What is parked or suspended waits for memory or a link that this request may
-	// not need.
-	if !g.queue.Ready() && g.hasPlace(now) {
+// expectedWait estimates how long a new request waits for its grant.
+func (g *Group) expectedWait(now time.Time, w *waiter) time.Duration {
+	// Parked requests and skipped keys wait for memory or a link that this request
+	// may not need.
+	if !g.queue.Ready() && g.hasFreeSlots(now) {
 		return 0
 	}
 	ahead := g.queue.Ahead(w.Class, w.Organisation, w.KeyID, w.cost)
-	for _, p := range g.parked {
-		// Large parked requests gather memory on upstreams of their own.
-		ahead += min(p.cost, w.cost)
+	for _, parked := range g.parked {
+		// A large parked request reserves memory on an upstream of its own, so it
+		// delays this one by no more than a request of the same size.
+		ahead += min(parked.cost, w.cost)
 	}
 	share := g.cfg.DeferrableShare
-	interval := g.interval(now)
+	interval := g.grantInterval(now)
 	if w.Class == request.Deferrable {
 		ahead += g.queue.Cost(request.Interactive)
-		ahead /= max(share, 1-g.estimate.interactiveLoad(now, interval))
-		return min(g.estimate.drainTime(ahead, interval), g.fairWait(w))
+		ahead /= max(share, 1-g.estimates.interactiveLoad(now, interval))
+		return min(g.estimates.drainTime(ahead, interval), g.fairShareWait(w))
 	}
 	ahead += min(g.queue.Cost(request.Deferrable), ahead*share/(1-share))
-	return g.estimate.drainTime(ahead, interval)
+	return g.estimates.drainTime(ahead, interval)
 }
 
-func (g *Group) queued() int {
+func (g *Group) queueLength() int {
 	return g.queue.Len(request.Interactive) + g.queue.Len(request.Deferrable)
 }
 
-func (g *Group) refuse(w *waiter, v *verdict.Verdict) {
-	g.out = append(g.out, Decision{RequestID: w.ID, Refusal: v})
+func (g *Group) refuse(w *waiter, refusal *verdict.Verdict) {
+	g.decisions = append(g.decisions, Decision{RequestID: w.ID, Refusal: refusal})
 }
--- a/decision/group/sweep_test.go
+++ b/decision/group/sweep_test.go
@@ -2,17 +2,18 @@
 
 import (
 	"fmt"
-	"github.com/cairnworks/cairnworks/decision/placement"
 	"testing"
+
+	"github.com/cairnworks/cairnworks/decision/placement"
 )
 
-// sweep is one constant, the load that shows its effect, and the values tried.
+// sweep varies one constant under a load that shows its effect.
 type sweep struct {
 	name    string
 	site    site
 	pattern string
 	values  []float64
-	set     func(c *Config, v float64)
+	apply   func(c *Config, v float64)
 }
 
 var sweeps = []sweep{
@@ -20,56 +21,56 @@
 		func(c *Config, v float64) { c.DeferrableShare = v }},
 	{"queue.PreferenceLead", pisar, "hot caller", []float64{1, 10, 30, 100, 1e9},
 		func(c *Config, v float64) { c.PreferenceLead = v }},
-	{"kvSafePart", giltScribe, "narrow links", []float64{0.1, 0.25, 0.4, 0.6, 0.9},
-		func(c *Config, v float64) { c.tune.kvSafePart = v }},
-	{"waitPart", pisar, "long at capacity", []float64{0.05, 0.1, 0.25, 0.5, 0.9},
-		func(c *Config, v float64) { c.tune.waitPart = v }},
-	{"deviations", giltScribe, "overload 1.5", []float64{0.1, 1, 2, 4, 8},
-		func(c *Config, v float64) { c.tune.deviations = v }},
-	{"deviations (plain)", leafDesk, "overload 1.5", []float64{0.1, 1, 2, 4, 8},
-		func(c *Config, v float64) { c.tune.deviations = v }},
+	{"transferBudgetShare", giltScribe, "narrow links", []float64{0.1, 0.25, 0.4, 0.6, 0.9},
+		func(c *Config, v float64) { c.tuning.transferBudgetShare = v }},
+	{"minWaitShare", pisar, "long at capacity", []float64{0.05, 0.1, 0.25, 0.5, 0.9},
+		func(c *Config, v float64) { c.tuning.minWaitShare = v }},
+	{"deviationMultiplier", giltScribe, "overload 1.5", []float64{0.1, 1, 2, 4, 8},
+		func(c *Config, v float64) { c.tuning.deviationMultiplier = v }},
+	{"deviationMultiplier (plain)", leafDesk, "overload 1.5", []float64{0.1, 1, 2, 4, 8},
+		func(c *Config, v float64) { c.tuning.deviationMultiplier = v }},
 	{"maxParked", giltScribe, "narrow links", []float64{1, 4, 8, 16},
-		func(c *Config, v float64) { c.tune.maxParked = int(v) }},
-	{"maxMisses", pisar, "flood of long", []float64{1, 2, 4, 16},
-		func(c *Config, v float64) { c.tune.maxMisses = int(v) }},
-	{"maxResumed", pisar, "flood of long", []float64{1, 4, 16},
-		func(c *Config, v float64) { c.tune.maxResumed = int(v) }},
+		func(c *Config, v float64) { c.tuning.maxParked = int(v) }},
+	{"maxFailedPlacements", pisar, "flood of long", []float64{1, 2, 4, 16},
+		func(c *Config, v float64) { c.tuning.maxFailedPlacements = int(v) }},
+	{"maxResumedKeys", pisar, "flood of long", []float64{1, 4, 16},
+		func(c *Config, v float64) { c.tuning.maxResumedKeys = int(v) }},
 	{"claims (1) or none (0)", pisar, "long at capacity", []float64{0, 1},
-		func(c *Config, v float64) { c.tune.noClaims = v == 0 }},
+		func(c *Config, v float64) { c.tuning.disableClaims = v == 0 }},
 	{"claims (1) or none (0)", pisar, "flood of long", []float64{0, 1},
-		func(c *Config, v float64) { c.tune.noClaims = v == 0 }},
+		func(c *Config, v float64) { c.tuning.disableClaims = v == 0 }},
 	{"claims (1) or none (0)", giltScribe, "long at capacity", []float64{0, 1},
-		func(c *Config, v float64) { c.tune.noClaims = v == 0 }},
+		func(c *Config, v float64) { c.tuning.disableClaims = v == 0 }},
 	{"prefix affinity (1) or none (0)", pisar, "slow upstream", []float64{0, 1},
-		func(c *Config, v float64) { c.tune.noAffinity = v == 0 }},
+		func(c *Config, v float64) { c.tuning.disablePrefixAffinity = v == 0 }},
 	{"prefix affinity (1) or none (0)", giltScribe, "burst", []float64{0, 1},
-		func(c *Config, v float64) { c.tune.noAffinity = v == 0 }},
+		func(c *Config, v float64) { c.tuning.disablePrefixAffinity = v == 0 }},
 	{"prefix affinity (1) or none (0)", pisar, "overload 1.5", []float64{0, 1},
-		func(c *Config, v float64) { c.tune.noAffinity = v == 0 }},
+		func(c *Config, v float64) { c.tuning.disablePrefixAffinity = v == 0 }},
 	{"LimitPolicy.DeepestCut", giltScribe, "slow upstream", []float64{0.25, 0.5, 0.75, 0.9},
 		func(c *Config, v float64) {
-			c.tune.limit = placement.LimitPolicy{DeepestCut: v, Tolerance: 1.05, LowestPart: 0.25}
+			c.tuning.limitPolicy = placement.LimitPolicy{DeepestCut: v, Tolerance: 1.05, LowestPart: 0.25}
 		}},
 	{"LimitPolicy.Tolerance", giltScribe, "slow upstream", []float64{1.001, 1.05, 1.2, 1.5, 100},
 		func(c *Config, v float64) {
-			c.tune.limit = placement.LimitPolicy{DeepestCut: 0.5, Tolerance: v, LowestPart: 0.25}
+			c.tuning.limitPolicy = placement.LimitPolicy{DeepestCut: 0.5, Tolerance: v, LowestPart: 0.25}
 		}},
 }
 
-// TestSweeps prints the effect of each constant, means of three seeds:
+// TestSweeps prints the effect of each constant as means over tableSeeds seeds:
 //
 //	go test ./decision/group -run TestSweeps -v
 func TestSweeps(t *testing.T) {
-	printed(t)
-	fmt.Println("| constant | load | value | goodput /s | within targets | wasted prefill | prefill ms an answer | worst organisation | refused in rate | long answered |")
+	skipUnlessNamed(t)
+	fmt.Println("| constant | load | value | goodput /s | within targets | wasted prefill | prefill ms per answer | worst organisation | refused in rate | long answered |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, sw := range sweeps {
 		for _, v := range sw.values {
 			cfg := Config{}.withDefaults()
-			sw.set(&cfg, v)
-			m := sw.site.mean(sw.pattern, cfg, false)
+			sw.apply(&cfg, v)
+			m := sw.site.meanOverSeeds(sw.pattern, cfg, false)
 			fmt.Printf("| %s | %s, %s | %g | %.1f | %.3f | %.4f | %.0f | %.3f | %.3f | %.2f |\n", sw.name, sw.site.name, sw.pattern, v,
-				m.goodput, m.goodPart, m.wasted, m.prefillEach*1000, m.worst, m.refused, m.longServed)
+				m.goodput, m.withinTargets, m.wastedPrefill, m.prefillPerAnswer*1000, m.worstOrganisation, m.refusedWithinRate, m.longAnswered)
 		}
 	}
 }
--- a/decision/group/table_test.go
+++ b/decision/group/table_test.go
@@ -7,50 +7,51 @@
 	"testing"
 )
 
-// printed skips a test that only prints figures unless it is asked for by name.
-func printed(t *testing.T) {
+// skipUnlessNamed skips a test that only prints figures unless -run names it.
+func skipUnlessNamed(t *testing.T) {
 	if run := flag.Lookup("test.run"); run == nil || !strings.Contains(run.Value.String(), t.Name()) {
-		t.Skip("prints figures; run by name")
+		t.Skip("only prints figures; select it by name with -run")
 	}
 }
 
-const printedSeeds = 3
+const tableSeeds = 3
 
-// mean is what a version of the decisions gives under a pattern over some seeds.
-func (s site) mean(pattern string, cfg Config, useNaive bool) measures {
+// meanOverSeeds returns the mean results of a pattern over tableSeeds seeds, except
+// that refusedWithFreeSlot is the sum.
+func (s site) meanOverSeeds(pattern string, cfg Config, useBaseline bool) measures {
 	var sum measures
-	for seed := range uint64(printedSeeds) {
-		sum.add(s.named(pattern, seed+1, cfg, useNaive), 1.0/printedSeeds)
+	for seed := range uint64(tableSeeds) {
+		sum.add(s.runPattern(pattern, seed+1, cfg, useBaseline), 1.0/tableSeeds)
 	}
 	return sum
 }
 
 func (m *measures) add(o measures, weight float64) {
 	m.goodput += weight * o.goodput
-	m.goodPart += weight * o.goodPart
-	m.wasted += weight * o.wasted
-	m.prefillEach += weight * o.prefillEach
-	m.worst += weight * o.worst
-	m.refused += weight * o.refused
-	m.longServed += weight * o.longServed
-	m.worstKey += weight * o.worstKey
-	m.refusedFree += o.refusedFree
+	m.withinTargets += weight * o.withinTargets
+	m.wastedPrefill += weight * o.wastedPrefill
+	m.prefillPerAnswer += weight * o.prefillPerAnswer
+	m.worstOrganisation += weight * o.worstOrganisation
+	m.refusedWithinRate += weight * o.refusedWithinRate
+	m.longAnswered += weight * o.longAnswered
+	m.worstQuietKey += weight * o.worstQuietKey
+	m.refusedWithFreeSlot += o.refusedWithFreeSlot
 }
 
-// TestLoadTable prints the table of docs/LOAD.md, naive / ours:
+// TestLoadTable prints the table of docs/LOAD.md as baseline / Group:
 //
 //	go test ./decision/group -run TestLoadTable -v
 func TestLoadTable(t *testing.T) {
-	printed(t)
+	skipUnlessNamed(t)
 	for _, s := range []site{pisar, giltScribe, dezurstva, leafDesk} {
 		fmt.Printf("\n### %s (capacity %.1f requests a second)\n\n", s.name, s.capacity())
-		fmt.Println("| pattern | goodput /s | within targets | wasted prefill | worst organisation | refused in rate | beside a free place | quiet keys |")
+		fmt.Println("| pattern | goodput /s | within targets | wasted prefill | worst organisation | refused in rate | refused with a free slot | quiet keys |")
 		fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- |")
 		for _, pat := range patterns {
-			n, o := s.mean(pat.name, Config{}, true), s.mean(pat.name, Config{}, false)
+			baseline, group := s.meanOverSeeds(pat.name, Config{}, true), s.meanOverSeeds(pat.name, Config{}, false)
 			fmt.Printf("| %s | %.1f / %.1f | %.3f / %.3f | %.4f / %.4f | %.2f / %.2f | %.3f / %.3f | - / %d | %.2f / %.2f |\n", pat.name,
-				n.goodput, o.goodput, n.goodPart, o.goodPart, n.wasted, o.wasted, n.worst, o.worst,
-				n.refused, o.refused, o.refusedFree, n.worstKey, o.worstKey)
+				baseline.goodput, group.goodput, baseline.withinTargets, group.withinTargets, baseline.wastedPrefill, group.wastedPrefill, baseline.worstOrganisation, group.worstOrganisation,
+				baseline.refusedWithinRate, group.refusedWithinRate, group.refusedWithFreeSlot, baseline.worstQuietKey, group.worstQuietKey)
 		}
 	}
 }
--- a/decision/group/types.go
+++ b/decision/group/types.go
@@ -8,7 +8,7 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Request is one attempt of one request that asks for a place.
+// Request is one attempt of one request to be scheduled.
 type Request struct {
 	// ID is unique among waiting requests. A second Submit with the ID of a
 	// waiting request replaces that request.
@@ -18,49 +18,50 @@
 	Class        request.Class
 	// PromptTokens is the estimated length of the prompt.
 	PromptTokens int
-	// MaxTokens is the most output tokens of the answer.
+	// MaxTokens limits the output tokens of the answer.
 	MaxTokens int
-	// PrefixHashes are hashes of the prompt's leading blocks, shortest first.
+	// PrefixHashes are hashes of the prompt's prefixes in whole blocks, shortest
+	// first.
 	PrefixHashes []uint64
 	Fingerprint  uint64
 	Arrived      time.Time
-	// Deadline is when the first byte stops being useful.
+	// Deadline is the time after which a first byte is no longer useful.
 	Deadline time.Time
 	// Attempt counts from 1.
 	Attempt int
-	// Avoid names upstreams that the request has failed on.
+	// Avoid names upstreams on which earlier attempts failed.
 	Avoid []string
-	// DataCentre of the instance that asks.
+	// DataCentre of the instance that sends the request.
 	DataCentre string
 }
 
-// Grant is a decode slot, memory, link time and a prefill place for one request.
+// Grant reserves a decode slot, memory, link time and a prefill slot for a request.
 type Grant struct {
 	ID        uint64
 	RequestID string
 	// Prefill is empty for plain services.
 	Prefill string
 	Decode  string
-	// Pieces of the decode upstream's memory that are held.
+	// Pieces of the decode upstream's memory that are reserved.
 	Pieces int
-	// TransferAfter is when both links are free for the transfer. Zero for plain
-	// services.
+	// TransferAfter is the earliest time at which the transfer may start, because
+	// both links are free from then on. Zero for plain services.
 	TransferAfter time.Time
 	// Queued is how long the request waited for the grant.
 	Queued time.Duration
 }
 
-// Decision answers one request: exactly one of Grant and Refusal is set.
+// Decision is the result for one request: exactly one of Grant and Refusal is set.
 type Decision struct {
 	RequestID string
 	Grant     *Grant
 	Refusal   *verdict.Verdict
 }
 
-// OutcomeKind is how an attempt ended.
+// OutcomeKind tells how an attempt ended.
 type OutcomeKind uint8
 
-// Ways an attempt ends; the values are those of peer.v1 Outcome.Kind.
+// The values are those of peer.v1 Outcome.Kind.
 const (
 	OutcomeDone OutcomeKind = iota + 1
 	OutcomeCancelled
@@ -70,28 +71,28 @@
 	OutcomeUpstreamCrashed
 )
 
-// Outcome is what became of a grant.
+// Outcome is the result of a granted attempt.
 type Outcome struct {
 	Kind OutcomeKind
 	// Prefill is the duration of the prefill call. Zero if unknown.
 	Prefill time.Duration
 	// FirstToken is the time from the grant to the first token. Zero if unknown.
 	FirstToken time.Duration
-	// Decode is the time from the first to the last token, for a plain service
-	// that of the whole call. Zero if unknown.
+	// Decode is the time from the first to the last token, or the duration of the
+	// whole call for a plain service. Zero if unknown.
 	Decode         time.Duration
 	OutputTokens   int
 	Fingerprint    uint64
 	FailedUpstream string
 }
 
-// Upstream is one back end of the service as the object set gives it.
+// Upstream is one back end of the service as configured in the object set.
 type Upstream struct {
 	Name       string
 	Role       object.Role
 	DataCentre string
 	Slots      int
-	// Pieces of engine memory; 0 means that memory does not limit.
+	// Pieces of engine memory; 0 means unlimited.
 	Pieces int
 	// PieceTokens is the size of a piece; 0 means 2048.
 	PieceTokens int
@@ -101,7 +102,7 @@
 	Leaving bool
 }
 
-// LoadReport is an upstream's lagging report of itself.
+// LoadReport is the load that an upstream reports, which may be out of date.
 type LoadReport struct {
 	Running    int
 	Slots      int
@@ -111,7 +112,8 @@
 	Leaving    bool
 }
 
-// ActiveGrant is a grant that another scheduler gave and an instance still uses.
+// ActiveGrant is a grant that is still in use. Group.Adopt takes those that another
+// scheduler issued.
 type ActiveGrant struct {
 	ID           uint64
 	RequestID    string
@@ -121,24 +123,25 @@
 	Pieces       int
 }
 
-// Status is the scheduler's view of its queue and its upstreams.
+// Status describes the queue and the upstreams.
 type Status struct {
 	QueuedInteractive int
 	QueuedDeferrable  int
 	Granted           int
-	Upstreams         []UpstreamStatus
+	// Upstreams are in the order of SetUpstreams.
+	Upstreams []UpstreamStatus
 }
 
-// UpstreamStatus is the view of one upstream, in the order of SetUpstreams.
+// UpstreamStatus describes one upstream.
 type UpstreamStatus struct {
 	Name string
 	Role object.Role
-	// Running counts this scheduler's grants and believed foreign requests.
+	// Running counts the grants and the reported requests of other schedulers.
 	Running    int
 	Slots      int
 	PiecesUsed int
 	Pieces     int
-	// Health is the weight of SetHealth.
+	// Health is the weight set by SetHealth.
 	Health  float64
 	Leaving bool
 }
--- a/decision/group/upstream.go
+++ b/decision/group/upstream.go
@@ -9,136 +9,141 @@
 	"github.com/cairnworks/cairnworks/decision/transfer"
 )
 
-// upstream is what the group knows of one upstream.
+// upstream is the state of one upstream.
 type upstream struct {
-	spec    Upstream
-	index   int
-	account placement.Upstream
-	link    transfer.Link
-	speed   *prefill.Upstream
-	health  float64
-	// leaving is what the upstream says of itself, beside spec.Leaving.
-	leaving bool
-	// gone is set when the upstream is not in the set any more.
-	gone bool
-	// claimed is set while a parked request gathers memory.
-	claimed bool
-	// holds are the grants that the upstream serves as decode or plain upstream.
-	holds []*held
-	// lastUse orders upstreams that are otherwise equal.
+	spec     Upstream
+	index    int
+	capacity placement.Upstream
+	link     transfer.Link
+	speed    *prefill.Upstream
+	health   float64
+	// reportedLeaving is set when the upstream itself reports that it is leaving;
+	// spec.Leaving is the configured state.
+	reportedLeaving bool
+	// removed is set when the upstream is no longer in the set of SetUpstreams.
+	removed bool
+	// hasClaim is set while memory is reserved for a parked request.
+	hasClaim bool
+	// grants are those that the upstream serves as decode or plain upstream.
+	grants []*grantRecord
+	// lastUse breaks ties: the upstream whose last grant is older is preferred.
 	lastUse uint64
-	// matched is scratch space of one decision: leading hashes held.
-	matched int
+	// matchedHashes is the number of leading prefix hashes in the upstream's cache.
+	// It is valid only during one decision.
+	matchedHashes int
 }
 
 func (u *upstream) configure(spec Upstream) {
 	u.spec = spec
-	u.gone = false
-	u.account.Slots = spec.Slots
-	u.account.Pieces = spec.Pieces
-	u.account.PieceTokens = spec.PieceTokens
+	u.removed = false
+	u.capacity.Slots = spec.Slots
+	u.capacity.Pieces = spec.Pieces
+	u.capacity.PieceTokens = spec.PieceTokens
 	u.link.BytesPerSecond = spec.LinkBytesPerSecond
 }
 
-// usable reports whether the upstream may get new work.
+// usable reports whether the upstream may receive new requests.
 func (u *upstream) usable() bool {
-	return !u.gone && !u.spec.Leaving && !u.leaving && u.health > 0
+	return !u.removed && !u.spec.Leaving && !u.reportedLeaving && u.health > 0
 }
 
-func (u *upstream) free(now time.Time) bool {
-	return u.usable() && u.account.FreeSlots(now) > 0
+func (u *upstream) hasFreeSlot(now time.Time) bool {
+	return u.usable() && u.capacity.FreeSlots(now) > 0
 }
 
-func (u *upstream) hold(h *held) {
-	if h.adopted {
-		u.account.Adopt(h.Pieces)
+func (u *upstream) addGrant(rec *grantRecord) {
+	if rec.adopted {
+		u.capacity.Adopt(rec.Pieces)
 	} else {
-		u.account.Hold(h.Pieces)
+		u.capacity.Hold(rec.Pieces)
 	}
-	u.holds = append(u.holds, h)
+	u.grants = append(u.grants, rec)
 }
 
-func (u *upstream) unhold(now time.Time, h *held) {
-	u.account.Free(now, h.Pieces)
-	u.holds = slices.DeleteFunc(u.holds, func(other *held) bool { return other == h })
+func (u *upstream) removeGrant(now time.Time, rec *grantRecord) {
+	u.capacity.Free(now, rec.Pieces)
+	u.grants = slices.DeleteFunc(u.grants, func(other *grantRecord) bool { return other == rec })
 }
 
-// memoryAt is when so many pieces are expected to be free, judged by the expected
-// ends of the grants; false if that is never.
-func (u *upstream) memoryAt(now time.Time, pieces int) (time.Time, bool) {
-	missing := pieces - u.account.FreePieces(now)
+// memoryFreeAt returns when the given number of pieces is expected to be free,
+// according to the expected ends of the grants. It returns false if that many never
+// become free.
+func (u *upstream) memoryFreeAt(now time.Time, pieces int) (time.Time, bool) {
+	missing := pieces - u.capacity.FreePieces(now)
 	if missing <= 0 {
 		return now, true
 	}
-	byEnd := slices.Clone(u.holds)
-	slices.SortFunc(byEnd, func(a, b *held) int { return a.expectedEnd.Compare(b.expectedEnd) })
-	for _, h := range byEnd {
-		if missing -= h.Pieces; missing <= 0 {
-			return h.expectedEnd, true
+	byEnd := slices.Clone(u.grants)
+	slices.SortFunc(byEnd, func(a, b *grantRecord) int { return a.expectedEnd.Compare(b.expectedEnd) })
+	for _, rec := range byEnd {
+		if missing -= rec.Pieces; missing <= 0 {
+			return rec.expectedEnd, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// Report takes in an upstream's lagging report of itself. More load than was
-// granted is believed, less is not; a smaller size than the object set gives is
-// believed too.
+// Report applies the load that an upstream reports, which may be out of date. A load
+// above what was granted is used and a lower one is ignored; slots and memory below
+// the configured ones are used as well.
 func (g *Group) Report(now time.Time, name string, load LoadReport) {
 	u := g.byName[name]
 	if u == nil {
 		return
 	}
-	g.changed = true
-	u.leaving = load.Leaving
-	u.account.Slots = believed(u.spec.Slots, load.Slots)
-	u.account.Pieces = believed(u.spec.Pieces, load.Pieces)
-	u.account.Report(now, placement.Usage{Requests: load.Running + load.Queued, Pieces: load.PiecesUsed})
+	g.capacityChanged = true
+	u.reportedLeaving = load.Leaving
+	u.capacity.Slots = effectiveSize(u.spec.Slots, load.Slots)
+	u.capacity.Pieces = effectiveSize(u.spec.Pieces, load.Pieces)
+	u.capacity.Report(now, placement.Usage{Requests: load.Running + load.Queued, Pieces: load.PiecesUsed})
 }
 
-func believed(configured, reported int) int {
+// effectiveSize returns the smaller of the configured and the reported number; a
+// reported number of 0 is ignored.
+func effectiveSize(configured, reported int) int {
 	if reported > 0 && reported < configured {
 		return reported
 	}
 	return configured
 }
 
-// SetHealth sets the weight of an upstream: 0 takes it out, 1 is full.
+// SetHealth sets the weight of an upstream: 0 excludes it, 1 is full weight.
 func (g *Group) SetHealth(now time.Time, name string, weight float64) {
 	if u := g.byName[name]; u != nil {
-		g.changed = true
+		g.capacityChanged = true
 		u.health = min(max(weight, 0), 1)
 	}
 }
 
-// CacheEvent tells that a prefill upstream stored or dropped a prefix.
+// CacheEvent records that a prefill upstream stored or evicted a prefix.
 func (g *Group) CacheEvent(now time.Time, name string, hash uint64, stored bool) {
 	u := g.byName[name]
 	if u == nil {
 		return
 	}
 	if stored {
-		g.cache.Store(now, u.index, hash)
+		g.prefixIndex.Store(now, u.index, hash)
 	} else {
-		g.cache.Drop(u.index, hash)
+		g.prefixIndex.Drop(u.index, hash)
 	}
 }
 
-// CacheReset forgets what is believed of an upstream's prefix cache, after a gap
-// in its events or a restart.
+// CacheReset discards the recorded contents of an upstream's prefix cache, for use
+// after a gap in its events or a restart.
 func (g *Group) CacheReset(name string) {
 	if u := g.byName[name]; u != nil {
-		g.cache.Reset(u.index)
+		g.prefixIndex.Reset(u.index)
 	}
 }
 
-// avoided reports whether the request should not go to the upstream. Avoiding is
-// dropped when it leaves no upstream of the role: another try at a place that
-// failed once is better than none.
-func avoided(w *waiter, u *upstream, among []*upstream) bool {
+// avoided reports whether the request should not be sent to the upstream. Avoid is
+// ignored when it would leave no usable candidate: another attempt on an upstream
+// that failed once is better than none.
+func avoided(w *waiter, u *upstream, candidates []*upstream) bool {
 	if len(w.Avoid) == 0 || !slices.Contains(w.Avoid, u.spec.Name) {
 		return false
 	}
-	return slices.ContainsFunc(among, func(other *upstream) bool {
+	return slices.ContainsFunc(candidates, func(other *upstream) bool {
 		return other.usable() && !slices.Contains(w.Avoid, other.spec.Name)
 	})
 }
