--- a/decision/purity_test.go
+++ b/decision/purity_test.go
@@ -1,4 +1,5 @@
-// Package decision holds nothing itself; its packages are the decisions under load.
+// Package decision contains only this test. Its subpackages make the scheduling
+// decisions.
 package decision
 
 import (
@@ -14,26 +15,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// A decision that reads the clock, the network or a file by itself can be neither
-// replayed in virtual time nor read without its surroundings, and its proofs stop
-// proving what runs.
-func TestDecisionsImportNoOutsideWorld(t *testing.T) {
-	checked := 0
+// Guards against decision packages that read the clock, the network or a file
+// directly. Such code cannot run in virtual time or be understood in isolation, and
+// the simulations would no longer test the code that runs in production.
+func TestDecisionPackagesArePure(t *testing.T) {
+	checkedFiles := 0
 	err := filepath.WalkDir(".", func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		checked++
+		checkedFiles++
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 		assert.NilError(t, err)
-		checkFile(t, path, file)
+		checkPurity(t, path, file)
 		return nil
 	})
 	assert.NilError(t, err)
-	assert.Assert(t, checked > 20, "only %d files found", checked)
+	assert.Assert(t, checkedFiles > 20, "only %d files found", checkedFiles)
 }
 
-func checkFile(t *testing.T, path string, file *ast.File) {
+func checkPurity(t *testing.T, path string, file *ast.File) {
 	t.Helper()
 	allowed := map[string]bool{
 		"cmp": true, "container/heap": true, "container/list": true, "errors": true, "fmt": true, "maps": true,
@@ -45,14 +46,14 @@
 	for _, spec := range file.Imports {
 		name, err := strconv.Unquote(spec.Path.Value)
 		assert.NilError(t, err)
-		decision := strings.HasPrefix(name, "github.com/cairnworks/cairnworks/decision/")
-		assert.Check(t, decision || allowed[name], "%s imports %s", path, name)
+		isDecision := strings.HasPrefix(name, "github.com/cairnworks/cairnworks/decision/")
+		assert.Check(t, isDecision || allowed[name], "%s imports %s", path, name)
 	}
-	clock := map[string]bool{"Now": true, "Since": true, "Until": true, "Sleep": true, "After": true, "AfterFunc": true, "NewTimer": true, "NewTicker": true, "Tick": true}
+	clockFunctions := map[string]bool{"Now": true, "Since": true, "Until": true, "Sleep": true, "After": true, "AfterFunc": true, "NewTimer": true, "NewTicker": true, "Tick": true}
 	ast.Inspect(file, func(n ast.Node) bool {
-		if call, ok := n.(*ast.SelectorExpr); ok {
-			pkg, ok := call.X.(*ast.Ident)
-			assert.Check(t, !ok || pkg.Name != "time" || !clock[call.Sel.Name], "%s uses time.%s", path, call.Sel.Name)
+		if selector, ok := n.(*ast.SelectorExpr); ok {
+			pkg, ok := selector.X.(*ast.Ident)
+			assert.Check(t, !ok || pkg.Name != "time" || !clockFunctions[selector.Sel.Name], "%s uses time.%s", path, selector.Sel.Name)
 		}
 		return true
 	})
