--- a/decision/length/length.go
+++ b/decision/length/length.go
@@ -1,31 +1,37 @@
-// Package length estimates how many tokens a request's answer will have.
+// Package length estimates the number of output tokens of a request.
 //
-// Load pattern: callers state the most output they accept, which is the same large
-// number for all, and an estimate that is right at the median and often far off. A
-// decode engine's memory is claimed for the whole course of a request.
+// Load pattern: callers set the same large output limit on all requests. Their estimates
+// of the output length are right in the median, but individual ones are often far off. A
+// request claims memory on a decode engine for its entire run.
 //
-// Without it: claims of the stated most leave nearly half of the engines' memory
-// unused at all times, and claims of the caller's estimate run over for every other
-// request (TestEstimateBeatsHint measures the error of each).
+// Without it, claims of the output limit leave nearly half of the engines' memory unused at
+// all times, and claims of the caller's estimate are too small for every second request
+// (TestEstimateBeatsHint measures the error of each).
 //
-// The lengths of answers and the callers' estimates both scatter by factors, so that
-// the logarithms are fitted: a line through those of the finished requests of a
-// service, from the estimate to the length. Where estimates say little the line is
-// flat and the mean length decides; where they are good it follows them. What all
-// instances have seen counts: where sixty share the requests, each alone claims the stated
-// most for its first 20 s (TestFleetKnowsLengthsSooner).
+// Output lengths and callers' estimates both vary by factors, so the model is a linear
+// regression of the logarithm of the length on the logarithm of the estimate, over the
+// finished requests of a service. Where estimates carry little information the slope is
+// near zero and the mean length determines the result; where they are accurate the result
+// follows them. The samples of all instances are combined: where sixty instances share the
+// requests, each on its own would claim the output limit for its first 20 s
+// (TestFleetKnowsLengthsSooner).
 package length
 
 import "math"
 
-// Config holds the figures of the package.
+// Config holds the parameters of an Estimator.
 type Config struct {
-	MinSamples   float64
-	MaxWeight    float64
+	// MinSamples is the number of finished requests required for an estimate.
+	MinSamples float64
+	// MaxWeight limits the weight of an instance's samples, so that recent requests count
+	// more than older ones.
+	MaxWeight float64
+	// MinDeviation is the lowest standard deviation that is assumed for the logarithm of the
+	// length.
 	MinDeviation float64
 }
 
-// DefaultConfig returns the default figures.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config { return Config{MinSamples: 12, MaxWeight: 200, MinDeviation: 0.1} }
 
 // Estimator learns from the finished requests of one service. It is not safe for
@@ -33,15 +39,16 @@
 type Estimator struct {
 	cfg Config
 	own Sums
-	// peers is what other instances have seen, by name.
+	// peers holds the sums of other instances by name.
 	peers map[string]Sums
 }
 
-// Sums is what was seen of finished requests: the weight of all, and weighted means of
-// the logarithms of the estimates (X) and the lengths (Y), their squares and product.
+// Sums summarises finished requests: their total weight N, and the weighted means of the
+// logarithms of the callers' estimates (X) and of the lengths (Y), of the squares of both
+// and of their product.
 type Sums struct{ N, X, Y, XX, XY, YY float64 }
 
-// add joins two sets of requests.
+// add combines two sets of requests.
 func (s Sums) add(o Sums) Sums {
 	n := s.N + o.N
 	if n <= 0 {
@@ -51,13 +58,14 @@
 	return Sums{n, mean(s.X, o.X), mean(s.Y, o.Y), mean(s.XX, o.XX), mean(s.XY, o.XY), mean(s.YY, o.YY)}
 }
 
-// New returns an estimator that has seen nothing.
+// New returns an estimator without samples.
 func New(cfg Config) *Estimator { return &Estimator{cfg: cfg, peers: make(map[string]Sums)} }
 
-// OwnSums returns what this instance has seen.
+// OwnSums returns the sums of this instance.
 func (e *Estimator) OwnSums() Sums { return e.own }
 
-// SetPeer replaces what another instance has seen. Sums without weight forget it.
+// SetPeer replaces the sums of another instance. Sums with zero weight remove it. A combined
+// sum set with SetOthers is dropped.
 func (e *Estimator) SetPeer(name string, s Sums) {
 	delete(e.peers, allOthers)
 	if s.N <= 0 {
@@ -67,33 +75,34 @@
 	e.peers[name] = s
 }
 
-// allOthers is the name under which the sum of all others is kept.
+// allOthers is the key in Estimator.peers for the combined sums of all other instances.
 const allOthers = ""
 
-// SetOthers replaces what all other instances have seen by their sum.
+// SetOthers replaces the sums of all other instances with one combined sum.
 func (e *Estimator) SetOthers(s Sums) {
 	clear(e.peers)
 	e.peers[allOthers] = s
 }
 
-// pooled is what all instances have seen.
-func (e *Estimator) pooled() Sums { return e.sum("", false) }
+// pooled returns the combined sums of all instances.
+func (e *Estimator) pooled() Sums { return e.combine("", false) }
 
-// SumsWithout is what all instances but one have seen.
-func (e *Estimator) SumsWithout(name string) Sums { return e.sum(name, true) }
+// SumsWithout returns the combined sums of all instances except one.
+func (e *Estimator) SumsWithout(name string) Sums { return e.combine(name, true) }
 
-func (e *Estimator) sum(name string, without bool) Sums {
+// combine adds up the sums of all instances, except the named one if exclude is set.
+func (e *Estimator) combine(name string, exclude bool) Sums {
 	all := e.own
 	for peer, s := range e.peers {
-		if !without || peer != name {
+		if !exclude || peer != name {
 			all = all.add(s)
 		}
 	}
 	return all
 }
 
-// Observe takes in a finished request: the caller's estimate, 0 for none, and the
-// true number of tokens.
+// Observe adds a finished request: the caller's estimate (0 if there is none) and the actual
+// number of output tokens.
 func (e *Estimator) Observe(hint, tokens int) {
 	if tokens <= 0 {
 		return
@@ -114,33 +123,33 @@
 	o.YY += w * (y*y - o.YY)
 }
 
-// fit returns the line from the logarithm of an estimate to that of the length, and
-// the standard deviation around it.
-func (s Sums) fit(least float64) (slope, spread float64) {
+// fit returns the slope of the regression line and the standard deviation of the residuals,
+// which is at least minDeviation.
+func (s Sums) fit(minDeviation float64) (slope, deviation float64) {
 	varX := s.XX - s.X*s.X
 	cov := s.XY - s.X*s.Y
 	if varX > 1e-6 {
 		slope = min(max(cov/varX, 0), 1)
 	}
-	left := s.YY - s.Y*s.Y - 2*slope*cov + slope*slope*varX
-	return slope, max(math.Sqrt(max(left, 0)), least)
+	variance := s.YY - s.Y*s.Y - 2*slope*cov + slope*slope*varX
+	return slope, max(math.Sqrt(max(variance, 0)), minDeviation)
 }
 
-// Estimate returns the number of tokens that an answer will not exceed with the
-// likelihood of some standard deviations above the middle, and at most limit, the
-// most that the caller accepts.
+// Estimate returns an upper bound for the number of output tokens: the predicted median plus
+// the given number of standard deviations on the logarithmic scale. It is never above limit,
+// the caller's output limit, and equals limit while there are too few samples.
 func (e *Estimator) Estimate(hint, limit int, deviations float64) int {
-	seen := e.pooled()
-	if seen.N < e.cfg.MinSamples {
+	sums := e.pooled()
+	if sums.N < e.cfg.MinSamples {
 		return limit
 	}
-	slope, spread := seen.fit(e.cfg.MinDeviation)
-	y := seen.Y
+	slope, deviation := sums.fit(e.cfg.MinDeviation)
+	y := sums.Y
 	if hint > 0 {
-		y += slope * (math.Log(float64(hint)) - seen.X)
+		y += slope * (math.Log(float64(hint)) - sums.X)
 	}
-	return min(int(math.Exp(y+deviations*spread)), limit)
+	return min(int(math.Exp(y+deviations*deviation)), limit)
 }
 
-// Samples is the weight of what all instances have seen.
+// Samples returns the total weight of the samples of all instances.
 func (e *Estimator) Samples() float64 { return e.pooled().N }
--- a/decision/length/length_test.go
+++ b/decision/length/length_test.go
@@ -8,56 +8,56 @@
 	"gotest.tools/v3/assert"
 )
 
-// answers draws lengths of answers and callers' estimates of them, both of which
-// scatter by factors.
-func answers(rng *rand.Rand, n int) (hints, tokens []int) {
+// randomRequests returns random output lengths and callers' estimates of them. Both have a
+// log-normal distribution.
+func randomRequests(rng *rand.Rand, n int) (hints, tokens []int) {
 	for range n {
-		true := min(5000*math.Exp(0.5*rng.NormFloat64()), 9360)
-		hints = append(hints, int(true*math.Exp(0.5*rng.NormFloat64())))
-		tokens = append(tokens, int(true))
+		length := min(5000*math.Exp(0.5*rng.NormFloat64()), 9360)
+		hints = append(hints, int(length*math.Exp(0.5*rng.NormFloat64())))
+		tokens = append(tokens, int(length))
 	}
 	return hints, tokens
 }
 
-// Callers' estimates are right at the median and often off by a factor. Memory that
-// is claimed by them runs over for half of the requests, and memory claimed for the
-// stated most stands unused; both cost callers their answers.
+// Guards against estimates that are hardly better than the callers' own, which are right in the
+// median and often off by a factor, or than the output limit. Claims of the former are too small
+// for half of the requests, claims of the latter leave memory unused; both cost requests.
 func TestEstimateBeatsHint(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
-	hints, tokens := answers(rng, 600)
+	hints, tokens := randomRequests(rng, 600)
 	e := New(DefaultConfig())
-	var ours, hint, most float64
+	var estimate, hint, limit float64
 	for i := range tokens {
 		if i >= 100 {
-			log := math.Log(float64(tokens[i]))
-			ours += math.Abs(math.Log(float64(e.Estimate(hints[i], 9360, 0))) - log)
-			hint += math.Abs(math.Log(float64(hints[i])) - log)
-			most += math.Abs(math.Log(9360) - log)
+			actual := math.Log(float64(tokens[i]))
+			estimate += math.Abs(math.Log(float64(e.Estimate(hints[i], 9360, 0))) - actual)
+			hint += math.Abs(math.Log(float64(hints[i])) - actual)
+			limit += math.Abs(math.Log(9360) - actual)
 		}
 		e.Observe(hints[i], tokens[i])
 	}
-	assert.Assert(t, ours < 0.75*hint, "error %.2f, of the hints %.2f", ours/500, hint/500)
-	assert.Assert(t, ours < 0.6*most, "error %.2f, of the stated most %.2f", ours/500, most/500)
+	assert.Assert(t, estimate < 0.75*hint, "error of the estimate %.2f, of the hint %.2f", estimate/500, hint/500)
+	assert.Assert(t, estimate < 0.6*limit, "error of the estimate %.2f, of the output limit %.2f", estimate/500, limit/500)
 }
 
-// The claim is to be passed seldom where it lies above the middle.
+// Guards against claims above the median that are exceeded too often, or almost never.
 func TestDeviationsCoverMore(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 8))
-	hints, tokens := answers(rng, 1200)
+	hints, tokens := randomRequests(rng, 1200)
 	e := New(DefaultConfig())
-	passed := 0
+	exceeded := 0
 	for i := range tokens {
 		if i >= 200 && tokens[i] > e.Estimate(hints[i], 9360, 1) {
-			passed++
+			exceeded++
 		}
 		e.Observe(hints[i], tokens[i])
 	}
-	assert.Assert(t, passed > 50 && passed < 250, "%d of 1000 passed a claim at one deviation", passed)
+	assert.Assert(t, exceeded > 50 && exceeded < 250, "%d of 1000 exceeded an estimate of one standard deviation", exceeded)
 }
 
-// An instance that has just started knows nothing of a service's answers. A guess
-// would fill an engine whose requests then run out of memory.
-func TestUnknownServiceClaimsTheMost(t *testing.T) {
+// Guards against estimates from too few samples, as on an instance that has just started:
+// engines would accept too many requests and run out of memory.
+func TestUnknownServiceClaimsOutputLimit(t *testing.T) {
 	e := New(DefaultConfig())
 	for range 5 {
 		e.Observe(100, 100)
@@ -65,8 +65,8 @@
 	assert.Equal(t, e.Estimate(100, 9360, 0), 9360)
 }
 
-// Callers that give no estimate are estimated by the mean, and senseless figures do
-// no harm.
+// Guards against wrong estimates for callers that give none, which get the mean, and against
+// invalid values that distort the samples.
 func TestMissingHints(t *testing.T) {
 	e := New(DefaultConfig())
 	for range 50 {
@@ -77,11 +77,11 @@
 	assert.Assert(t, got > 950 && got < 1050, "%d", got)
 }
 
-// Sixty instances share the requests of a service. What one has seen alone is too little
-// for half a day's rush, and the stated most that it claims meanwhile keeps half of the
-// engines' memory from others.
+// Guards against instances that estimate only from their own samples. Where sixty instances share
+// the requests of a service, one alone has too few samples for half a day of peak load; it claims
+// the output limit meanwhile and blocks half of the engines' memory.
 func TestFleetKnowsLengthsSooner(t *testing.T) {
-	const most = 9_000
+	const limit = 9_000
 	e, all := New(DefaultConfig()), New(DefaultConfig())
 	for peer := range 6 {
 		other := New(DefaultConfig())
@@ -91,15 +91,16 @@
 			all.Observe(hint, tokens)
 		}
 		if 3*peer < int(DefaultConfig().MinSamples) {
-			assert.Equal(t, e.Estimate(2_000, most, 0), most, "%d samples are enough", 3*peer)
+			assert.Equal(t, e.Estimate(2_000, limit, 0), limit, "%d samples are enough", 3*peer)
 		}
 		e.SetPeer(string(rune('a'+peer)), other.OwnSums())
 	}
 	assert.Equal(t, e.Samples(), 18.0)
-	together, alone := e.Estimate(2_000, most, 0.25), all.Estimate(2_000, most, 0.25)
-	assert.Assert(t, together < most/2 && max(together-alone, alone-together) <= 1, "%d of all, %d of one that saw all", together, alone)
+	combined, single := e.Estimate(2_000, limit, 0.25), all.Estimate(2_000, limit, 0.25)
+	assert.Assert(t, combined < limit/2 && max(combined-single, single-combined) <= 1,
+		"%d with the combined samples, %d with all samples on one instance", combined, single)
 	for peer := range 6 {
 		e.SetPeer(string(rune('a'+peer)), Sums{})
 	}
-	assert.Equal(t, e.Estimate(2_000, most, 0.25), most)
+	assert.Equal(t, e.Estimate(2_000, limit, 0.25), limit)
 }
