--- a/decision/group/release.go
+++ b/decision/group/release.go
@@ -104,7 +104,7 @@
 	}
 	if out.OutputTokens > 1 && out.Decode > 0 {
 		between := out.Decode / time.Duration(out.OutputTokens-1)
-		h.to.account.Observe(now, placement.Answer{
+		h.to.account.Observe(now, placement.ResponseStats{
 			Granted: h.granted, RunningAtGrant: h.runningAtGrant,
 			TimeBetweenTokens: between, Target: g.cfg.BetweenTokens,
 			Policy:    g.cfg.tune.limit,
--- a/decision/placement/limit.go
+++ b/decision/placement/limit.go
@@ -19,8 +19,8 @@
 // DefaultLimitPolicy halves a limit at most; docs/LOAD.md has the sweeps.
 var DefaultLimitPolicy = LimitPolicy{MinCutFactor: 0.5, Tolerance: 1.05, MinSlotShare: 0.25}
 
-// Answer is what a finished answer shows of its decode upstream.
-type Answer struct {
+// ResponseStats is what a finished answer shows of its decode upstream.
+type ResponseStats struct {
 	// Granted is when the request got its place, RunningAtGrant the size of the
 	// batch that it joined.
 	Granted        time.Time
@@ -72,7 +72,7 @@
 	return min(slots, max(1, int(float64(slots)-l.below)))
 }
 
-func (l *Limit) observe(slots, running int, now time.Time, a Answer) {
+func (l *Limit) observe(slots, running int, now time.Time, a ResponseStats) {
 	if a.TimeBetweenTokens <= 0 || !a.Granted.After(l.cutAt) {
 		return
 	}
--- a/decision/placement/placement.go
+++ b/decision/placement/placement.go
@@ -129,6 +129,6 @@
 func (u *Upstream) RaiseLimit(now time.Time) { u.limit.raise(u.Slots, u.running, now) }
 
 // Observe feeds the limit with an answer.
-func (u *Upstream) Observe(now time.Time, a Answer) {
+func (u *Upstream) Observe(now time.Time, a ResponseStats) {
 	u.limit.observe(u.Slots, u.running+1, now, a)
 }
