--- a/decision/placement/limit.go
+++ b/decision/placement/limit.go
@@ -2,97 +2,100 @@
 
 import "time"
 
-// LimitPolicy is how the limit follows the token rate.
+// LimitPolicy configures how the concurrency limit follows the token rate.
 type LimitPolicy struct {
-	// MinCutFactor bounds one reduction, so that a single odd answer does not empty
-	// an upstream.
+	// MinCutFactor is the lowest factor by which one reduction multiplies the limit, so
+	// that a single outlier does not drain an upstream.
 	MinCutFactor float64
-	// Tolerance is the part of the target above which an answer counts as slow:
-	// the target is met by 95 in 100, so that single answers at its edge are no sign.
+	// Tolerance is the multiple of the target above which a response counts as slow. 95 %
+	// of responses meet the target, so a single response just above it is no evidence.
 	Tolerance float64
-	// MinSlotShare is the part of the slots that is kept when the whole group is
-	// slower than the target. Then fewer requests an upstream do not bring the
-	// target back, and cutting on would only refuse more.
+	// MinSlotShare is the share of the slots that is kept when the whole group misses the
+	// target. Fewer requests per upstream then do not restore the target, and further
+	// reductions would only reject more requests.
 	MinSlotShare float64
 }
 
-// DefaultLimitPolicy halves a limit at most; docs/LOAD.md has the sweeps.
+// DefaultLimitPolicy at most halves a limit at a time; docs/LOAD.md has the parameter sweeps.
 var DefaultLimitPolicy = LimitPolicy{MinCutFactor: 0.5, Tolerance: 1.05, MinSlotShare: 0.25}
 
-// ResponseStats is what a finished answer shows of its decode upstream.
+// ResponseStats describes a finished response of a decode upstream.
 type ResponseStats struct {
-	// Granted is when the request got its place, RunningAtGrant the size of the
-	// batch that it joined.
+	// Granted is when the request got its slot, RunningAtGrant the size of the batch that
+	// it joined.
 	Granted        time.Time
 	RunningAtGrant int
-	// TimeBetweenTokens is its mean time between tokens.
+	// TimeBetweenTokens is the mean over the response, Target the highest acceptable one.
 	TimeBetweenTokens time.Duration
 	Target            time.Duration
-	// GroupSlow tells that the mean of the whole group misses the target too.
+	// GroupSlow reports whether the mean of the whole group misses the target as well.
 	GroupSlow bool
 	Policy    LimitPolicy
 }
 
-// Limit is the number of requests that a decode upstream is given at once. It
-// starts at the slots, is cut in proportion when answers are slower than the
-// target, and grows by one for each full round of answers within it (additive
-// increase, multiplicative decrease, as in TCP), or with time while it is idle. The
-// zero value is a full limit.
+// Limit is the number of concurrent requests that a decode upstream is given. It starts at
+// the number of slots, is reduced in proportion when responses are slower than the target,
+// and grows by one for each full round of responses within it (additive increase,
+// multiplicative decrease, as in TCP), or with time while the upstream is idle. The zero
+// value is a full limit.
 type Limit struct {
-	// below is by how much the limit is under the slots.
-	below float64
-	// cutAt is the time of the last cut. Answers granted before it ran in the
-	// larger batch and say nothing about the smaller one.
-	cutAt time.Time
-	// idleSince is when the upstream last held a request, or was last raised.
+	// reduction is the number of slots minus the limit.
+	reduction float64
+	// reducedAt is the time of the last reduction. Responses whose requests were granted
+	// before it ran in the larger batch and do not show how the smaller one performs.
+	reducedAt time.Time
+	// idleSince is when the upstream last held a request or its limit was last raised.
 	idleSince time.Time
 }
 
-// RaiseInterval is the idle time in which a cut limit doubles. Limits grow with
-// answers, and an upstream whose limit was cut far looks full beside peers with
-// room: it would never be given the request whose answer shows that it is well. An
-// idle upstream of twenty slots has its full limit back after 25 s; the first slow
-// answer cuts it again, so that one which is still slow costs a few requests in that
-// time, of the order of health trials.
+// RaiseInterval is the idle time after which a reduced limit doubles. Limits grow with
+// responses, and an upstream with a very low limit looks full next to upstreams with free
+// capacity, so it would never get the request that shows its recovery. An idle upstream of
+// twenty slots regains its full limit after 25 s. The first slow response reduces the limit
+// again, so an upstream that is still slow costs only a few requests in that time, about as
+// many as health trials do.
 const RaiseInterval = 5 * time.Second
 
-// raise lets the limit of an idle upstream grow with time.
+// raise doubles the limit of an upstream that has been idle for RaiseInterval.
 func (l *Limit) raise(slots, running int, now time.Time) {
-	if l.below == 0 || running > 0 || l.idleSince.IsZero() {
+	if l.reduction == 0 || running > 0 || l.idleSince.IsZero() {
 		l.idleSince = now
 		return
 	}
 	if now.Sub(l.idleSince) >= RaiseInterval {
 		l.idleSince = now
-		l.set(slots, 2*(float64(slots)-l.below))
+		l.set(slots, 2*(float64(slots)-l.reduction))
 	}
 }
 
+// allowed returns the limit in whole requests, at least 1.
 func (l *Limit) allowed(slots int) int {
-	return min(slots, max(1, int(float64(slots)-l.below)))
+	return min(slots, max(1, int(float64(slots)-l.reduction)))
 }
 
-func (l *Limit) observe(slots, running int, now time.Time, a ResponseStats) {
-	if a.TimeBetweenTokens <= 0 || !a.Granted.After(l.cutAt) {
+// observe reduces the limit after a slow response, and raises it after one within the target.
+func (l *Limit) observe(slots, running int, now time.Time, r ResponseStats) {
+	if r.TimeBetweenTokens <= 0 || !r.Granted.After(l.reducedAt) {
 		return
 	}
 	limit := float64(l.allowed(slots))
-	if float64(a.TimeBetweenTokens) > float64(a.Target)*a.Policy.Tolerance {
-		cut := max(a.Policy.MinCutFactor, float64(a.Target)/float64(a.TimeBetweenTokens))
-		cutTo := min(limit, float64(max(1, a.RunningAtGrant))) * cut
-		if a.GroupSlow {
-			cutTo = max(cutTo, min(limit, a.Policy.MinSlotShare*float64(slots)))
+	if float64(r.TimeBetweenTokens) > float64(r.Target)*r.Policy.Tolerance {
+		factor := max(r.Policy.MinCutFactor, float64(r.Target)/float64(r.TimeBetweenTokens))
+		reduced := min(limit, float64(max(1, r.RunningAtGrant))) * factor
+		if r.GroupSlow {
+			reduced = max(reduced, min(limit, r.Policy.MinSlotShare*float64(slots)))
 		}
-		l.set(slots, cutTo)
-		l.cutAt = now
+		l.set(slots, reduced)
+		l.reducedAt = now
 		return
 	}
-	// Only a batch near the limit shows that a larger one may be tried.
-	if l.below > 0 && running >= int(limit)-1 {
-		l.set(slots, float64(slots)-l.below+1/limit)
+	// Only a response from a batch near the limit indicates that a larger one is possible.
+	if l.reduction > 0 && running >= int(limit)-1 {
+		l.set(slots, float64(slots)-l.reduction+1/limit)
 	}
 }
 
+// set stores a limit, bounded to between 1 and the number of slots.
 func (l *Limit) set(slots int, limit float64) {
-	l.below = min(max(0, float64(slots)-limit), float64(slots-1))
+	l.reduction = min(max(0, float64(slots)-limit), float64(slots-1))
 }
--- a/decision/placement/placement.go
+++ b/decision/placement/placement.go
@@ -1,16 +1,16 @@
-// Package placement counts what is held on upstreams (slots and memory pieces)
-// and adapts how many requests a decode upstream is given.
+// Package placement tracks the slots and memory pieces in use on upstreams, and adapts the
+// number of concurrent requests on a decode upstream.
 //
-// Load pattern: decode upstreams that are nearly full, report late, and slow down
-// with each request in their batch. Without exact counts a prefill is paid for
-// and then finds no slot; without memory for the whole answer a decode stops in
-// the middle; without a limit that follows the token rate, a slow upstream is
-// filled to its nominal slots and every answer on it misses the target.
+// Load pattern: decode upstreams are nearly full, report their state late, and slow down
+// with each request in their batch. Without exact accounting, a request is prefilled and then
+// finds no slot; without memory for the whole response, a decode stops in the middle;
+// without a limit that follows the token rate, a slow upstream is filled to its nominal
+// slots and all of its responses miss the target.
 //
-// A place holds pieces for prompt and longest answer from before the prefill
-// until its release: growth while decoding can then never fail. With pieces of
-// 2048 tokens an answer of a few hundred tokens costs at most one piece more than
-// it uses, which is why a smaller estimate with preemption was not taken.
+// A grant reserves pieces for the prompt and the longest possible response from before the
+// prefill until its release, so that growth during decoding cannot fail. With pieces of
+// 2048 tokens a response of a few hundred tokens reserves at most one piece more than it
+// uses; a smaller estimate combined with preemption was rejected for this reason.
 package placement
 
 import "time"
@@ -18,33 +18,33 @@
 // DefaultPieceTokens is the piece size of the platform's engines.
 const DefaultPieceTokens = 2048
 
-// Foreign load is what an upstream reports beyond this scheduler's own grants.
+// External load is the load that an upstream reports beyond this scheduler's own grants.
 const (
-	// reportLag is how old a report may be: grants released within it may still
-	// be counted by the report and are not taken for foreign ones.
+	// reportLag is the maximum age of a report. A report may still count grants that were
+	// released within it; they are not external load.
 	reportLag = 2 * time.Second
-	// reportLifetime is how long foreign load is believed without a new report:
-	// a few missed reports, after which it is more often gone than not.
+	// reportLifetime is how long external load counts without a new report. It covers a few
+	// missed reports; older load has usually ended.
 	reportLifetime = 10 * time.Second
 )
 
-// Upstream is the account of one upstream.
+// Upstream tracks the slots and pieces in use on one upstream.
 type Upstream struct {
 	Slots       int
 	Pieces      int
 	PieceTokens int
 
-	running int
-	pieces  int
-	claimed int
-	limit   Limit
+	running  int
+	pieces   int
+	reserved int
+	limit    Limit
 
-	foreign       Usage
-	foreignUntil  time.Time
-	recentRelease []release
+	external       Usage
+	externalUntil  time.Time
+	recentReleases []release
 }
 
-// Usage is a number of requests and the memory pieces they hold.
+// Usage is a number of requests and the memory pieces that they occupy.
 type Usage struct {
 	Requests int
 	Pieces   int
@@ -55,7 +55,8 @@
 	pieces int
 }
 
-// PiecesFor is the memory to reserve for a prompt and its longest answer.
+// PiecesFor returns the number of pieces to reserve for a prompt and its longest response. It
+// is 0 for upstreams without memory accounting.
 func (u *Upstream) PiecesFor(promptTokens, maxTokens int) int {
 	if u.Pieces == 0 {
 		return 0
@@ -67,68 +68,68 @@
 	return (promptTokens + maxTokens + size - 1) / size
 }
 
-// AddGrant counts a grant.
+// AddGrant counts a grant and its pieces.
 func (u *Upstream) AddGrant(pieces int) {
 	u.running++
 	u.pieces += pieces
 }
 
-// AdoptGrant counts a grant that another scheduler gave. Reports have shown it as
-// foreign load until now; counted twice, it would keep a place empty until the
-// next report.
+// AdoptGrant counts a grant that another scheduler issued. Until now it was part of the
+// reported external load; counted twice, it would block a slot until the next report.
 func (u *Upstream) AdoptGrant(pieces int) {
-	u.foreign.Requests = max(0, u.foreign.Requests-1)
-	u.foreign.Pieces = max(0, u.foreign.Pieces-pieces)
+	u.external.Requests = max(0, u.external.Requests-1)
+	u.external.Pieces = max(0, u.external.Pieces-pieces)
 	u.AddGrant(pieces)
 }
 
-// ReleaseGrant gives a grant's place back. The release is remembered for as long as a
-// lagging report may still count it.
+// ReleaseGrant releases a grant. The release is remembered for as long as a delayed report
+// may still count the grant.
 func (u *Upstream) ReleaseGrant(now time.Time, pieces int) {
 	u.running--
 	u.pieces -= pieces
-	u.forget(now)
-	u.recentRelease = append(u.recentRelease, release{at: now, pieces: pieces})
+	u.dropOldReleases(now)
+	u.recentReleases = append(u.recentReleases, release{at: now, pieces: pieces})
 }
 
-// ReservePieces holds pieces alone, ahead of a grant that does not fit yet, so that the
-// pieces that others free gather for it. Without it a large request waits for
-// ever behind small ones that take each piece as it comes free.
-func (u *Upstream) ReservePieces(pieces int) { u.claimed += pieces }
+// ReservePieces reserves pieces for a request that does not fit yet, so that pieces released
+// by others accumulate for it. Without a reservation, a large request would starve behind
+// small ones that take each piece as it is released.
+func (u *Upstream) ReservePieces(pieces int) { u.reserved += pieces }
 
-// UnreservePieces gives a claim back.
-func (u *Upstream) UnreservePieces(pieces int) { u.claimed -= pieces }
+// UnreservePieces cancels a reservation of ReservePieces.
+func (u *Upstream) UnreservePieces(pieces int) { u.reserved -= pieces }
 
-// Report takes in an upstream's own count. More than was granted is believed to
-// be another scheduler's work: filling those places would make the upstream
-// refuse a decode after its prefill. Less than granted is only lag.
+// Report processes an upstream's own count. Usage beyond the grants is attributed to another
+// scheduler: if those slots were granted as well, the upstream would reject a decode after
+// its prefill. Usage below the grants only means that the report is delayed.
 func (u *Upstream) Report(now time.Time, reported Usage) {
-	u.forget(now)
+	u.dropOldReleases(now)
 	known := Usage{Requests: u.running, Pieces: u.pieces}
-	for _, r := range u.recentRelease {
+	for _, r := range u.recentReleases {
 		known.Requests++
 		known.Pieces += r.pieces
 	}
-	u.foreign = Usage{
+	u.external = Usage{
 		Requests: max(0, reported.Requests-known.Requests),
 		Pieces:   max(0, reported.Pieces-known.Pieces),
 	}
-	u.foreignUntil = now.Add(reportLifetime)
+	u.externalUntil = now.Add(reportLifetime)
 }
 
-func (u *Upstream) forget(now time.Time) {
+// dropOldReleases removes releases older than reportLag.
+func (u *Upstream) dropOldReleases(now time.Time) {
 	old := 0
-	for old < len(u.recentRelease) && now.Sub(u.recentRelease[old].at) > reportLag {
+	for old < len(u.recentReleases) && now.Sub(u.recentReleases[old].at) > reportLag {
 		old++
 	}
-	u.recentRelease = append(u.recentRelease[:0], u.recentRelease[old:]...)
+	u.recentReleases = append(u.recentReleases[:0], u.recentReleases[old:]...)
 }
 
-// RaiseLimit lets a cut limit grow while the upstream is idle. It is called again and
-// again, a few times in RaiseInterval at least.
+// RaiseLimit raises a reduced limit while the upstream is idle. It must be called at least a
+// few times per RaiseInterval.
 func (u *Upstream) RaiseLimit(now time.Time) { u.limit.raise(u.Slots, u.running, now) }
 
-// Observe feeds the limit with an answer.
-func (u *Upstream) Observe(now time.Time, a ResponseStats) {
-	u.limit.observe(u.Slots, u.running+1, now, a)
+// Observe adjusts the limit to a finished response.
+func (u *Upstream) Observe(now time.Time, r ResponseStats) {
+	u.limit.observe(u.Slots, u.running+1, now, r)
 }
