--- a/verdict/reason.go
+++ b/verdict/reason.go
@@ -1,10 +1,10 @@
 package verdict
 
-// Reason is the enumerated cause of a refusal or failure. Its text is the metric
-// tag and the "code" field of error bodies, and does not change once released.
+// Reason is the cause of a rejection or failure. Its value is used as a metric tag and as the
+// "code" field of error bodies, and must not change once released.
 type Reason string
 
-// Reasons found at the door.
+// Reasons of request validation and authentication.
 const (
 	ReasonBadRequest      Reason = "bad_request"
 	ReasonBodyTooLarge    Reason = "body_too_large"
@@ -15,7 +15,7 @@
 	ReasonKeyWithdrawn    Reason = "key_withdrawn"
 	ReasonForbidden       Reason = "forbidden"
 	ReasonNoConfiguration Reason = "no_configuration"
-	// ReasonStarting means that the instance has not read yet what it decides by.
+	// ReasonStarting means that the instance has not loaded the state that it needs to decide yet.
 	ReasonStarting              Reason = "starting"
 	ReasonMethodNotAllowed      Reason = "method_not_allowed"
 	ReasonIdempotencyKeyInvalid Reason = "idempotency_key_invalid"
@@ -43,10 +43,10 @@
 	ReasonTransferExpired     Reason = "transfer_expired"
 	ReasonTruncated           Reason = "truncated"
 	ReasonTimeout             Reason = "timeout"
-	// ReasonWrongUpstream means that another upstream answers at the address.
+	// ReasonWrongUpstream means that a different upstream responds at the address.
 	ReasonWrongUpstream Reason = "wrong_upstream"
-	// ReasonForeignAnswer means that what came back belongs to no request of this
-	// connection, or is no answer at all.
+	// ReasonForeignAnswer means that the response does not belong to a request on this
+	// connection, or is not a valid response.
 	ReasonForeignAnswer Reason = "foreign_answer"
 )
 
@@ -57,29 +57,28 @@
 	ReasonIdempotencyKeyReused Reason = "idempotency_key_reused"
 	ReasonLogUnavailable       Reason = "log_unavailable"
 	ReasonRetentionOver        Reason = "retention_over"
-	// ReasonGuardFull means that too many keys are remembered already.
+	// ReasonGuardFull means that the maximum number of idempotency keys is stored.
 	ReasonGuardFull Reason = "guard_full"
-	// ReasonAnswerNotKept means that the call ran and its answer was not kept.
+	// ReasonAnswerNotKept means that the call was executed but its response was not stored.
 	ReasonAnswerNotKept Reason = "answer_not_kept"
 )
 
 // Reasons of orders to upstreams.
 const (
-	// ReasonOrderConflict means that another order was claimed since the state that
-	// the operator acted from.
+	// ReasonOrderConflict means that another order was claimed after the state on which the
+	// operator based this one.
 	ReasonOrderConflict Reason = "order_conflict"
-	// ReasonOrderUnconfirmed means that the upstream's own state does not show the
-	// order's effect.
+	// ReasonOrderUnconfirmed means that the state reported by the upstream does not show the
+	// effect of the order.
 	ReasonOrderUnconfirmed Reason = "order_unconfirmed"
-	// ReasonLeaseOver means that the time in which an order may be sent has passed.
+	// ReasonLeaseOver means that the period in which the order may be sent has expired.
 	ReasonLeaseOver Reason = "lease_over"
 )
 
-// ReasonInternal is a fault of this program.
+// ReasonInternal is an internal error of this program.
 const ReasonInternal Reason = "internal"
 
-// Retryable reports whether the same request, sent again later, can succeed
-// without its sender changing it.
+// Retryable reports whether the unchanged request can succeed if it is sent again later.
 func (r Reason) Retryable() bool {
 	switch r {
 	case ReasonBadRequest, ReasonBodyTooLarge, ReasonPromptTooLong, ReasonUnknownModel,
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,6 +1,6 @@
-// Package verdict says what became of a request that was not answered: whether
-// it may have run, why, and when asking again can help. Every refusal and every
-// failure that leaves an instance carries one.
+// Package verdict describes why a request got no complete response: whether an upstream may
+// have executed it, the reason, and when a retry can succeed. Every rejection and failure that
+// an instance returns contains a Verdict.
 package verdict
 
 import (
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// Ran tells whether an upstream may have executed a request.
+// Ran states whether an upstream has executed a request, as far as is known.
 type Ran uint8
 
 const (
-	// NotRun means that no upstream has begun the request and none will.
+	// NotRun means that no upstream has started the request and none will.
 	NotRun Ran = iota
-	// MayHaveRun means that bytes of the request may have reached an upstream
-	// and its answer is not known.
+	// MayHaveRun means that bytes of the request may have reached an upstream and the
+	// outcome is unknown.
 	MayHaveRun
-	// HasRun means that an upstream has executed the request, though its answer
-	// could not be delivered whole.
+	// HasRun means that an upstream has executed the request, but the response could not be
+	// delivered completely.
 	HasRun
 )
 
-// String returns the wire form used in error bodies and logs.
+// String returns the value used in error bodies and logs.
 func (r Ran) String() string {
 	switch r {
 	case NotRun:
@@ -35,28 +35,28 @@
 	}
 }
 
-// Verdict is the final outcome of a request that got no whole answer. It is an
-// error, so that it travels through ordinary returns; From finds it again.
+// Verdict is the final outcome of a request that got no complete response. It implements
+// error; From extracts it from a wrapped error.
 type Verdict struct {
-	// Ran says whether the request may have run.
+	// Ran states whether the request may have been executed.
 	Ran Ran
-	// Reason is the cause, also used as a metric tag.
+	// Reason is the cause. It is also used as a metric tag.
 	Reason Reason
-	// RetryAfter is the time after which asking again can help. Zero means that
-	// asking again will not help or that no estimate exists; see Reason.Retryable.
+	// RetryAfter is the time after which a retry can succeed. Zero means that a retry will
+	// not succeed or that no estimate exists; see Reason.Retryable.
 	RetryAfter time.Duration
-	// Detail is a sentence for people. It never contains a key.
+	// Detail is a human-readable explanation. It never contains an API key.
 	Detail string
-	// Cause is the underlying error, if any. It is logged, never sent.
+	// Cause is the underlying error, if any. It is logged but never sent to callers.
 	Cause error
 }
 
-// Refuse returns a verdict for a request that has not run.
+// Refuse returns a Verdict for a request that has not been executed.
 func Refuse(reason Reason, retryAfter time.Duration, format string, args ...any) *Verdict {
 	return &Verdict{Ran: NotRun, Reason: reason, RetryAfter: retryAfter, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Fail returns a verdict for a request that was handed to an upstream.
+// Fail returns a Verdict for a request that was sent to an upstream.
 func Fail(ran Ran, reason Reason, cause error, format string, args ...any) *Verdict {
 	return &Verdict{Ran: ran, Reason: reason, Cause: cause, Detail: fmt.Sprintf(format, args...)}
 }
@@ -66,8 +66,8 @@
 	return fmt.Sprintf("%s (%s): %s", v.Reason, v.Ran, v.Detail)
 }
 
-// OrNil returns the verdict as an error that is nil for no verdict, where a nil
-// pointer in an error would not be.
+// OrNil returns v as an error, and a nil error if v is nil. A nil *Verdict stored in an error
+// would compare as not nil.
 func (v *Verdict) OrNil() error {
 	if v == nil {
 		return nil
@@ -78,8 +78,8 @@
 // Unwrap returns the cause.
 func (v *Verdict) Unwrap() error { return v.Cause }
 
-// From finds the verdict in err. An error without one becomes MayHaveRun with
-// ReasonInternal: claiming "not run" without knowing it could be false.
+// From returns the Verdict in err's chain. An error without one becomes MayHaveRun with
+// ReasonInternal, because reporting NotRun for an unknown error could be wrong.
 func From(err error) *Verdict {
 	if err == nil {
 		return nil
