--- a/upstream/directory.go
+++ b/upstream/directory.go
@@ -1,5 +1,5 @@
-// Package upstream keeps the upstreams that have registered themselves: which
-// there are, in which run, and whether they take new work.
+// Package upstream maintains the directory of registered upstreams: which ones exist, which
+// run of each is current, and whether they accept new requests.
 package upstream
 
 import (
@@ -8,11 +8,11 @@
 	"sync"
 )
 
-// Role is what an upstream does.
+// Role is the role of an upstream.
 type Role uint8
 
 const (
-	// Plain upstreams answer whole calls.
+	// Plain upstreams handle complete calls.
 	Plain Role = iota
 	// Prefill engines compute the KV cache of prompts.
 	Prefill
@@ -32,27 +32,27 @@
 	}
 }
 
-// Entry is what an upstream says of itself.
+// Entry is the state that an upstream publishes about itself.
 type Entry struct {
-	// ID names one run of the upstream, or at times several runs one after the
-	// other; Started tells them apart.
+	// ID identifies one run of the upstream. Successive runs may share an ID; Started
+	// distinguishes them.
 	ID string
-	// Started is when the run began, in Unix milliseconds of the upstream's clock.
+	// Started is the start time of the run, in Unix milliseconds of the upstream's clock.
 	Started int64
-	// Sequence grows with each change that the run tells.
+	// Sequence increases with each entry that the run publishes.
 	Sequence   int64
 	Service    string
 	Address    string
 	DataCentre string
 	Role       Role
-	// Slots is the number of requests that it runs at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Leaving upstreams take no new work.
+	// Leaving reports whether the upstream is shutting down and accepts no new requests.
 	Leaving bool
 }
 
-// unnumbered is the entry without what changes with every renewal.
-func (e Entry) unnumbered() Entry {
+// withoutSequence returns the entry without the sequence, which changes with every renewal.
+func (e Entry) withoutSequence() Entry {
 	e.Sequence = 0
 	return e
 }
@@ -61,13 +61,14 @@
 type Directory struct {
 	mu      sync.RWMutex
 	entries map[string]Entry
-	// gone are ids that refused work as another run, or were told to be leaving by
-	// the upstream itself, with the entry that this was learnt about.
+	// gone holds the upstreams passed to MarkGone by id, with the entry that was current then.
 	gone map[string]Entry
-	// evacuated are data centres whose upstreams take no new work by the operators' word.
+	// evacuated holds the data centres whose upstreams get no new requests on the operators'
+	// instruction.
 	evacuated map[string]bool
-	// byService is rebuilt when it is first read after changes, as a read of the store brings
-	// thousands at once; readers share it. stale tells that it is to be.
+	// byService is shared by all readers. It is rebuilt when it is first read after a change and
+	// not with each change, because reading the store brings thousands of entries at once. stale
+	// is set while it is out of date.
 	byService map[string][]Entry
 	stale     bool
 	version   uint64
@@ -78,10 +79,9 @@
 	return &Directory{entries: make(map[string]Entry), gone: make(map[string]Entry), evacuated: make(map[string]bool), byService: make(map[string][]Entry)}
 }
 
-// Put takes in an entry. An older one of the same id than is known is ignored: a
-// write whose answer was lost may take effect seconds late, after newer ones, and
-// would bring a leaving upstream back. It reports whether anything but the
-// sequence changed.
+// Put stores an entry, unless a newer one with the same id is known: a write whose response was
+// lost may take effect seconds later, after newer writes, and would make a leaving upstream
+// available again. It reports whether anything other than the sequence changed.
 func (d *Directory) Put(e Entry) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,14 +90,14 @@
 		return false
 	}
 	d.entries[e.ID] = e
-	if known && e.unnumbered() == old.unnumbered() {
+	if known && e.withoutSequence() == old.withoutSequence() {
 		return false
 	}
-	d.change()
+	d.markChanged()
 	return true
 }
 
-// Remove drops an entry. It reports whether there was one.
+// Remove deletes an entry. It reports whether there was one.
 func (d *Directory) Remove(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -105,11 +105,11 @@
 		return false
 	}
 	delete(d.entries, id)
-	d.change()
+	d.markChanged()
 	return true
 }
 
-// Missing lists the upstreams that are not among ids.
+// Missing lists the ids of the known upstreams that are not in ids.
 func (d *Directory) Missing(ids map[string]bool) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -122,21 +122,22 @@
 	return missing
 }
 
-// MarkGone takes an upstream out until its entry shows another run or a newer
-// state: it said itself that it is leaving, or something else has its address.
+// MarkGone excludes an upstream until its entry changes in more than the sequence, such as by a
+// new run. It is called when the upstream itself reports that it is leaving, or when another run
+// or another upstream responds at its address.
 func (d *Directory) MarkGone(e Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.gone[e.ID] = e.unnumbered()
-	d.change()
+	d.gone[e.ID] = e.withoutSequence()
+	d.markChanged()
 }
 
-// Evacuate sets whether the upstreams of a data centre are to get no new work. It reports
-// whether that is new.
+// Evacuate sets whether the upstreams of a data centre are excluded from new requests. It
+// reports whether this is a change.
 //
-// Operators empty a data centre before they take it away. Its upstreams do not know of it and
-// go on saying that they are ready, so that requests sent there by their word alone end with
-// the power; they count as leaving here.
+// Operators evacuate a data centre before they shut it down. Its upstreams do not know about it
+// and still report that they are ready, and requests sent to them would be lost with the power.
+// The directory therefore treats them as leaving.
 func (d *Directory) Evacuate(dataCentre string, evacuated bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -148,30 +149,30 @@
 	} else {
 		delete(d.evacuated, dataCentre)
 	}
-	d.change()
+	d.markChanged()
 	return true
 }
 
-// Evacuated lists the data centres that are evacuated.
+// Evacuated lists the evacuated data centres in sorted order.
 func (d *Directory) Evacuated() []string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return slices.Sorted(maps.Keys(d.evacuated))
 }
 
-// change notes that the lists have changed; the lock is held.
-func (d *Directory) change() {
+// markChanged increases the version and marks byService as stale. The caller holds the lock.
+func (d *Directory) markChanged() {
 	d.version++
 	d.stale = true
 }
 
-// rebuild makes the lists anew; the lock is held.
+// rebuild recomputes byService and deletes outdated entries from gone. The caller holds the lock.
 func (d *Directory) rebuild() {
 	d.stale = false
 	d.byService = make(map[string][]Entry)
 	for id, e := range d.entries {
 		if g, marked := d.gone[id]; marked {
-			if g == e.unnumbered() {
+			if g == e.withoutSequence() {
 				continue
 			}
 			delete(d.gone, id)
@@ -189,8 +190,8 @@
 	}
 }
 
-// Service lists the upstreams of a service by id, leaving ones included. The list
-// is shared and must not be changed.
+// Service lists the upstreams of a service sorted by id, including leaving ones. The list is
+// shared and must not be modified.
 func (d *Directory) Service(name string) []Entry {
 	d.mu.RLock()
 	list, stale := d.byService[name], d.stale
@@ -206,25 +207,25 @@
 	return d.byService[name]
 }
 
-// Current returns the entry of an id if its upstream may be given work.
+// Current returns the entry of an upstream that may be sent requests.
 func (d *Directory) Current(id string) (Entry, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	e, ok := d.entries[id]
-	if g, marked := d.gone[id]; marked && g == e.unnumbered() {
+	if g, marked := d.gone[id]; marked && g == e.withoutSequence() {
 		return Entry{}, false
 	}
 	return e, ok && !e.Leaving && !d.evacuated[e.DataCentre]
 }
 
-// Version grows with each change of the lists.
+// Version increases with each change of the directory that can affect Service or Current.
 func (d *Directory) Version() uint64 {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.version
 }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (d *Directory) Len() int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/upstream/directory_test.go
+++ b/upstream/directory_test.go
@@ -13,8 +13,8 @@
 	return Entry{ID: id, Started: started, Sequence: seq, Service: "s", Address: "1.2.3.4:5", Role: Decode}
 }
 
-// An engine's last words, that it is leaving, are followed by an older entry whose
-// write was delayed. Taken for new, it would bring requests to an engine that is gone.
+// Guards against requests that are sent to an engine that has ended: the entry that says it is
+// leaving is followed by an older one whose write was delayed.
 func TestOlderEntryChangesNothing(t *testing.T) {
 	d := NewDirectory()
 	leaving := entry("a", 1, 5)
@@ -23,13 +23,13 @@
 	assert.Assert(t, !d.Put(entry("a", 1, 4)))
 	_, ok := d.Current("a")
 	assert.Assert(t, !ok)
-	assert.Assert(t, d.Put(entry("a", 2, 0)), "a new run starts counting anew")
+	assert.Assert(t, d.Put(entry("a", 2, 0)), "a new run restarts its sequence")
 	_, ok = d.Current("a")
 	assert.Assert(t, ok)
 }
 
-// An address was given to another engine, which refuses the request. The entry still
-// stands in the list; until it changes nothing more may be sent there.
+// Guards against further requests to an address that now belongs to another engine, which rejects
+// them. The old entry remains in the directory until its upstream publishes a change.
 func TestGoneUntilTheEntryChanges(t *testing.T) {
 	d := NewDirectory()
 	d.Put(entry("a", 1, 1))
@@ -44,6 +44,7 @@
 	assert.Equal(t, len(d.Service("s")), 1)
 }
 
+// Guards against renewals that count as changes: each would cause the lists to be rebuilt.
 func TestRenewalsAreNoChanges(t *testing.T) {
 	d := NewDirectory()
 	assert.Assert(t, d.Put(entry("a", 1, 1)))
@@ -57,8 +58,8 @@
 	assert.Equal(t, d.Len(), 0)
 }
 
-// Operators empty a data centre before it loses power. Its upstreams go on saying that they
-// are ready; requests that are sent there all the same are lost with it.
+// Guards against requests that are lost in a data centre that is shut down: operators evacuate it
+// before, but its upstreams still report that they are ready.
 func TestEvacuatedUpstreamsTakeNoWork(t *testing.T) {
 	d := NewDirectory()
 	here, there := entry("a", 1, 1), entry("b", 1, 1)
@@ -75,14 +76,14 @@
 	}
 	assert.DeepEqual(t, d.Evacuated(), []string{"there"})
 	there.Sequence = 2
-	assert.Assert(t, !d.Put(there), "a renewal changes nothing")
+	assert.Assert(t, !d.Put(there), "a renewal is not a change")
 	assert.Assert(t, d.Evacuate("there", false))
 	_, ok = d.Current("b")
 	assert.Assert(t, ok)
 }
 
-// Guards against a list of thousands that is sorted anew for each of its entries: at 3,000 upstreams
-// that was seconds of a core at each start.
+// Guards against sorting the list again for each new entry: at 3,000 upstreams this took seconds of
+// CPU time at each start.
 func TestEntriesAreSortedOnceForAll(t *testing.T) {
 	d := NewDirectory()
 	const upstreams = 3000
