--- a/decision/room/room_test.go
+++ b/decision/room/room_test.go
@@ -123,7 +123,7 @@
 
 // Guards against instances that overload one engine while others are idle. Sixty instances
 // place short calls on six engines and learn of each other's loads a second late, so all of
-// them take the same engine for the least loaded, and its callers are rejected or wait.
+// them consider the same engine the least loaded, and its callers are rejected or wait.
 // Comparing two sampled engines spreads the calls.
 func TestSampledClaimsSpread(t *testing.T) {
 	const (
--- a/decision/room/running_test.go
+++ b/decision/room/running_test.go
@@ -136,7 +136,7 @@
 	assert.Equal(t, len(r.running), 0)
 }
 
-// Guards against running requests that are taken for ended when the claim of a whole engine is released.
+// Guards against running requests that are treated as ended when the claim of a whole engine is released.
 func TestWithdrawnEngineKeepsItsRunningRequests(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(1))
