--- a/decision/group/release.go
+++ b/decision/group/release.go
@@ -104,7 +104,7 @@
 	}
 	if out.OutputTokens > 1 && out.Decode > 0 {
 		between := out.Decode / time.Duration(out.OutputTokens-1)
-		rec.servingUpstream.capacity.Observe(now, placement.Answer{
+		rec.servingUpstream.capacity.Observe(now, placement.ResponseStats{
 			Granted: rec.grantedAt, RunningAtGrant: rec.runningAtGrant,
 			TimeBetweenTokens: between, Target: g.cfg.BetweenTokens,
 			Policy:    g.cfg.tuning.limitPolicy,
