--- a/httpconn/httpconn_test.go
+++ b/httpconn/httpconn_test.go
@@ -215,15 +215,12 @@
 // the connection, and stops.
 func TestCancelClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
+	ctx, cancel := context.WithCancel(t.Context())
 	address, _ := serve(t, func(c net.Conn, r *bufio.Reader, _ int32) {
+		cancel()
 		_, _ = r.ReadByte()
 		close(closed)
 	})
-	ctx, cancel := context.WithCancel(t.Context())
-	go func() {
-		time.Sleep(20 * time.Millisecond)
-		cancel()
-	}()
 	_, err := NewPool().Do(ctx, address, get("1"))
 	assert.Assert(t, Sent(err))
 	assert.Assert(t, errors.Is(err, context.Canceled))
