--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -47,9 +47,9 @@
 
 // find finds the route, the organisation and the service of a call.
 func (g *Gateway) find(c *Call, key string) (*admitted, *verdict.Verdict) {
-	if part := g.state.Missing(); part != NoPart {
+	if part := g.state.Missing(); part != NoPrerequisite {
 		reason := verdict.ReasonStarting
-		if part == PartConfiguration {
+		if part == PrerequisiteConfiguration {
 			reason = verdict.ReasonNoConfiguration
 		}
 		return nil, verdict.Refuse(reason, startRetry, "this instance has not read the %s yet", part)
@@ -97,7 +97,7 @@
 // denied refuses for good what the configuration does not allow, if this instance
 // is sure of it.
 func (g *Gateway) denied(reason verdict.Reason, detail string) *verdict.Verdict {
-	if g.state.Age() > g.Apply-certainMargin {
+	if g.state.Age() > g.ApplyTimeout-certainMargin {
 		return g.stale()
 	}
 	return verdict.Refuse(reason, 0, "%s", detail)
@@ -110,8 +110,8 @@
 // setDeadline sets the time by which the request must have its final answer.
 func (g *Gateway) setDeadline(c *Call, route *object.Route) {
 	limit := defaultPatience
-	if c.Patience > 0 {
-		limit = c.Patience
+	if c.Timeout > 0 {
+		limit = c.Timeout
 	}
 	if route.TimeoutMS > 0 {
 		limit = min(limit, time.Duration(route.TimeoutMS)*time.Millisecond)
@@ -129,7 +129,7 @@
 		return nil
 	}
 	a.charge = int64(c.PromptTokens) + int64(c.MaxOutput)
-	if !c.Counted {
+	if !c.HasTokenCounts {
 		a.charge = 1
 		if limit, ok := a.index.Limit(c.Organisation); ok {
 			a.charge = limit.CallTokens
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -48,10 +48,10 @@
 
 // retryAfter bounds the time to come back by what the caller has left.
 func (g *Gateway) retryAfter(c *Call, v *verdict.Verdict) time.Duration {
-	if c == nil || c.Patience == 0 {
+	if c == nil || c.Timeout == 0 {
 		return v.RetryAfter
 	}
-	left := c.Patience - time.Since(c.Arrived)
+	left := c.Timeout - time.Since(c.Arrived)
 	return max(min(v.RetryAfter, time.Duration(float64(left)*retryShare)), time.Millisecond)
 }
 
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -29,11 +29,11 @@
 	// without what this system sets.
 	Header http.Header
 	Body   []byte
-	// Patience is how long the caller waits from its sending on; 0 where it does not
+	// Timeout is how long the caller waits from its sending on; 0 where it does not
 	// say.
-	Patience time.Duration
-	// Counted tells that the request states its size in tokens.
-	Counted bool
+	Timeout time.Duration
+	// HasTokenCounts tells that the request states its size in tokens.
+	HasTokenCounts bool
 	// PromptTokens and MaxOutput are that size: of the prompt, and the most output.
 	PromptTokens, MaxOutput int
 	// LengthHint is the caller's estimate of the output in tokens, 0 for none. It is
@@ -64,7 +64,7 @@
 type RunOptions struct {
 	// Source is where a decode engine fetches the prompt's KV cache: the engine that
 	// prefilled it, and its handle. Empty where there is none.
-	Source Source
+	Source KVSource
 	// Reservation is the engine's memory that was reserved for the request.
 	Reservation string
 	// LastEventID is the event after which a stream goes on.
@@ -73,8 +73,8 @@
 	Priority int
 }
 
-// Source names a KV cache that is kept at a prefill engine.
-type Source struct{ Address, Handle string }
+// KVSource names a KV cache that is kept at a prefill engine.
+type KVSource struct{ Address, Handle string }
 
 // Answer is an upstream's answer. Body must be closed.
 type Answer struct {
@@ -99,8 +99,8 @@
 	FreeHandle(ctx context.Context, to upstream.Entry, handle string) error
 	// Reserve sets engine memory aside for a request that follows within ttl.
 	Reserve(ctx context.Context, to upstream.Entry, tokens int, ttl time.Duration) (reservation string, err error)
-	// Reach fails where nobody listens at an upstream's address.
-	Reach(ctx context.Context, to upstream.Entry) error
+	// CheckReachable fails where nobody listens at an upstream's address.
+	CheckReachable(ctx context.Context, to upstream.Entry) error
 	// DropReservation gives reserved memory back.
 	DropReservation(ctx context.Context, to upstream.Entry, reservation string) error
 }
--- a/gateway/claims.go
+++ b/gateway/claims.go
@@ -54,7 +54,7 @@
 // open begins a claim.
 func (d *desks) open(now time.Duration, instance string, c fleet.Claim, answer func(fleet.Place)) {
 	k, known := d.byHash(c.Service)
-	if !known || d.gateway.state.Missing() != NoPart {
+	if !known || d.gateway.state.Missing() != NoPrerequisite {
 		// No configuration or no engines yet. The one who asks goes by what it knows.
 		return
 	}
--- a/gateway/doubt.go
+++ b/gateway/doubt.go
@@ -63,7 +63,7 @@
 	if known {
 		ctx, cancel := context.WithTimeout(context.Background(), doubtPatience)
 		defer cancel()
-		if err := k.gateway.Upstreams.Reach(ctx, entry); err != nil {
+		if err := k.gateway.Upstreams.CheckReachable(ctx, entry); err != nil {
 			k.gateway.suspects.unreached(entry, err)
 			k.gateway.log.Info("doubted upstream not reached", zap.String("upstream", id), zap.Error(err))
 		}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -163,7 +163,7 @@
 	w.skip = 5 * time.Second
 	rec, _ = w.ask("/book/1", nil)
 	assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
-	w.state.Prove(w.now())
+	w.state.ConfirmCurrent(w.now())
 	rec, _ = w.ask("/book/1", nil)
 	assert.Equal(t, rec.Code, http.StatusOK)
 }
@@ -186,10 +186,10 @@
 // Bodies without a length, and more of them than memory allows.
 func TestBodiesAreBounded(t *testing.T) {
 	w := newWorld(t)
-	w.gateway.MaxBodies = 2
+	w.gateway.MaxBufferedBodyBytes = 2
 	rec, _ := w.ask("/book/1", nil)
 	assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
-	w.gateway.MaxBodies = 1 << 30
+	w.gateway.MaxBufferedBodyBytes = 1 << 30
 	rec = httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodPost, "http://h/book/1", strings.NewReader(strings.Repeat("x", 2<<20)))
 	r.Header.Set("Key", "key")
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -26,18 +26,18 @@
 	Quotas    *Quotas
 	Log       *zap.Logger
 	Metrics   *observe.Metrics
-	// Apply is the time in which a new configuration must be in force.
-	Apply time.Duration
+	// ApplyTimeout is the time in which a new configuration must be in force.
+	ApplyTimeout time.Duration
 	// DataCentre of this instance.
 	DataCentre string
-	// Kick asks for a report to the other instances, since something changed.
-	Kick func()
-	// MaxBodies is the most bytes of request bodies held at once.
-	MaxBodies int64
-	// Budget is what repeated sends may add to an upstream service's load.
-	Budget RetryBudget
-	// Members is how many instances share the budget.
-	Members func() fleet.Size
+	// TriggerReport asks for a report to the other instances, since something changed.
+	TriggerReport func()
+	// MaxBufferedBodyBytes is the most bytes of request bodies held at once.
+	MaxBufferedBodyBytes int64
+	// RetryBudget is what repeated sends may add to an upstream service's load.
+	RetryBudget RetryBudget
+	// FleetSize is how many instances share the budget.
+	FleetSize func() fleet.Size
 }
 
 // Gateway is the callers' door for routed requests.
@@ -51,7 +51,7 @@
 	suspects *suspects
 	budget   *budgets
 	crashes  *crashes
-	homes    Homes
+	homes    PlacementHomes
 	bodies   atomic.Int64
 	draining atomic.Bool
 }
@@ -62,8 +62,8 @@
 	g.suspects = newSuspects(boottime.Now)
 	g.plain = newPlainRooms()
 	g.desks = newDesks(g)
-	g.crashes = newCrashes(g.log, g.Upstreams.Reach)
-	g.budget = newBudgets(o.Budget, o.Members)
+	g.crashes = newCrashes(g.log, g.Upstreams.CheckReachable)
+	g.budget = newBudgets(o.RetryBudget, o.FleetSize)
 	return g
 }
 
@@ -75,8 +75,8 @@
 
 // changed asks for a report to the others.
 func (g *Gateway) changed() {
-	if g.Kick != nil {
-		g.Kick()
+	if g.TriggerReport != nil {
+		g.TriggerReport()
 	}
 }
 
@@ -159,7 +159,7 @@
 	}
 	g.bodies.Add(counted)
 	release := func() { g.bodies.Add(-counted) }
-	if g.bodies.Load() > g.MaxBodies {
+	if g.bodies.Load() > g.MaxBufferedBodyBytes {
 		return release, verdict.Refuse(verdict.ReasonQueueTimeout, time.Second, "too many request bodies at once")
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
@@ -191,24 +191,24 @@
 func hashPoint(id string) uint64 { return xxhash.Sum64String(id) }
 
 // reportsLate reports whether the fleet is so large that reports go by way of hubs.
-func (g *Gateway) reportsLate() bool { return g.Members().Large() }
+func (g *Gateway) reportsLate() bool { return g.FleetSize().Large() }
 
-// Fill completes a report to other instances.
-func (g *Gateway) Fill(now time.Duration, r *fleet.Report) {
+// FillReport completes a report to other instances.
+func (g *Gateway) FillReport(now time.Duration, r *fleet.Report) {
 	r.Loads = make(map[fleet.Hash]fleet.Load)
 	g.plain.fill(r.Loads)
 	g.desks.fill(r)
 	g.crashes.fill(now, r)
 }
 
-// FillFor completes a report by what is for one receiver.
-func (g *Gateway) FillFor(now time.Duration, to fleet.Run, r *fleet.Report) {
-	g.quotas.FillFor(now, to, r)
+// FillReportFor completes a report by what is for one receiver.
+func (g *Gateway) FillReportFor(now time.Duration, to fleet.Run, r *fleet.Report) {
+	g.quotas.FillReportFor(now, to, r)
 }
 
-// Answer completes the answer to a poll.
-func (g *Gateway) Answer(now time.Duration, poll, r *fleet.Report) {
-	g.quotas.Answer(r)
+// FillPollAnswer completes the answer to a poll.
+func (g *Gateway) FillPollAnswer(now time.Duration, poll, r *fleet.Report) {
+	g.quotas.FillPollAnswer(r)
 	if !r.Whole {
 		return
 	}
@@ -218,22 +218,22 @@
 	g.crashes.fill(now, r)
 }
 
-// Claimed takes in another instance's claim of a place.
-func (g *Gateway) Claimed(now time.Duration, instance string, c fleet.Claim, answer func(fleet.Place)) {
+// HandleClaim takes in another instance's claim of a place.
+func (g *Gateway) HandleClaim(now time.Duration, instance string, c fleet.Claim, answer func(fleet.Place)) {
 	g.desks.claimed(now, instance, c, answer)
 }
 
-// TakeLoads takes in what has just changed of what another instance has placed.
-func (g *Gateway) TakeLoads(now time.Duration, instance string, loads map[fleet.Hash]fleet.Load) {
+// ApplyLoads takes in what has just changed of what another instance has placed.
+func (g *Gateway) ApplyLoads(now time.Duration, instance string, loads map[fleet.Hash]fleet.Load) {
 	g.desks.takeLoads(now, instance, loads)
 }
 
 // Sweep drops what is no longer needed.
 func (g *Gateway) Sweep() { g.desks.sweep() }
 
-// Take takes in a report of another instance.
-func (g *Gateway) Take(now time.Duration, r *fleet.Report) {
-	g.quotas.TakeReport(now, r)
+// ApplyReport takes in a report of another instance.
+func (g *Gateway) ApplyReport(now time.Duration, r *fleet.Report) {
+	g.quotas.ApplyReport(now, r)
 	if r.Answer && !r.Whole {
 		return
 	}
--- a/gateway/homes.go
+++ b/gateway/homes.go
@@ -17,8 +17,8 @@
 // here: a second one has taken the place of a first that does not answer.
 const homeTries = 2
 
-// Homes is how instances of a large fleet reach the one that places a service's requests.
-type Homes interface {
+// PlacementHomes is how instances of a large fleet reach the one that places a service's requests.
+type PlacementHomes interface {
 	// Home is the instance that places a service's requests, and whether it is this one.
 	Home(service string) (fleet.Hub, bool)
 	// Claim asks it for a place and waits until that is given or refused.
@@ -30,7 +30,7 @@
 }
 
 // Connect sets the way to the homes of services. It must be called before any request.
-func (g *Gateway) Connect(h Homes) { g.homes = h }
+func (g *Gateway) Connect(h PlacementHomes) { g.homes = h }
 
 // homeOf is the instance that places a service's requests, and whether this one does. In a small
 // fleet each instance hears at once of what the others place.
--- a/gateway/model.go
+++ b/gateway/model.go
@@ -145,7 +145,7 @@
 }
 
 // send has the answer generated at a decode engine.
-func (r *modelRun) send(ctx context.Context, place place, source Source, from upstream.Entry, after string) (*Answer, *verdict.Verdict) {
+func (r *modelRun) send(ctx context.Context, place place, source KVSource, from upstream.Entry, after string) (*Answer, *verdict.Verdict) {
 	g := r.gateway
 	r.sent++
 	r.admitted.upstream = place.entry.ID
@@ -263,7 +263,7 @@
 }
 
 // free drops a KV cache that will not be fetched.
-func (r *modelRun) free(from upstream.Entry, source Source) {
+func (r *modelRun) free(from upstream.Entry, source KVSource) {
 	if source.Handle == "" {
 		return
 	}
@@ -287,19 +287,19 @@
 
 // prefill has the prompt read. The source is empty where no prefill engine could; the
 // request has not run then, as reading a prompt runs nothing.
-func (r *modelRun) prefill(ctx context.Context) (Source, upstream.Entry, *verdict.Verdict) {
+func (r *modelRun) prefill(ctx context.Context) (KVSource, upstream.Entry, *verdict.Verdict) {
 	g, c := r.gateway, r.admitted.call
 	tried := make(map[string]bool)
 	var last *verdict.Verdict
 	for try := range prefillTries {
 		if ctx.Err() != nil {
-			return Source{}, upstream.Entry{}, gone(ctx)
+			return KVSource{}, upstream.Entry{}, gone(ctx)
 		}
 		if try > 0 && !g.budget.repeat(r.admitted.service.Name) {
 			break
 		}
 		if v := g.mayRun(r.admitted); v != nil {
-			return Source{}, upstream.Entry{}, v
+			return KVSource{}, upstream.Entry{}, v
 		}
 		entry, ok := r.desk.claimPrefill(ctx, r.admitted.call.PromptTokens, tried)
 		if !ok {
@@ -308,7 +308,7 @@
 		tried[entry.ID] = true
 		handle, v := r.prefillAt(ctx, entry)
 		if v == nil {
-			return Source{Address: entry.Address, Handle: handle}, entry, nil
+			return KVSource{Address: entry.Address, Handle: handle}, entry, nil
 		}
 		g.blame(ctx, c, entry, v)
 		if v.Reason == verdict.ReasonUpstreamRefused {
@@ -318,7 +318,7 @@
 		last = v
 	}
 	if ctx.Err() != nil {
-		return Source{}, upstream.Entry{}, gone(ctx)
+		return KVSource{}, upstream.Entry{}, gone(ctx)
 	}
 	if last != nil && last.Reason != verdict.ReasonUpstreamUnreachable {
 		// What a prefill engine refused has arrived there; the decode engine is the second.
@@ -327,7 +327,7 @@
 	// A decode engine reads the prompt itself, at half the speed and between the tokens
 	// of others, which is better than no answer.
 	g.log.Info("prompt left to the decode engine", zap.String("request", c.ID), zap.Int("tried", len(tried)), zap.NamedError("last", last.OrNil()))
-	return Source{}, upstream.Entry{}, nil
+	return KVSource{}, upstream.Entry{}, nil
 }
 
 func (r *modelRun) prefillAt(ctx context.Context, entry upstream.Entry) (string, *verdict.Verdict) {
--- a/gateway/places_bench_test.go
+++ b/gateway/places_bench_test.go
@@ -24,20 +24,20 @@
 			state.UpstreamsRead()
 			state.InstancesRead()
 			assert.Assert(b, state.Apply(object.NewIndex(set(), 1)))
-			state.Prove(boottime.Now())
+			state.ConfirmCurrent(boottime.Now())
 			for e := range engines {
 				state.Directory.Put(upstream.Entry{ID: fmt.Sprint("d", e), Service: "model", Role: upstream.Decode, Slots: 4})
 			}
-			g := New(Options{Upstreams: &fakes{}, State: state, Log: zap.NewNop(), Metrics: observe.NewMetrics(), Members: func() fleet.Size { return fleet.SizeOf(295) }})
+			g := New(Options{Upstreams: &fakes{}, State: state, Log: zap.NewNop(), Metrics: observe.NewMetrics(), FleetSize: func() fleet.Size { return fleet.SizeOf(295) }})
 			defer g.Close()
 			places := make(chan fleet.Place, 1)
 			c := fleet.Claim{Service: fleet.HashOf("model"), Tokens: 250, Objective: time.Second, Left: time.Minute}
 			for b.Loop() {
 				c.ID++
 				instance := fmt.Sprint("i", c.ID%295)
-				g.Claimed(boottime.Now(), instance, c, func(p fleet.Place) { places <- p })
+				g.HandleClaim(boottime.Now(), instance, c, func(p fleet.Place) { places <- p })
 				given := <-places
-				g.TakeLoads(boottime.Now(), instance, map[fleet.Hash]fleet.Load{given.Upstream: {}})
+				g.ApplyLoads(boottime.Now(), instance, map[fleet.Hash]fleet.Load{given.Upstream: {}})
 				if c.ID%1000 == 0 {
 					g.Sweep()
 				}
--- a/gateway/places_test.go
+++ b/gateway/places_test.go
@@ -56,7 +56,7 @@
 		return fleet.Place{}, fleet.ErrUnanswered
 	}
 	places := make(chan fleet.Place, 100)
-	claim := func() { f.gateways[0].Claimed(boottime.Now(), h.name(), c, func(p fleet.Place) { places <- p }) }
+	claim := func() { f.gateways[0].HandleClaim(boottime.Now(), h.name(), c, func(p fleet.Place) { places <- p }) }
 	claim()
 	refresh := time.NewTicker(fleet.ClaimLife / 3)
 	defer refresh.Stop()
@@ -77,7 +77,7 @@
 }
 
 func (h homesOf) TellLoads(_ string, loads map[fleet.Hash]fleet.Load) {
-	h.fleet.gateways[0].TakeLoads(boottime.Now(), h.name(), loads)
+	h.fleet.gateways[0].ApplyLoads(boottime.Now(), h.name(), loads)
 }
 
 func (h homesOf) name() string { return fmt.Sprint("i", h.index) }
@@ -107,13 +107,13 @@
 		state.UpstreamsRead()
 		state.InstancesRead()
 		assert.Assert(t, state.Apply(object.NewIndex(set(), 1)))
-		state.Prove(boottime.Now())
+		state.ConfirmCurrent(boottime.Now())
 		for e := range engines {
 			state.Directory.Put(upstream.Entry{ID: fmt.Sprint("d", e), Service: "model", Role: upstream.Decode, Slots: 4})
 			state.Directory.Put(upstream.Entry{ID: fmt.Sprint("p", e), Service: "model", Role: upstream.Prefill, Slots: 4})
 		}
 		f.upstreams = append(f.upstreams, &fakes{})
-		g := New(Options{Upstreams: f.upstreams[i], State: state, Log: zap.NewNop(), Metrics: observe.NewMetrics(), Members: func() fleet.Size { return fleet.SizeOf(instances) }})
+		g := New(Options{Upstreams: f.upstreams[i], State: state, Log: zap.NewNop(), Metrics: observe.NewMetrics(), FleetSize: func() fleet.Size { return fleet.SizeOf(instances) }})
 		g.Connect(homesOf{f, i})
 		// No suspicion ends while a test runs.
 		g.suspects.now = func() time.Duration { return now }
--- a/gateway/quota.go
+++ b/gateway/quota.go
@@ -55,8 +55,8 @@
 	return limit
 }
 
-// Network is how instances reach one another for quotas.
-type Network interface {
+// QuotaNetwork is how instances reach one another for quotas.
+type QuotaNetwork interface {
 	// Hubs are the instances that hold buckets, this one included if it does.
 	Hubs() []fleet.Hub
 	// Size is the size of the fleet. While it is not known, nobody's home is.
@@ -74,7 +74,7 @@
 	self  fleet.Hub
 
 	mu      sync.Mutex
-	network Network
+	network QuotaNetwork
 	giver   *escrow.Giver
 	home    *escrow.Home
 	// homes is which of the hubs is the home of each shard.
@@ -111,7 +111,7 @@
 }
 
 // Connect sets the way to the other instances. It must be called before anything else.
-func (q *Quotas) Connect(n Network) { q.network = n }
+func (q *Quotas) Connect(n QuotaNetwork) { q.network = n }
 
 // SetLimits takes the organisations' limits from a configuration.
 func (q *Quotas) SetLimits(index *object.Index) {
@@ -341,8 +341,8 @@
 	return out
 }
 
-// FillFor adds to a report what its receiver is handed on, and what it is charged.
-func (q *Quotas) FillFor(now time.Duration, to fleet.Run, r *fleet.Report) {
+// FillReportFor adds to a report what its receiver is handed on, and what it is charged.
+func (q *Quotas) FillReportFor(now time.Duration, to fleet.Run, r *fleet.Report) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.giveOwn(now)
@@ -357,8 +357,8 @@
 	}
 }
 
-// Answer adds to an answer which buckets here are empty.
-func (q *Quotas) Answer(r *fleet.Report) {
+// FillPollAnswer adds to an answer which buckets here are empty.
+func (q *Quotas) FillPollAnswer(r *fleet.Report) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, org := range q.home.Short() {
@@ -366,8 +366,8 @@
 	}
 }
 
-// TakeReport takes in what another instance hands on, charges and lacks.
-func (q *Quotas) TakeReport(now time.Duration, r *fleet.Report) {
+// ApplyReport takes in what another instance hands on, charges and lacks.
+func (q *Quotas) ApplyReport(now time.Duration, r *fleet.Report) {
 	from := escrow.Run(fleet.RunOf(r.Instance, r.Incarnation))
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -380,8 +380,8 @@
 	}
 }
 
-// Asked answers another instance's ask.
-func (q *Quotas) Asked(now time.Duration, a fleet.Ask) fleet.Grant {
+// HandleAsk answers another instance's ask.
+func (q *Quotas) HandleAsk(now time.Duration, a fleet.Ask) fleet.Grant {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if kept, answered := q.answers[a.ID]; answered {
--- a/gateway/quota_power_test.go
+++ b/gateway/quota_power_test.go
@@ -101,7 +101,7 @@
 		if other.self.Name == to && m.fleet.now >= other.up {
 			m.fleet.asks++
 			a.ID = m.fleet.asks
-			return other.Asked(m.fleet.now, a), nil
+			return other.HandleAsk(m.fleet.now, a), nil
 		}
 	}
 	return fleet.Grant{}, errors.New("no answer")
@@ -132,8 +132,8 @@
 				continue
 			}
 			r := &fleet.Report{Instance: from.self.Name, Incarnation: from.self.Incarnation}
-			from.FillFor(f.now, to.hub().Run, r)
-			to.TakeReport(f.now, r)
+			from.FillReportFor(f.now, to.hub().Run, r)
+			to.ApplyReport(f.now, r)
 		}
 	}
 }
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -54,11 +54,11 @@
 					continue
 				}
 				r := &fleet.Report{Instance: from.hub.Name, Incarnation: 1}
-				from.FillFor(f.now, to.hub.Run, r)
-				to.TakeReport(f.now, r)
+				from.FillReportFor(f.now, to.hub.Run, r)
+				to.ApplyReport(f.now, r)
 				back := &fleet.Report{Instance: to.hub.Name, Incarnation: 1}
-				to.Answer(back)
-				from.TakeReport(f.now, back)
+				to.FillPollAnswer(back)
+				from.ApplyReport(f.now, back)
 			}
 		}
 	}
@@ -82,7 +82,7 @@
 		if other.hub.Name == to && !other.mute {
 			m.fleet.asks++
 			a.ID = m.fleet.asks
-			return other.Asked(m.fleet.now, a), nil
+			return other.HandleAsk(m.fleet.now, a), nil
 		}
 	}
 	return fleet.Grant{}, errors.New("no answer")
@@ -171,9 +171,9 @@
 func TestRepeatedAskTakesTokensOnce(t *testing.T) {
 	f := newQuotaFleet(2)
 	q, ask := f.homeOf("wide"), fleet.Ask{ID: 7, Organisation: fleet.HashOf("wide"), Tokens: 600_000}
-	first := q.Asked(f.now, ask)
+	first := q.HandleAsk(f.now, ask)
 	assert.Assert(t, first.Granted)
-	assert.Equal(t, q.Asked(f.now, ask), first)
+	assert.Equal(t, q.HandleAsk(f.now, ask), first)
 	f.now += 3 * answersKept
 	q.Sweep(func(fleet.Run) bool { return false })
 	assert.Equal(t, len(q.answers), 0)
--- a/gateway/roles.go
+++ b/gateway/roles.go
@@ -61,25 +61,25 @@
 	Expect int64
 }
 
-// Engines are the calls that change engines.
-type Engines interface {
+// EngineController are the calls that change engines.
+type EngineController interface {
 	State(ctx context.Context, e upstream.Entry) (EngineState, error)
 	Order(ctx context.Context, e upstream.Entry, o Order) error
 }
 
 // RoleOptions say who gives orders.
 type RoleOptions struct {
-	Engines Engines
+	Engines EngineController
 	Log     port.KeyedLog
 	// Holder names this instance. Its earlier runs have ended and hold in its name.
 	Holder string
-	// Leads reports whether this instance is the one that should act for a service: of
+	// IsLeader reports whether this instance is the one that should act for a service: of
 	// those that hear one another only one should try.
-	Leads func(service string) bool
+	IsLeader func(service string) bool
 	// Lease is the time within which two holders must not take turns.
 	Lease time.Duration
-	// Watches reports whether this instance may come to lead; nil means always.
-	Watches func() bool
+	// MayLead reports whether this instance may come to lead; nil means always.
+	MayLead func() bool
 }
 
 // roleRecord is what stands in the store of a service's holder.
@@ -116,7 +116,7 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if !watched && (k.Watches == nil || k.Watches()) {
+		if !watched && (k.MayLead == nil || k.MayLead()) {
 			k.watch(ctx)
 			watched = true
 		}
@@ -147,7 +147,7 @@
 		return
 	}
 	to, count := k.change(d)
-	if count == 0 || !k.Leads(d.service) {
+	if count == 0 || !k.IsLeader(d.service) {
 		k.wanted[d.service] = 0
 		return
 	}
--- a/gateway/roles_test.go
+++ b/gateway/roles_test.go
@@ -73,9 +73,9 @@
 	return o.err
 }
 
-func keeper(w *world, log port.KeyedLog, engines Engines, holder string) *roleKeeper {
+func keeper(w *world, log port.KeyedLog, engines EngineController, holder string) *roleKeeper {
 	return &roleKeeper{
-		RoleOptions: RoleOptions{Engines: engines, Log: log, Holder: holder, Leads: func(string) bool { return true }, Lease: time.Second},
+		RoleOptions: RoleOptions{Engines: engines, Log: log, Holder: holder, IsLeader: func(string) bool { return true }, Lease: time.Second},
 		gateway:     w.gateway, wanted: map[string]int{}, quiet: map[string]time.Duration{}, seen: map[string]sighting{},
 	}
 }
@@ -208,7 +208,7 @@
 	k.look(t.Context(), d)
 	assert.Equal(t, len(engines.orders), 1, "ordered again at once")
 	k.quiet[d.service] = 0
-	k.Leads = func(string) bool { return false }
+	k.IsLeader = func(string) bool { return false }
 	k.look(t.Context(), d)
 	k.look(t.Context(), d)
 	assert.Equal(t, len(engines.orders), 1)
--- a/gateway/start_test.go
+++ b/gateway/start_test.go
@@ -22,7 +22,7 @@
 	w.gateway.state = w.state
 	w.always(nil)
 	for _, read := range []func(){
-		func() { w.state.Apply(object.NewIndex(set(), 1)); w.state.Prove(w.now()) },
+		func() { w.state.Apply(object.NewIndex(set(), 1)); w.state.ConfirmCurrent(w.now()) },
 		w.state.UpstreamsRead,
 		w.state.InstancesRead,
 	} {
@@ -38,7 +38,7 @@
 		read()
 	}
 	<-w.state.Complete()
-	assert.Equal(t, w.state.Missing(), NoPart)
+	assert.Equal(t, w.state.Missing(), NoPrerequisite)
 }
 
 // Guards against an instance that is asked for a place before it has read the list of upstreams,
@@ -49,7 +49,7 @@
 	w.gateway.desks.get(service)
 	claim := fleet.Claim{ID: 1, Service: fleet.HashOf("model"), Prefill: true, Tokens: 100}
 	answered := func() (n int) {
-		w.gateway.Claimed(boottime.Now(), "b", claim, func(fleet.Place) { n++ })
+		w.gateway.HandleClaim(boottime.Now(), "b", claim, func(fleet.Place) { n++ })
 		return n
 	}
 	w.gateway.state = NewState(w.now, 4*time.Second)
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -33,29 +33,29 @@
 	return &State{now: now, maxAge: maxAge, complete: make(chan struct{}), Directory: upstream.NewDirectory()}
 }
 
-// Part is what an instance must have read before it can serve.
-type Part string
+// Prerequisite is what an instance must have read before it can serve.
+type Prerequisite string
 
 // Parts of what an instance reads.
 const (
-	NoPart            Part = ""
-	PartConfiguration Part = "configuration"
-	PartUpstreams     Part = "list of upstreams"
-	PartInstances     Part = "list of instances"
+	NoPrerequisite            Prerequisite = ""
+	PrerequisiteConfiguration Prerequisite = "configuration"
+	PrerequisiteUpstreams     Prerequisite = "list of upstreams"
+	PrerequisiteInstances     Prerequisite = "list of instances"
 )
 
 // Missing is what has not been read yet, NoPart if nothing is missing. A list that was not read
 // names nobody, which is not to be taken for an empty one.
-func (s *State) Missing() Part {
+func (s *State) Missing() Prerequisite {
 	switch {
 	case s.Index() == nil:
-		return PartConfiguration
+		return PrerequisiteConfiguration
 	case !s.upstreams.Load():
-		return PartUpstreams
+		return PrerequisiteUpstreams
 	case !s.instances.Load():
-		return PartInstances
+		return PrerequisiteInstances
 	}
-	return NoPart
+	return NoPrerequisite
 }
 
 // Complete returns a channel that is closed once nothing is missing.
@@ -75,7 +75,7 @@
 
 // look tells those who wait once nothing is missing.
 func (s *State) look() {
-	if s.Missing() == NoPart {
+	if s.Missing() == NoPrerequisite {
 		s.completeOnce.Do(func() { close(s.complete) })
 	}
 }
@@ -98,8 +98,8 @@
 // Index returns the configuration in force, nil while there is none.
 func (s *State) Index() *object.Index { return s.index.Load() }
 
-// Prove notes that no newer configuration existed when a read was begun.
-func (s *State) Prove(begun time.Duration) {
+// ConfirmCurrent notes that no newer configuration existed when a read was begun.
+func (s *State) ConfirmCurrent(begun time.Duration) {
 	for {
 		old := s.proof.Load()
 		if int64(begun) <= old || s.proof.CompareAndSwap(old, int64(begun)) {
--- a/gateway/world_test.go
+++ b/gateway/world_test.go
@@ -36,10 +36,10 @@
 }
 
 func (f *fakes) Decode(r *http.Request) (*Call, string, error) {
-	c := &Call{ID: r.Header.Get("Id"), Method: r.Method, Target: r.RequestURI, Path: r.URL.Path, Host: r.Host, Header: http.Header{}, Patience: 2 * time.Second}
+	c := &Call{ID: r.Header.Get("Id"), Method: r.Method, Target: r.RequestURI, Path: r.URL.Path, Host: r.Host, Header: http.Header{}, Timeout: 2 * time.Second}
 	if r.Header.Get("Tokens") != "" {
 		_, err := fmt.Sscan(r.Header.Get("Tokens"), &c.PromptTokens, &c.MaxOutput)
-		c.Counted = err == nil
+		c.HasTokenCounts = err == nil
 	}
 	return c, r.Header.Get("Key"), nil
 }
@@ -77,7 +77,7 @@
 	return f.reserve(to)
 }
 
-func (f *fakes) Reach(context.Context, upstream.Entry) error { return f.reach }
+func (f *fakes) CheckReachable(context.Context, upstream.Entry) error { return f.reach }
 
 func (f *fakes) DropReservation(_ context.Context, _ upstream.Entry, reservation string) error {
 	f.note(reservation)
@@ -147,7 +147,7 @@
 	w.state.InstancesRead()
 	index := object.NewIndex(set(), 1)
 	assert.Assert(t, w.state.Apply(index))
-	w.state.Prove(w.now())
+	w.state.ConfirmCurrent(w.now())
 	for i, role := range []upstream.Role{upstream.Plain, upstream.Plain, upstream.Prefill, upstream.Prefill, upstream.Decode, upstream.Decode} {
 		service := "model"
 		if role == upstream.Plain {
@@ -160,8 +160,8 @@
 	quotas.SetLimits(index)
 	w.fill(quotas)
 	w.gateway = New(Options{
-		Apply: 2 * time.Second, Codec: w.fakes, Upstreams: w.fakes, State: w.state, Quotas: quotas, Log: zap.NewNop(), Metrics: observe.NewMetrics(),
-		MaxBodies: 1 << 20, Budget: RetryBudget{Ratio: 1, Window: 10 * time.Second, Slack: 20, FirstStart: true}, Members: func() fleet.Size { return fleet.SizeOf(1) },
+		ApplyTimeout: 2 * time.Second, Codec: w.fakes, Upstreams: w.fakes, State: w.state, Quotas: quotas, Log: zap.NewNop(), Metrics: observe.NewMetrics(),
+		MaxBufferedBodyBytes: 1 << 20, RetryBudget: RetryBudget{Ratio: 1, Window: 10 * time.Second, Slack: 20, FirstStart: true}, FleetSize: func() fleet.Size { return fleet.SizeOf(1) },
 	})
 	t.Cleanup(w.gateway.Close)
 	return w
@@ -171,9 +171,9 @@
 func (w *world) fill(quotas *Quotas) {
 	for range 100 {
 		w.before += 100 * time.Millisecond
-		quotas.FillFor(w.now(), 0, &fleet.Report{})
+		quotas.FillReportFor(w.now(), 0, &fleet.Report{})
 	}
-	w.state.Prove(w.now())
+	w.state.ConfirmCurrent(w.now())
 }
 
 // alone is the network of an instance without others.
--- a/instance/routed/readers.go
+++ b/instance/routed/readers.go
@@ -86,7 +86,7 @@
 
 // Fill implements fleet.Handler.
 func (i *Instance) Fill(now time.Duration, r *fleet.Report) {
-	i.gateway.Fill(now, r)
+	i.gateway.FillReport(now, r)
 	r.Known = make(map[port.Topic]uint64, len(i.shared))
 	for _, f := range i.shared {
 		if n, ok := f.Note(now); ok {
@@ -100,12 +100,12 @@
 
 // FillFor implements fleet.Handler.
 func (i *Instance) FillFor(now time.Duration, to fleet.Run, r *fleet.Report) {
-	i.gateway.FillFor(now, to, r)
+	i.gateway.FillReportFor(now, to, r)
 }
 
 // Answer implements fleet.Handler.
 func (i *Instance) Answer(now time.Duration, poll, r *fleet.Report) {
-	i.gateway.Answer(now, poll, r)
+	i.gateway.FillPollAnswer(now, poll, r)
 	for _, f := range i.shared {
 		known, told := poll.Known[f.Topic]
 		if !told {
@@ -119,22 +119,22 @@
 
 // Asked implements fleet.Handler.
 func (i *Instance) Asked(now time.Duration, _ fleet.Run, a fleet.Ask) fleet.Grant {
-	return i.quotas.Asked(now, a)
+	return i.quotas.HandleAsk(now, a)
 }
 
 // Claimed implements fleet.Handler.
 func (i *Instance) Claimed(now time.Duration, instance string, c fleet.Claim, answer func(fleet.Place)) {
-	i.gateway.Claimed(now, instance, c, answer)
+	i.gateway.HandleClaim(now, instance, c, answer)
 }
 
 // TakeLoads implements fleet.Handler.
 func (i *Instance) TakeLoads(now time.Duration, instance string, loads map[fleet.Hash]fleet.Load) {
-	i.gateway.TakeLoads(now, instance, loads)
+	i.gateway.ApplyLoads(now, instance, loads)
 }
 
 // Take implements fleet.Handler.
 func (i *Instance) Take(now time.Duration, r *fleet.Report) {
-	i.gateway.Take(now, r)
+	i.gateway.ApplyReport(now, r)
 	for _, n := range r.Notes {
 		for _, f := range i.shared {
 			if f.Topic == n.Topic {
@@ -217,7 +217,7 @@
 // Proven implements follow.Reader.
 func (r *configReader) Proven(begun time.Duration) {
 	if r.instance.state.Index() != nil {
-		r.instance.state.Prove(begun)
+		r.instance.state.ConfirmCurrent(begun)
 	}
 }
 
--- a/instance/routed/routed.go
+++ b/instance/routed/routed.go
@@ -34,7 +34,7 @@
 	Log       port.KeyedLog
 	Codec     gateway.Codec
 	Upstreams gateway.Upstreams
-	Engines   gateway.Engines
+	Engines   gateway.EngineController
 	Pool      *httpconn.Pool
 	// Configuration reads a record; ok is false where it holds no configuration.
 	Configuration func(port.KeyedRecord) (c Configuration, ok bool, err error)
@@ -130,9 +130,9 @@
 	i.quotas = gateway.NewQuotas(boottime.Now, self, bound)
 	i.gateway = gateway.New(gateway.Options{
 		Codec: outside.Codec, Upstreams: outside.Upstreams, State: i.state, Quotas: i.quotas, Log: log, Metrics: i.metrics,
-		Apply: time.Duration(s.ApplyMS) * time.Millisecond, DataCentre: s.DataCentre, Kick: i.kick, MaxBodies: i.bodyLimit(),
-		Budget:  gateway.RetryBudget{Ratio: s.RetryRatio, Window: seconds(s.RetryS), Slack: s.RetrySlack, FirstStart: s.FirstStart},
-		Members: i.fleetSize,
+		ApplyTimeout: time.Duration(s.ApplyMS) * time.Millisecond, DataCentre: s.DataCentre, TriggerReport: i.kick, MaxBufferedBodyBytes: i.bodyLimit(),
+		RetryBudget: gateway.RetryBudget{Ratio: s.RetryRatio, Window: seconds(s.RetryS), Slack: s.RetrySlack, FirstStart: s.FirstStart},
+		FleetSize:   i.fleetSize,
 	})
 	i.shared = []*follow.Follower{
 		i.follower(port.TopicConfiguration, time.Duration(s.ApplyMS)*time.Millisecond, &configReader{instance: i}),
@@ -283,8 +283,8 @@
 	group.Go(func() error { return i.sweep(ctx) })
 	group.Go(func() error {
 		return ignoreEnd(ctx, i.gateway.RunRoles(ctx, gateway.RoleOptions{
-			Engines: i.outside.Engines, Log: i.outside.Log, Holder: i.settings.Instance, Leads: func(service string) bool { return i.exchange.Rank(service) == 0 },
-			Lease: time.Duration(i.settings.LeaseMS) * time.Millisecond, Watches: i.exchange.IsHub,
+			Engines: i.outside.Engines, Log: i.outside.Log, Holder: i.settings.Instance, IsLeader: func(service string) bool { return i.exchange.Rank(service) == 0 },
+			Lease: time.Duration(i.settings.LeaseMS) * time.Millisecond, MayLead: i.exchange.IsHub,
 		}))
 	})
 }
@@ -367,7 +367,7 @@
 	switch {
 	case draining:
 		return "draining"
-	case i.state.Missing() != gateway.NoPart:
+	case i.state.Missing() != gateway.NoPrerequisite:
 		return fmt.Sprintf("no %s yet", i.state.Missing())
 	case i.state.Directory.Len() == 0:
 		return "no upstreams"
