--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -10,59 +10,58 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Figures of admission.
+// Limits and retry times of admission.
 const (
-	// startRetry is when a caller is told to come back that reached an instance which has not
-	// read all that it decides by: the reads take some hundred ms.
-	startRetry = 500 * time.Millisecond
-	// staleRetry is when a caller is told to come back that was refused since this
-	// instance cannot tell which keys hold: by then the balancer has taken it out,
-	// and the caller reaches another.
+	// startingRetry is the Retry-After of an instance that has not finished its initial reads,
+	// which take a few hundred ms.
+	startingRetry = 500 * time.Millisecond
+	// staleRetry is the Retry-After of an instance whose configuration is too old to tell which
+	// keys are valid. By then the load balancer has removed the instance and the caller reaches
+	// another.
 	staleRetry = 500 * time.Millisecond
-	// certainMargin is how much younger than the time in which a new configuration must
-	// be in force its proof must be for an unknown route or key to be refused for good.
-	// With an older one the caller of a route that was just added would be told never to
-	// ask again.
-	certainMargin = 100 * time.Millisecond
-	// minQuotaRetry is the least time after which a caller is told to come back.
+	// permanentRefusalMargin is subtracted from ApplyTimeout to get the maximum age of the
+	// configuration at which an unknown route or key is refused permanently. With an older
+	// configuration, the caller of a newly added route would be told never to retry.
+	permanentRefusalMargin = 100 * time.Millisecond
+	// minQuotaRetry is the minimum Retry-After of a request over its quota.
 	minQuotaRetry = 100 * time.Millisecond
-	// quotaPatience is how long a request without an objective waits for tokens, quotaShare
-	// the part of the objective that others wait. A prompt that is read later is still
-	// answered in time.
-	quotaPatience = 200 * time.Millisecond
-	quotaShare    = 1.0 / 3
+	// defaultQuotaWait is how long a request without an objective waits for tokens; quotaWaitRatio
+	// is the fraction of the objective that other requests wait. A prompt that is processed after
+	// this wait can still be answered within its objective.
+	defaultQuotaWait = 200 * time.Millisecond
+	quotaWaitRatio   = 1.0 / 3
 )
 
-// admitted is a request that may run.
-type admitted struct {
+// admittedCall is a call with its resolved route and service.
+type admittedCall struct {
 	call    *Call
 	route   *object.Route
 	service *object.Service
 	index   *object.Index
-	// upstream is the id of the one that was sent the request last.
+	// upstream is the ID of the upstream the request was last sent to.
 	upstream string
-	// charge is what was taken of the organisation's quota.
+	// charge is the number of tokens charged to the organisation's quota.
 	charge int64
 }
 
-// find finds the route, the organisation and the service of a call.
-func (g *Gateway) find(c *Call, key string) (*admitted, *verdict.Verdict) {
-	if part := g.state.Missing(); part != NoPrerequisite {
+// resolveCall resolves the route, the organisation and the service of a call.
+func (g *Gateway) resolveCall(c *Call, key string) (*admittedCall, *verdict.Verdict) {
+	if missing := g.state.Missing(); missing != NoPrerequisite {
 		reason := verdict.ReasonStarting
-		if part == PrerequisiteConfiguration {
+		if missing == PrerequisiteConfiguration {
 			reason = verdict.ReasonNoConfiguration
 		}
-		return nil, verdict.Refuse(reason, startRetry, "this instance has not read the %s yet", part)
+		return nil, verdict.Refuse(reason, startingRetry, "this instance has not read the %s yet", missing)
 	}
 	index := g.state.Index()
 	route, ok := index.Route(hostName(c.Host), c.Path)
 	if !ok {
-		return nil, g.denied(verdict.ReasonUnknownService, "no route for this host and path")
+		return nil, g.refusePermanently(verdict.ReasonUnknownService, "no route for this host and path")
 	}
-	a := &admitted{call: c, route: route, index: index}
-	c.prio = route.Priority
+	a := &admittedCall{call: c, route: route, index: index}
+	c.priority = route.Priority
 	if !route.Public {
-		if v := g.identify(a, key); v != nil {
+		if v := g.authenticate(a, key); v != nil {
 			return nil, v
 		}
 	}
@@ -74,42 +73,42 @@
 	return a, nil
 }
 
-// identify finds the organisation by the key.
-func (g *Gateway) identify(a *admitted, key string) *verdict.Verdict {
+// authenticate looks up the organisation by the key.
+func (g *Gateway) authenticate(a *admittedCall, key string) *verdict.Verdict {
 	if !g.state.Fresh() {
-		return g.stale()
+		return g.refuseStale()
 	}
 	if key == "" {
-		return g.denied(verdict.ReasonUnauthenticated, "a key is needed")
+		return g.refusePermanently(verdict.ReasonUnauthenticated, "a key is required")
 	}
 	hash := object.HashKey(key)
 	k, organisation, ok := a.index.KeyByHash(hash)
 	if !ok || k.Withdrawn {
-		return g.denied(verdict.ReasonUnauthenticated, "the key is not known")
+		return g.refusePermanently(verdict.ReasonUnauthenticated, "the key is unknown")
 	}
 	a.call.Organisation, a.call.keyHash = organisation.Name, hash
 	if organisation.Priority != nil {
-		a.call.prio = *organisation.Priority
+		a.call.priority = *organisation.Priority
 	}
 	return nil
 }
 
-// denied refuses for good what the configuration does not allow, if this instance
-// is sure of it.
-func (g *Gateway) denied(reason verdict.Reason, detail string) *verdict.Verdict {
-	if g.state.Age() > g.ApplyTimeout-certainMargin {
-		return g.stale()
+// refusePermanently returns a refusal that must not be retried. If the configuration is not recent
+// enough to be certain, it returns a retryable refusal instead.
+func (g *Gateway) refusePermanently(reason verdict.Reason, detail string) *verdict.Verdict {
+	if g.state.Age() > g.ApplyTimeout-permanentRefusalMargin {
+		return g.refuseStale()
 	}
 	return verdict.Refuse(reason, 0, "%s", detail)
 }
 
-func (g *Gateway) stale() *verdict.Verdict {
+func (g *Gateway) refuseStale() *verdict.Verdict {
 	return verdict.Refuse(verdict.ReasonNoConfiguration, staleRetry, "this instance has not reached the store for %v", g.state.Age().Round(time.Millisecond))
 }
 
-// setDeadline sets the time by which the request must have its final answer.
+// setDeadline sets the time by which the request must be answered.
 func (g *Gateway) setDeadline(c *Call, route *object.Route) {
-	limit := defaultPatience
+	limit := defaultTimeout
 	if c.Timeout > 0 {
 		limit = c.Timeout
 	}
@@ -119,11 +118,11 @@
 	c.Deadline = c.Arrived.Add(limit)
 }
 
-// defaultPatience bounds requests whose caller and route name no limit.
-const defaultPatience = time.Minute
+// defaultTimeout limits requests if neither the caller nor the route sets a timeout.
+const defaultTimeout = time.Minute
 
-// charge takes the request's tokens off its organisation's quota.
-func (g *Gateway) charge(ctx context.Context, a *admitted) *verdict.Verdict {
+// chargeQuota charges the request's tokens to its organisation's quota.
+func (g *Gateway) chargeQuota(ctx context.Context, a *admittedCall) *verdict.Verdict {
 	c := a.call
 	if c.Organisation == "" {
 		return nil
@@ -145,41 +144,41 @@
 	a.charge = 0
 	switch {
 	case ctx.Err() != nil:
-		return verdict.Refuse(verdict.ReasonCancelled, 0, "the caller left")
+		return verdict.Refuse(verdict.ReasonCancelled, 0, "the caller disconnected")
 	case d.Unanswered:
 		g.Metrics.Quota("unanswered")
 		return verdict.Refuse(verdict.ReasonRateHomeUnknown, d.Retry, "%s", d)
 	}
 	g.Metrics.Quota("refused")
 	retry := max(min(d.Retry, time.Until(c.Deadline)), minQuotaRetry)
-	return verdict.Refuse(verdict.ReasonRateLimited, retry, "the organisation's quota is used up: %d tokens asked, %s", tokens, d)
+	return verdict.Refuse(verdict.ReasonRateLimited, retry, "the organisation's quota is exhausted: %d tokens requested, %s", tokens, d)
 }
 
-// quotaWait is how long a request waits for tokens.
+// quotaWait returns how long a request waits for tokens.
 func quotaWait(route *object.Route) time.Duration {
 	if route.ObjectiveMS == 0 {
-		return quotaPatience
+		return defaultQuotaWait
 	}
-	return time.Duration(quotaShare * float64(route.ObjectiveMS) * float64(time.Millisecond))
+	return time.Duration(quotaWaitRatio * float64(route.ObjectiveMS) * float64(time.Millisecond))
 }
 
-// refund gives the charge of a request that did not run back.
-func (g *Gateway) refund(a *admitted) {
+// refund returns the charge of a request that did not run.
+func (g *Gateway) refund(a *admittedCall) {
 	if a.charge > 0 {
 		g.quotas.Refund(a.call.Organisation, a.charge)
 		a.charge = 0
 	}
 }
 
-// mayRun checks, right before a request is sent to an upstream, that what allowed
-// it still holds: a request may have waited for long, or the machine may have been
-// suspended, since its key was checked.
-func (g *Gateway) mayRun(a *admitted) *verdict.Verdict {
+// checkStillAllowed repeats the check of the key immediately before a request is sent to an
+// upstream: since the first check, the request may have waited for long or the machine may have
+// been suspended.
+func (g *Gateway) checkStillAllowed(a *admittedCall) *verdict.Verdict {
 	if a.call.Organisation == "" {
 		return nil
 	}
 	if !g.state.Fresh() {
-		return g.stale()
+		return g.refuseStale()
 	}
 	k, _, ok := g.state.Index().KeyByHash(a.call.keyHash)
 	if !ok || k.Withdrawn {
@@ -188,7 +187,7 @@
 	return nil
 }
 
-// hostName strips the port off a host.
+// hostName strips the port from a host.
 func hostName(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		return host[:i]
@@ -196,8 +195,8 @@
 	return host
 }
 
-// statusOf is the HTTP status of a verdict. 429 and 503 promise that the request
-// has not run and will not; 502 and 504 promise nothing.
+// statusOf returns the HTTP status of a verdict. 429 and 503 guarantee that the request has not run
+// and will not run; 502 and 504 guarantee nothing.
 func statusOf(v *verdict.Verdict) int {
 	if v.Ran != verdict.NotRun {
 		if v.Reason == verdict.ReasonTimeout {
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -11,26 +11,26 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// problem is the body of a refusal or failure.
-type problem struct {
+// refusalBody is the JSON body of a refusal or failure.
+type refusalBody struct {
 	Code   verdict.Reason `json:"code"`
 	Ran    string         `json:"ran"`
 	Detail string         `json:"detail"`
 }
 
-// refuse answers a request that gets no upstream's answer.
+// refuse responds to a request for which there is no upstream answer to forward.
 func (g *Gateway) refuse(w http.ResponseWriter, c *Call, v *verdict.Verdict) {
 	g.Metrics.Refused("gateway", v)
 	g.logRefusal(c, v)
 	if v.Reason == verdict.ReasonCancelled {
-		// Nobody is there to read an answer.
+		// The caller has disconnected.
 		panic(http.ErrAbortHandler)
 	}
 	header := w.Header()
 	if v.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(g.retryAfter(c, v).Seconds(), 'f', 3, 64))
 	}
-	body, err := json.Marshal(problem{v.Reason, v.Ran.String(), v.Detail})
+	body, err := json.Marshal(refusalBody{v.Reason, v.Ran.String(), v.Detail})
 	if err != nil {
 		g.log.Error("refusal not encoded", zap.Error(err))
 	}
@@ -38,21 +38,21 @@
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(statusOf(v))
 	if _, err := w.Write(body); err != nil {
-		g.log.Debug("refusal not delivered", zap.Error(err))
+		g.log.Debug("cannot write refusal", zap.Error(err))
 	}
 }
 
-// retryShare is the part of a caller's remaining time after which it is told to come
-// back at the latest: an answer that it then waits for still has time to come.
-const retryShare = 1.0 / 3
+// retryTimeRatio limits Retry-After to a fraction of the caller's remaining time, so that enough
+// time remains for the retry to be answered.
+const retryTimeRatio = 1.0 / 3
 
-// retryAfter bounds the time to come back by what the caller has left.
+// retryAfter limits the verdict's Retry-After by the caller's remaining time.
 func (g *Gateway) retryAfter(c *Call, v *verdict.Verdict) time.Duration {
 	if c == nil || c.Timeout == 0 {
 		return v.RetryAfter
 	}
 	left := c.Timeout - time.Since(c.Arrived)
-	return max(min(v.RetryAfter, time.Duration(float64(left)*retryShare)), time.Millisecond)
+	return max(min(v.RetryAfter, time.Duration(float64(left)*retryTimeRatio)), time.Millisecond)
 }
 
 func (g *Gateway) logRefusal(c *Call, v *verdict.Verdict) {
@@ -70,19 +70,19 @@
 	g.log.Info("refused", fields...)
 }
 
-// noType keeps the server from guessing a content type that the upstream did not
-// send.
-var noType []string
+// suppressHeader as a header's value keeps net/http from adding a default (such as a sniffed
+// content type) that the upstream did not send.
+var suppressHeader []string
 
-// copyHeader hands an upstream's headers on.
+// copyHeader copies an upstream's headers to the response.
 func copyHeader(to http.Header, a *Answer) {
 	for name, values := range a.Header {
 		to[name] = values
 	}
 	if _, given := a.Header["Content-Type"]; !given {
-		to["Content-Type"] = noType
+		to["Content-Type"] = suppressHeader
 	}
 	if _, given := a.Header["Date"]; !given {
-		to["Date"] = noType
+		to["Date"] = suppressHeader
 	}
 }
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -8,94 +8,95 @@
 	"github.com/cairnworks/cairnworks/fleet"
 )
 
-// RetryBudget bounds what repeated sends add to a service's load, over the fleet.
+// RetryBudget limits the load that retries add to a service, across the fleet.
 type RetryBudget struct {
-	// Ratio of repeated sends to requests in a window.
+	// Ratio is the allowed ratio of retries to requests within the window.
 	Ratio  float64
 	Window time.Duration
-	// Slack is how many repeated sends a window may hold besides.
+	// Slack is the number of retries allowed per window in addition to Ratio.
 	Slack float64
-	// FirstStart tells that nothing can have been sent before.
+	// FirstStart is set if the fleet starts for the first time, so that no retries can have been
+	// sent before.
 	FirstStart bool
 }
 
-// budgetShare is the part of the budget that is used. The rest is for sends that
-// upstreams reject and that were not known to be repeats when they were sent.
-const budgetShare = 0.7
+// budgetUseRatio is the fraction of the budget that is used. The remainder is for requests that
+// upstreams reject and that were not known to be retries when they were sent.
+const budgetUseRatio = 0.7
 
-// budgets counts requests and repeated sends of each service at this instance. Each
-// instance keeps to the ratio by its own requests and to its share of the slack, so
-// that the fleet keeps to both whoever is cut off. It is safe for concurrent use.
-type budgets struct {
-	limit   RetryBudget
-	members func() fleet.Size
-	// slackFrom is when the share of the slack may be used. An instance that has just
-	// started again does not know what it sent before; when all are killed at once, each
-	// with its share used up, the window would hold the slack twice.
-	slackFrom time.Duration
-	mu        sync.Mutex
-	byName    map[string]*budget
+// retryBudgets counts requests and retries per service at this instance. Each instance applies the
+// ratio to its own requests and uses its share of the slack, so that the fleet stays within both
+// even if instances are partitioned. It is safe for concurrent use.
+type retryBudgets struct {
+	limit     RetryBudget
+	fleetSize func() fleet.Size
+	// slackAvailableFrom is when this instance's share of the slack may be used. A restarted
+	// instance does not know which retries it sent before: if all instances are killed at once
+	// after using up their shares, the window would otherwise contain the slack twice.
+	slackAvailableFrom time.Duration
+	mu                 sync.Mutex
+	byService          map[string]*retryWindow
 }
 
-type budget struct {
-	asks, repeats []time.Duration
+type retryWindow struct {
+	requests, retries []time.Duration
 }
 
-func newBudgets(limit RetryBudget, members func() fleet.Size) *budgets {
-	b := &budgets{limit: limit, members: members, byName: make(map[string]*budget)}
+func newRetryBudgets(limit RetryBudget, fleetSize func() fleet.Size) *retryBudgets {
+	b := &retryBudgets{limit: limit, fleetSize: fleetSize, byService: make(map[string]*retryWindow)}
 	if !limit.FirstStart {
-		b.slackFrom = boottime.Now() + limit.Window
+		b.slackAvailableFrom = boottime.Now() + limit.Window
 	}
 	return b
 }
 
-func (b *budgets) service(name string) *budget {
-	s, known := b.byName[name]
+func (b *retryBudgets) window(name string) *retryWindow {
+	s, known := b.byService[name]
 	if !known {
-		s = &budget{}
-		b.byName[name] = s
+		s = &retryWindow{}
+		b.byService[name] = s
 	}
 	return s
 }
 
-// asked counts a request.
-func (b *budgets) asked(service string) {
+// countRequest counts a request.
+func (b *retryBudgets) countRequest(service string) {
 	now := boottime.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.service(service)
-	s.asks = append(since(s.asks, now-b.limit.Window), now)
+	s := b.window(service)
+	s.requests = append(dropBefore(s.requests, now-b.limit.Window), now)
 }
 
-// repeat takes one repeated send off the budget, if there is one left.
-func (b *budgets) repeat(service string) bool {
+// tryRetry takes one retry from the budget and reports whether there was one left.
+func (b *retryBudgets) tryRetry(service string) bool {
 	now := boottime.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.service(service)
-	s.asks = since(s.asks, now-b.limit.Window)
-	s.repeats = since(s.repeats, now-b.limit.Window)
-	slack := b.members().Part(b.limit.Slack)
-	if now < b.slackFrom {
+	s := b.window(service)
+	s.requests = dropBefore(s.requests, now-b.limit.Window)
+	s.retries = dropBefore(s.retries, now-b.limit.Window)
+	slack := b.fleetSize().Part(b.limit.Slack)
+	if now < b.slackAvailableFrom {
 		slack = 0
 	}
-	if float64(len(s.repeats)+1) > budgetShare*(b.limit.Ratio*float64(len(s.asks))+slack) {
+	if float64(len(s.retries)+1) > budgetUseRatio*(b.limit.Ratio*float64(len(s.requests))+slack) {
 		return false
 	}
-	s.repeats = append(s.repeats, now)
+	s.retries = append(s.retries, now)
 	return true
 }
 
-// count takes in a repeated send that is made in any case.
-func (b *budgets) count(service string) {
+// countRetry counts a retry that is made regardless of the budget.
+func (b *retryBudgets) countRetry(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.service(service)
-	s.repeats = append(s.repeats, boottime.Now())
+	s := b.window(service)
+	s.retries = append(s.retries, boottime.Now())
 }
 
-// since drops times before from.
-func since(times []time.Duration, from time.Duration) []time.Duration {
+// dropBefore returns times without those before from.
+func dropBefore(times []time.Duration, from time.Duration) []time.Duration {
 	i := 0
 	for i < len(times) && times[i] < from {
 		i++
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -1,9 +1,9 @@
-// Package gateway serves callers' requests by the operators' routes: it finds the
-// route and the organisation, keeps quotas, places the request at upstreams that
-// have registered themselves, and hands the answer on as it comes.
+// Package gateway routes callers' requests to upstreams. It resolves the route and the
+// organisation, enforces quotas, selects a registered upstream and streams the answer back to the
+// caller.
 //
-// A request's way through the code: handler.go, admit.go, then plain.go or model.go
-// with desk.go, and answer.go or stream.go.
+// The request path is handler.go, admit.go, then plain.go or model.go with dispatcher.go, and
+// answer.go or stream.go.
 package gateway
 
 import (
@@ -15,92 +15,90 @@
 	"github.com/cairnworks/cairnworks/upstream"
 )
 
-// Call is one caller's request. It does not hold the key it came with, so that no
-// later stage can pass it on.
+// Call is a caller's request. It does not carry the key the request came with, so that no later
+// stage can forward the key.
 type Call struct {
-	// ID is the caller's own; each attempt of a caller has another one.
+	// ID is chosen by the caller; a retry by the caller has a new ID.
 	ID     string
 	Method string
-	// Target is the request target as it stood on the request line, Path its path as
-	// sent, without the query.
+	// Target is the request target of the request line; Path is its path as sent, without the
+	// query.
 	Target, Path string
 	Host         string
-	// Header is what is passed on, without what concerns one connection only and
-	// without what this system sets.
+	// Header holds the headers to forward: hop-by-hop headers and headers set by this system are
+	// removed.
 	Header http.Header
 	Body   []byte
-	// Timeout is how long the caller waits from its sending on; 0 where it does not
-	// say.
+	// Timeout is how long the caller waits, counted from when it sent the request; 0 if not stated.
 	Timeout time.Duration
-	// HasTokenCounts tells that the request states its size in tokens.
+	// HasTokenCounts is set if the request states its size in tokens.
 	HasTokenCounts bool
-	// PromptTokens and MaxOutput are that size: of the prompt, and the most output.
+	// PromptTokens is the size of the prompt and MaxOutput the output limit, in tokens.
 	PromptTokens, MaxOutput int
-	// LengthHint is the caller's estimate of the output in tokens, 0 for none. It is
-	// right at the median and often far off.
+	// LengthHint is the caller's estimate of the output in tokens, 0 for none. The estimate is
+	// right at the median but often far off.
 	LengthHint int
-	// LastEventID is the event after which a caller resumes a stream.
+	// LastEventID is the last event received by a caller that resumes a stream.
 	LastEventID string
 
-	// Arrived is when the headers were read.
+	// Arrived is the time the headers were read.
 	Arrived time.Time
-	// Deadline is when the caller's patience or the route's timeout ends.
+	// Deadline is the earlier of the caller's timeout and the route's timeout.
 	Deadline time.Time
-	// Organisation that the request runs for; empty on public routes.
+	// Organisation is the organisation the request is charged to; empty on public routes.
 	Organisation string
-	// keyHash and prio are set by admission.
-	keyHash string
-	prio    int
+	// keyHash and priority are set during admission.
+	keyHash  string
+	priority int
 }
 
-// Codec reads callers' requests off the wire.
+// Codec decodes callers' HTTP requests.
 type Codec interface {
-	// Decode reads everything but the body. key is the caller's credential, empty
-	// where there is none. An error is a *verdict.Verdict.
+	// Decode decodes everything but the body. key is the caller's credential, empty if there is
+	// none. Errors are of type *verdict.Verdict.
 	Decode(r *http.Request) (call *Call, key string, err error)
 }
 
-// RunOptions say how a request is run.
+// RunOptions are the options of Upstreams.Run.
 type RunOptions struct {
-	// Source is where a decode engine fetches the prompt's KV cache: the engine that
-	// prefilled it, and its handle. Empty where there is none.
+	// Source is the prefill engine and handle from which a decode engine fetches the prompt's KV
+	// cache. It is empty if there is no cache.
 	Source KVSource
-	// Reservation is the engine's memory that was reserved for the request.
+	// Reservation identifies the engine memory reserved for the request.
 	Reservation string
-	// LastEventID is the event after which a stream goes on.
+	// LastEventID is the event after which a stream is resumed.
 	LastEventID string
-	// Priority among the requests at the engine.
+	// Priority is the request's priority at the engine.
 	Priority int
 }
 
-// KVSource names a KV cache that is kept at a prefill engine.
+// KVSource identifies a KV cache stored at a prefill engine.
 type KVSource struct{ Address, Handle string }
 
-// Answer is an upstream's answer. Body must be closed.
+// Answer is an upstream's response. The caller must close Body.
 type Answer struct {
 	Status int
-	// Header is what is passed on to the caller.
+	// Header holds the headers to forward to the caller.
 	Header http.Header
 	Body   io.ReadCloser
-	// Length is -1 where it is not known beforehand.
+	// Length is the content length, or -1 if unknown.
 	Length int64
 }
 
-// Upstreams sends requests to upstreams. Each method makes one attempt at one
-// upstream and no retry. Errors are *verdict.Verdict and tell whether the request
-// may have run there.
+// Upstreams sends requests to upstreams. Each method makes a single attempt at one upstream,
+// without retries. Errors are of type *verdict.Verdict and state whether the request may have run.
 type Upstreams interface {
-	// Run has the request answered. Answers that say that the request was not run
-	// are errors.
+	// Run executes the request. It returns an error if the upstream reports that it did not run the
+	// request.
 	Run(ctx context.Context, to upstream.Entry, c *Call, o RunOptions) (*Answer, error)
-	// Prefill has the prompt read and returns the handle of its KV cache.
+	// Prefill processes the prompt and returns the handle of its KV cache.
 	Prefill(ctx context.Context, to upstream.Entry, c *Call) (handle string, err error)
-	// FreeHandle drops a KV cache that nobody will fetch.
+	// FreeHandle frees a KV cache that will not be fetched.
 	FreeHandle(ctx context.Context, to upstream.Entry, handle string) error
-	// Reserve sets engine memory aside for a request that follows within ttl.
+	// Reserve reserves engine memory for a request that follows within ttl.
 	Reserve(ctx context.Context, to upstream.Entry, tokens int, ttl time.Duration) (reservation string, err error)
-	// CheckReachable fails where nobody listens at an upstream's address.
+	// CheckReachable returns an error if nothing listens at the upstream's address.
 	CheckReachable(ctx context.Context, to upstream.Entry) error
-	// DropReservation gives reserved memory back.
+	// DropReservation frees reserved memory.
 	DropReservation(ctx context.Context, to upstream.Entry, reservation string) error
 }
--- a/gateway/claims.go
+++ b/gateway/claims.go
@@ -11,65 +11,66 @@
 	"github.com/cairnworks/cairnworks/fleet"
 )
 
-// claimsKept is how long a decided claim is kept for repetitions, which come within the life of
-// a claim.
-const claimsKept = 2 * time.Second
+// claimRetention is how long a decided claim is kept for duplicates, which arrive within the
+// lifetime of a claim.
+const claimRetention = 2 * time.Second
 
-// remoteClaim is a claim of another instance that is placed here.
+// remoteClaim is another instance's claim that is placed by this instance.
 type remoteClaim struct {
-	id       uint64
-	instance string
-	desk     *desk
-	pool     *pool
-	tokens   int
-	// ticket waits at the desk; nil for a prompt, which does not wait.
-	ticket *ticket
+	id         uint64
+	instance   string
+	dispatcher *dispatcher
+	pool       *pool
+	tokens     int
+	// request waits in the dispatcher's queue; it is nil for a prefill claim, which does not wait.
+	request *queuedRequest
 
 	mu sync.Mutex
-	// at is when the claim was last heard of.
-	at     time.Duration
-	answer func(fleet.Place)
-	place  fleet.Place
-	// engine is the id of the engine that was given, left tells that nobody wants it.
-	engine string
-	left   bool
+	// lastSeen is when the claim was last received.
+	lastSeen time.Duration
+	answer   func(fleet.Place)
+	reply    fleet.Place
+	// engine is the ID of the assigned engine. cancelled is set if the claim is no longer wanted.
+	engine    string
+	cancelled bool
 }
 
-// claimed takes in another instance's claim.
-func (d *desks) claimed(now time.Duration, instance string, c fleet.Claim, answer func(fleet.Place)) {
-	d.mu.Lock()
-	old := d.claims[c.ID]
-	d.mu.Unlock()
+// handleClaim handles a new, refreshed or cancelled claim of another instance.
+func (s *dispatcherSet) handleClaim(now time.Duration, instance string, c fleet.Claim, answer func(fleet.Place)) {
+	s.mu.Lock()
+	existing := s.claims[c.ID]
+	s.mu.Unlock()
 	switch {
-	case c.Over && old != nil:
-		d.withdraw(old)
+	case c.Over && existing != nil:
+		s.cancelClaim(existing)
 	case c.Over:
-	case old != nil:
-		old.refresh(now, answer)
+	case existing != nil:
+		existing.refresh(now, answer)
 	default:
-		d.open(now, instance, c, answer)
+		s.openClaim(now, instance, c, answer)
 	}
 }
 
-// open begins a claim.
-func (d *desks) open(now time.Duration, instance string, c fleet.Claim, answer func(fleet.Place)) {
-	k, known := d.byHash(c.Service)
-	if !known || d.gateway.state.Missing() != NoPrerequisite {
-		// No configuration or no engines yet. The one who asks goes by what it knows.
+// openClaim starts processing a new claim.
+func (s *dispatcherSet) openClaim(now time.Duration, instance string, c fleet.Claim, answer func(fleet.Place)) {
+	d, known := s.byHash(c.Service)
+	if !known || s.gateway.state.Missing() != NoPrerequisite {
+		// There is no configuration or there are no engines yet. Without an answer, the other
+		// instance places the request by its own information.
 		return
 	}
 	r := &remoteClaim{
-		id: c.ID, instance: instance, desk: k, pool: k.decode, tokens: c.Tokens, at: now, answer: answer,
-		place: fleet.Place{ID: c.ID, State: fleet.PlaceWaiting},
+		id: c.ID, instance: instance, dispatcher: d, pool: d.decode, tokens: c.Tokens, lastSeen: now, answer: answer,
+		reply: fleet.Place{ID: c.ID, State: fleet.PlaceWaiting},
 	}
 	if c.Prefill {
-		r.pool = k.prefill
+		r.pool = d.prefill
 	}
-	d.mu.Lock()
-	d.claims[c.ID] = r
-	d.mu.Unlock()
-	k.sync()
-	k.doubt(r.pool, c.Avoid)
+	s.mu.Lock()
+	s.claims[c.ID] = r
+	s.mu.Unlock()
+	d.sync()
+	d.checkReported(r.pool, c.Avoid)
 	if c.Prefill {
 		r.prefill(c)
 	} else {
@@ -77,27 +78,27 @@
 	}
 }
 
-// enqueue lets a claim of memory wait like a request of this instance.
+// enqueue queues a claim for engine memory like a request of this instance.
 func (r *remoteClaim) enqueue(c fleet.Claim) {
-	for id := range r.pool.named(c.Full) {
-		r.desk.shut(id)
+	for id := range r.pool.idsOf(c.Full) {
+		r.dispatcher.backOff(id)
 	}
 	now := time.Now()
-	r.ticket = &ticket{
+	r.request = &queuedRequest{
 		item: &waiting.Item{
 			Organisation: strconv.FormatUint(uint64(c.Organisation), 16), Priority: c.Priority, Tokens: c.Tokens, Output: c.Output, Arrived: now.Add(-c.Waited),
 			Objective: c.Objective, Deadline: now.Add(c.Left), Point: c.Point,
 		},
-		except: union(r.pool.named(c.Except), r.pool.named(c.Avoid)), remote: r,
+		except: union(r.pool.idsOf(c.Except), r.pool.idsOf(c.Avoid)), remote: r,
 	}
-	r.desk.gateway.desks.system.Root.Send(r.desk.pid, submit{r.ticket})
+	r.dispatcher.gateway.dispatchers.system.Root.Send(r.dispatcher.pid, enqueueMessage{r.request})
 }
 
-// prefill places a prompt at once or not at all.
+// prefill assigns a prefill engine immediately or refuses.
 func (r *remoteClaim) prefill(c fleet.Claim) {
-	except, avoid := r.pool.named(c.Except), r.pool.named(c.Avoid)
-	entries := r.desk.gateway.state.Directory.Service(r.desk.service)
-	avoid = union(avoid, r.desk.gateway.suspects.among(entries))
+	except, avoid := r.pool.idsOf(c.Except), r.pool.idsOf(c.Avoid)
+	entries := r.dispatcher.gateway.state.Directory.Service(r.dispatcher.service)
+	avoid = union(avoid, r.dispatcher.gateway.outliers.ejected(entries))
 	entry, ok := r.pool.claimFor(r.instance, room.Need{Tokens: c.Tokens}, union(except, avoid))
 	if !ok {
 		entry, ok = r.pool.claimFor(r.instance, room.Need{Tokens: c.Tokens}, except)
@@ -109,102 +110,102 @@
 	r.decide(fleet.Place{State: fleet.PlaceGiven, Upstream: fleet.ShortHashOf(entry.ID)}, entry.ID)
 }
 
-// give answers a claim that has waited.
-func (r *remoteClaim) give(g grant) {
-	if g.refused != nil {
-		r.decide(fleet.Place{State: fleet.PlaceRefused, Retry: g.refused.RetryAfter}, "")
+// resolve answers a claim that was queued.
+func (r *remoteClaim) resolve(result placementResult) {
+	if result.refusal != nil {
+		r.decide(fleet.Place{State: fleet.PlaceRefused, Retry: result.refusal.RetryAfter}, "")
 		return
 	}
-	r.decide(fleet.Place{State: fleet.PlaceGiven, Upstream: fleet.ShortHashOf(g.entry.ID)}, g.entry.ID)
+	r.decide(fleet.Place{State: fleet.PlaceGiven, Upstream: fleet.ShortHashOf(result.entry.ID)}, result.entry.ID)
 }
 
 func (r *remoteClaim) decide(p fleet.Place, engine string) {
 	r.mu.Lock()
 	p.ID = r.id
-	r.place, r.engine = p, engine
-	answer, left := r.answer, r.left
+	r.reply, r.engine = p, engine
+	answer, cancelled := r.answer, r.cancelled
 	r.mu.Unlock()
-	if !left {
+	if !cancelled {
 		answer(p)
 	} else if engine != "" {
-		r.giveBack(engine)
+		r.release(engine)
 	}
 }
 
-// wait tells the other instance that its claim waits, unless it has been decided.
-func (r *remoteClaim) wait() {
+// answerWaiting tells the other instance that its claim is queued, unless it has been decided.
+func (r *remoteClaim) answerWaiting() {
 	r.mu.Lock()
-	place, answer := r.place, r.answer
+	reply, answer := r.reply, r.answer
 	r.mu.Unlock()
-	if place.State == fleet.PlaceWaiting {
-		answer(place)
+	if reply.State == fleet.PlaceWaiting {
+		answer(reply)
 	}
 }
 
-// refresh answers a claim that is sent again.
+// refresh answers a duplicate of a claim.
 func (r *remoteClaim) refresh(now time.Duration, answer func(fleet.Place)) {
 	r.mu.Lock()
-	r.at, r.answer = now, answer
-	place := r.place
+	r.lastSeen, r.answer = now, answer
+	reply := r.reply
 	r.mu.Unlock()
-	answer(place)
+	answer(reply)
 }
 
-// stale reports whether nobody waits for the answer.
-func (r *remoteClaim) stale(now time.Duration, life time.Duration) bool {
+// expired reports whether the claim has not been received for longer than lifetime.
+func (r *remoteClaim) expired(now time.Duration, lifetime time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now-r.at > life
+	return now-r.lastSeen > lifetime
 }
 
-// forget drops a claim. Should it be sent again after all, it begins anew.
-func (d *desks) forget(r *remoteClaim) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	delete(d.claims, r.id)
+// forget drops a claim. If it is received again, it is processed as a new one.
+func (s *dispatcherSet) forget(r *remoteClaim) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.claims, r.id)
 }
 
-// withdraw ends a claim whose request has left.
-func (d *desks) withdraw(r *remoteClaim) {
-	d.forget(r)
+// cancelClaim ends a claim whose request was cancelled.
+func (s *dispatcherSet) cancelClaim(r *remoteClaim) {
+	s.forget(r)
 	r.mu.Lock()
-	r.left = true
+	r.cancelled = true
 	engine := r.engine
 	r.mu.Unlock()
 	if engine != "" {
-		r.giveBack(engine)
-	} else if r.ticket != nil {
-		d.system.Root.Send(r.desk.pid, withdraw{r.ticket})
+		r.release(engine)
+	} else if r.request != nil {
+		s.system.Root.Send(r.dispatcher.pid, cancelMessage{r.request})
 	}
 }
 
-func (r *remoteClaim) giveBack(engine string) {
-	r.pool.giveBack(r.instance, engine, r.tokens)
-	r.desk.look()
+func (r *remoteClaim) release(engine string) {
+	r.pool.releaseFor(r.instance, engine, r.tokens)
+	r.dispatcher.recheck()
 }
 
-// sweep forgets claims that are not repeated any more.
-func (d *desks) sweep() {
+// sweep drops claims that are no longer refreshed.
+func (s *dispatcherSet) sweep() {
 	now := boottime.Now()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for id, r := range d.claims {
-		if r.stale(now, claimsKept) {
-			delete(d.claims, id)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for id, r := range s.claims {
+		if r.expired(now, claimRetention) {
+			delete(s.claims, id)
 		}
 	}
 }
 
-// byHash is the desk of the service with a name of some hash.
-func (d *desks) byHash(service fleet.Hash) (*desk, bool) {
-	index := d.gateway.state.Index()
+// byHash returns the dispatcher of the service whose name has the given hash.
+func (s *dispatcherSet) byHash(service fleet.Hash) (*dispatcher, bool) {
+	index := s.gateway.state.Index()
 	if index == nil {
 		return nil, false
 	}
 	services := index.Set().Services
 	for i := range services {
 		if fleet.HashOf(services[i].Name) == service {
-			return d.get(&services[i]), true
+			return s.get(&services[i]), true
 		}
 	}
 	return nil, false
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -16,47 +16,48 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Figures of crashes.
+// Limits and timings of crash detection.
 const (
-	// probeDelay is how long after a broken request its upstream is tried: a crashed
-	// process no longer listens by then, and is back only after seconds.
-	probeDelay = 30 * time.Millisecond
-	// probePatience bounds the trial.
-	probePatience = 500 * time.Millisecond
-	// crashTold is how long a crash is told to the others, so that instances that
-	// start meanwhile and lost reports do not hide it.
-	crashTold = 30 * time.Second
-	// maxCrashesTold bounds the crashes in a report; twenty requests end with an engine.
-	maxCrashesTold = 64
+	// crashProbeDelay is the delay before the upstream of a broken-off request is probed. By then a
+	// crashed process no longer listens, and it takes seconds to restart.
+	crashProbeDelay = 30 * time.Millisecond
+	// crashProbeTimeout limits a probe.
+	crashProbeTimeout = 500 * time.Millisecond
+	// crashReportTTL is how long a crash is included in reports, so that it also reaches instances
+	// that started later or missed reports.
+	crashReportTTL = 30 * time.Second
+	// maxReportedCrashes limits the crashes in a report; a crash of one engine ends about twenty
+	// requests.
+	maxReportedCrashes = 64
 )
 
-// crashes remembers which requests ran on upstreams that ended under them, with what
-// the other instances tell. It is safe for concurrent use.
-type crashes struct {
-	log   *zap.Logger
-	reach func(ctx context.Context, to upstream.Entry) error
+// crashTracker records which requests were running on upstreams when these crashed, including
+// crashes reported by other instances. It is safe for concurrent use.
+type crashTracker struct {
+	log            *zap.Logger
+	checkReachable func(ctx context.Context, to upstream.Entry) error
 
-	mu     sync.Mutex
-	ledger *quarantine.Ledger
-	told   []toldCrash
-	heard  map[heardCrash]bool
+	mu       sync.Mutex
+	ledger   *quarantine.Ledger
+	toReport []reportedCrash
+	known    map[crashKey]bool
 }
 
-type toldCrash struct {
+type reportedCrash struct {
 	at time.Duration
 	fleet.Crash
 }
 
-type heardCrash struct {
+type crashKey struct {
 	fingerprint uint64
 	upstream    fleet.Hash
 }
 
-func newCrashes(log *zap.Logger, reach func(context.Context, upstream.Entry) error) *crashes {
-	return &crashes{log: log, reach: reach, ledger: quarantine.New(quarantine.DefaultConfig()), heard: make(map[heardCrash]bool)}
+func newCrashTracker(log *zap.Logger, checkReachable func(context.Context, upstream.Entry) error) *crashTracker {
+	return &crashTracker{log: log, checkReachable: checkReachable, ledger: quarantine.New(quarantine.DefaultConfig()), known: make(map[crashKey]bool)}
 }
 
-// fingerprint identifies a request that comes again: by its path, caller and body.
+// fingerprint identifies repetitions of a request by method, target, organisation and body.
 func fingerprint(c *Call) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{c.Method, c.Target, c.Organisation} {
@@ -67,87 +68,88 @@
 	return h.Sum64()
 }
 
-// clock is the time since boot in the form that the ledger takes.
-func clock(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
+// asTime converts the time since boot to the type used by the ledger.
+func asTime(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
 
-// blocked refuses a request that has crashed upstreams.
-func (k *crashes) blocked(c *Call) *verdict.Verdict {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.ledger.Len() == 0 {
+// quarantineRefusal returns a refusal if the request has crashed upstreams.
+func (t *crashTracker) quarantineRefusal(c *Call) *verdict.Verdict {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.ledger.Len() == 0 {
 		return nil
 	}
-	return k.ledger.Refusal(clock(boottime.Now()), fingerprint(c))
+	return t.ledger.Refusal(asTime(boottime.Now()), fingerprint(c))
 }
 
-// broke notes a request whose upstream ended its connection without a whole answer. A
-// lost answer looks the same, so that the upstream is tried: only a process that is
-// gone has crashed.
-func (k *crashes) broke(c *Call, entry upstream.Entry, changed func()) {
-	print := fingerprint(c)
-	time.AfterFunc(probeDelay, func() {
-		ctx, cancel := context.WithTimeout(context.Background(), probePatience)
+// recordBrokenOff handles a request whose upstream closed the connection without a complete answer. A
+// lost answer looks the same, so the upstream is probed: it counts as crashed only if its process
+// is gone.
+func (t *crashTracker) recordBrokenOff(c *Call, entry upstream.Entry, onCrash func()) {
+	hash := fingerprint(c)
+	time.AfterFunc(crashProbeDelay, func() {
+		ctx, cancel := context.WithTimeout(context.Background(), crashProbeTimeout)
 		defer cancel()
-		if err := k.reach(ctx, entry); err == nil {
+		if err := t.checkReachable(ctx, entry); err == nil {
 			return
 		}
-		k.crashed(boottime.Now(), fleet.Crash{Fingerprint: print, Upstream: fleet.HashOf(fmt.Sprintf("%s/%d", entry.ID, entry.Started))}, true)
-		k.log.Info("request ended with its upstream", zap.String("request", c.ID), zap.String("upstream", entry.ID), zap.Uint64("fingerprint", print))
-		changed()
+		t.recordCrash(boottime.Now(), fleet.Crash{Fingerprint: hash, Upstream: fleet.HashOf(fmt.Sprintf("%s/%d", entry.ID, entry.Started))}, true)
+		t.log.Info("request ended with its upstream", zap.String("request", c.ID), zap.String("upstream", entry.ID), zap.Uint64("fingerprint", hash))
+		onCrash()
 	})
 }
 
-// crashed charges a crash to a request, and sees to it that others are told.
-func (k *crashes) crashed(now time.Duration, c fleet.Crash, tell bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	key := heardCrash{c.Fingerprint, c.Upstream}
-	if k.heard[key] {
+// recordCrash records a crash against a request. If report is set, the crash is included in this
+// instance's reports.
+func (t *crashTracker) recordCrash(now time.Duration, c fleet.Crash, report bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	key := crashKey{c.Fingerprint, c.Upstream}
+	if t.known[key] {
 		return
 	}
-	k.heard[key] = true
-	if tell {
-		k.told = append(k.told, toldCrash{now - c.Age, c})
+	t.known[key] = true
+	if report {
+		t.toReport = append(t.toReport, reportedCrash{now - c.Age, c})
 	}
-	at := clock(now - c.Age)
-	// Each request is charged by itself: instances tell of those that ran with them, and
-	// none knows all that ran on the process.
+	at := asTime(now - c.Age)
+	// Each request is charged separately: instances report the requests that they had running, and
+	// no instance knows all requests that ran on the process.
 	process := fmt.Sprintf("%x/%x", c.Upstream, c.Fingerprint)
-	for _, print := range k.ledger.Crashed(at, quarantine.Crash{Upstream: process, Process: process, Running: []uint64{c.Fingerprint}}) {
-		k.log.Warn("request quarantined", zap.Uint64("fingerprint", print))
+	for _, hash := range t.ledger.Crashed(at, quarantine.Crash{Upstream: process, Process: process, Running: []uint64{c.Fingerprint}}) {
+		t.log.Warn("request quarantined", zap.Uint64("fingerprint", hash))
 	}
 }
 
-// succeeded clears a request that was answered whole.
-func (k *crashes) succeeded(c *Call) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.ledger.Len() > 0 {
-		k.ledger.Succeeded(fingerprint(c))
+// recordSuccess clears a request that was answered completely.
+func (t *crashTracker) recordSuccess(c *Call) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.ledger.Len() > 0 {
+		t.ledger.Succeeded(fingerprint(c))
 	}
 }
 
-// fill adds what this instance knows to a report.
-func (k *crashes) fill(now time.Duration, r *fleet.Report) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	kept := k.told[:0]
-	for _, t := range k.told {
-		if now-t.at < crashTold {
-			kept = append(kept, t)
+// addReport adds the recorded crashes to a report.
+func (t *crashTracker) addReport(now time.Duration, r *fleet.Report) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	kept := t.toReport[:0]
+	for _, crash := range t.toReport {
+		if now-crash.at < crashReportTTL {
+			kept = append(kept, crash)
 		}
 	}
-	k.told = kept
-	for i := len(kept) - 1; i >= 0 && len(r.Crashes) < maxCrashesTold; i-- {
+	t.toReport = kept
+	for i := len(kept) - 1; i >= 0 && len(r.Crashes) < maxReportedCrashes; i-- {
 		c := kept[i].Crash
 		c.Age = now - kept[i].at
 		r.Crashes = append(r.Crashes, c)
 	}
 }
 
-// take takes in what another instance tells. A hub tells it to others.
-func (k *crashes) take(now time.Duration, r *fleet.Report, tell bool) {
+// applyReport records crashes reported by another instance. A hub passes them on (report).
+func (t *crashTracker) applyReport(now time.Duration, r *fleet.Report, report bool) {
 	for _, c := range r.Crashes {
-		k.crashed(now, c, tell)
+		t.recordCrash(now, c, report)
 	}
 }
--- /dev/null
+++ b/gateway/dispatcher.go
@@ -0,0 +1,311 @@
+package gateway
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/asynkron/protoactor-go/actor"
+	"go.uber.org/zap"
+
+	"github.com/cairnworks/cairnworks/boottime"
+	"github.com/cairnworks/cairnworks/decision/length"
+	"github.com/cairnworks/cairnworks/decision/room"
+	"github.com/cairnworks/cairnworks/decision/split"
+	"github.com/cairnworks/cairnworks/decision/waiting"
+	"github.com/cairnworks/cairnworks/fleet"
+	"github.com/cairnworks/cairnworks/object"
+	"github.com/cairnworks/cairnworks/upstream"
+	"github.com/cairnworks/cairnworks/verdict"
+)
+
+// Limits and timings of dispatchers.
+const (
+	// dispatchInterval is how often the queue is checked in the absence of other events.
+	dispatchInterval = 25 * time.Millisecond
+	// claimDeviations is the number of standard deviations by which a claim exceeds the centre of
+	// the estimated output length.
+	claimDeviations = 0.25
+	// fullEngineBackoff is how long a decode engine gets no claims after it refused a reservation
+	// that should have fitted: either another instance was faster and its report has not arrived
+	// yet, or an answer exceeded its claim.
+	fullEngineBackoff = 60 * time.Millisecond
+)
+
+// Messages to a dispatcher.
+type (
+	// enqueueMessage queues a request for a decode engine.
+	enqueueMessage struct{ request *queuedRequest }
+	// cancelMessage removes a request from the queue.
+	cancelMessage struct{ request *queuedRequest }
+	// recheckMessage triggers a check of the queue because capacity may have become free.
+	recheckMessage struct{}
+	// tickMessage triggers a check after dispatchInterval without other events.
+	tickMessage struct{}
+)
+
+// queuedRequest is a request that waits for a decode engine.
+type queuedRequest struct {
+	item *waiting.Item
+	// result receives the engine, or a refusal when the wait is over.
+	result chan placementResult
+	// except holds engines that refused the request.
+	except map[string]bool
+	// remote is the claim of another instance, nil for a request of this instance.
+	remote *remoteClaim
+}
+
+func (q *queuedRequest) resolve(result placementResult) {
+	if q.remote != nil {
+		q.remote.resolve(result)
+		return
+	}
+	q.result <- result
+}
+
+// claim claims engine memory for the request.
+func (q *queuedRequest) claim(p *pool, ejected map[string]bool) (upstream.Entry, bool) {
+	except := union(ejected, q.except)
+	need := room.Need{Tokens: q.item.Tokens, Output: q.item.Output}
+	if q.remote != nil {
+		return p.claimFor(q.remote.instance, need, except)
+	}
+	return p.claim(need, except)
+}
+
+// placementResult is the outcome of a queuedRequest.
+type placementResult struct {
+	entry   upstream.Entry
+	refusal *verdict.Verdict
+}
+
+// dispatcher is the actor that assigns a service's queued requests to decode engines.
+type dispatcher struct {
+	gateway     *Gateway
+	service     string
+	pid         *actor.PID
+	decode      *pool
+	prefill     *pool
+	reachChecks reachChecks
+
+	mu              sync.Mutex
+	poolSettings    object.Pool
+	lengthEstimator *length.Estimator
+	splitAdvisor    *split.Advisor
+
+	// The fields below are accessed only by the actor.
+	queue         *waiting.Queue
+	requests      map[*waiting.Item]*queuedRequest
+	tickScheduled bool
+}
+
+func newDispatcher(g *Gateway, service string) *dispatcher {
+	return &dispatcher{
+		gateway: g, service: service, decode: newPool(), prefill: newPool(), reachChecks: reachChecks{lastChecked: make(map[string]time.Duration)},
+		lengthEstimator: length.New(length.DefaultConfig()), splitAdvisor: split.New(split.DefaultConfig()),
+		queue: waiting.New(waiting.DefaultConfig()), requests: make(map[*waiting.Item]*queuedRequest),
+	}
+}
+
+func (d *dispatcher) setPoolSettings(p *object.Pool) {
+	if p == nil {
+		return
+	}
+	d.mu.Lock()
+	d.poolSettings = *p
+	d.mu.Unlock()
+}
+
+func (d *dispatcher) settings() object.Pool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.poolSettings
+}
+
+// recheck makes the actor check the queue.
+func (d *dispatcher) recheck() { d.gateway.dispatchers.system.Root.Send(d.pid, recheckMessage{}) }
+
+// Receive implements actor.Actor.
+func (d *dispatcher) Receive(ctx actor.Context) {
+	switch message := ctx.Message().(type) {
+	case enqueueMessage:
+		d.queue.Add(message.request.item)
+		d.requests[message.request.item] = message.request
+		if remote := message.request.remote; remote != nil {
+			defer remote.answerWaiting()
+		}
+	case cancelMessage:
+		d.queue.Remove(message.request.item)
+		delete(d.requests, message.request.item)
+		return
+	case recheckMessage:
+	case tickMessage:
+		d.tickScheduled = false
+	default:
+		return
+	}
+	if d.queue.Len() == 0 {
+		return
+	}
+	d.dispatch()
+	d.scheduleTick(ctx.Self())
+}
+
+// scheduleTick schedules the next tick while requests are queued.
+func (d *dispatcher) scheduleTick(self *actor.PID) {
+	if d.tickScheduled || d.queue.Len() == 0 {
+		return
+	}
+	d.tickScheduled = true
+	system := d.gateway.dispatchers.system
+	time.AfterFunc(dispatchInterval, func() { system.Root.Send(self, tickMessage{}) })
+}
+
+// dispatch assigns engines to queued requests and refuses those that have waited too long.
+func (d *dispatcher) dispatch() {
+	d.sync()
+	d.dropExpired()
+	entries := d.gateway.state.Directory.Service(d.service)
+	ejected := d.gateway.outliers.ejected(entries)
+	now := time.Now()
+	d.queue.Serve(now, func(item *waiting.Item) bool {
+		queued := d.requests[item]
+		entry, ok := queued.claim(d.decode, ejected)
+		if !ok {
+			return false
+		}
+		delete(d.requests, item)
+		queued.resolve(placementResult{entry: entry})
+		return true
+	}, func(item *waiting.Item, retry time.Duration) {
+		queued := d.requests[item]
+		delete(d.requests, item)
+		queued.resolve(placementResult{refusal: queueTimeout(item, retry)})
+	})
+	d.gateway.triggerReport()
+}
+
+// queueTimeout returns the refusal of a request for which no decode engine had capacity.
+func queueTimeout(item *waiting.Item, retry time.Duration) *verdict.Verdict {
+	return verdict.Refuse(verdict.ReasonQueueTimeout, retry, "no decode engine had capacity within %v", time.Since(item.Arrived).Round(time.Millisecond))
+}
+
+// dropExpired drops claims of other instances that are no longer refreshed.
+func (d *dispatcher) dropExpired() {
+	now := boottime.Now()
+	for item, queued := range d.requests {
+		if queued.remote != nil && queued.remote.expired(now, fleet.ClaimLife) {
+			d.queue.Remove(item)
+			delete(d.requests, item)
+			d.gateway.dispatchers.forget(queued.remote)
+		}
+	}
+}
+
+// sync updates the pools from the directory.
+func (d *dispatcher) sync() {
+	viaHubs := d.gateway.reportsViaHubs()
+	_, isHome := d.gateway.homeOf(d.service)
+	d.decode.setSampling(viaHubs && !isHome)
+	d.prefill.setSampling(viaHubs && !isHome)
+	memory, near := d.settings().MemoryTokens, d.gateway.DataCentre
+	if viaHubs {
+		// Most requests placed here come from other instances, so that proximity to this one is
+		// irrelevant.
+		near = ""
+	}
+	d.decode.sync(d.gateway.state.Directory, d.service, upstream.Decode, poolShape{near, memory}, func(e upstream.Entry) room.Engine {
+		return room.Engine{ID: e.ID, Memory: memory, Slots: e.Slots, Near: e.DataCentre == near}
+	})
+	d.prefill.sync(d.gateway.state.Directory, d.service, upstream.Prefill, poolShape{near, maxPrefillQueueTokens}, func(e upstream.Entry) room.Engine {
+		return room.Engine{ID: e.ID, Memory: maxPrefillQueueTokens, Slots: e.Slots, Near: e.DataCentre == near}
+	})
+}
+
+// union returns the union of two sets, either of which may be nil.
+func union(a, b map[string]bool) map[string]bool {
+	if len(a) == 0 {
+		return b
+	}
+	out := make(map[string]bool, len(a)+len(b))
+	for id := range a {
+		out[id] = true
+	}
+	for id := range b {
+		out[id] = true
+	}
+	return out
+}
+
+// placeLocally waits for a decode engine assigned by this instance.
+func (d *dispatcher) placeLocally(ctx context.Context, request placementRequest) (upstream.Entry, *verdict.Verdict) {
+	item := request.item
+	queued := &queuedRequest{item: item, result: make(chan placementResult, 1), except: request.except}
+	root := d.gateway.dispatchers.system.Root
+	root.Send(d.pid, enqueueMessage{queued})
+	select {
+	case result := <-queued.result:
+		return result.entry, result.refusal
+	case <-ctx.Done():
+	}
+	root.Send(d.pid, cancelMessage{queued})
+	// The engine may have been assigned at the same moment.
+	select {
+	case result := <-queued.result:
+		if result.refusal == nil {
+			d.release(result.entry, item.Tokens)
+		}
+	case <-time.After(dispatchInterval):
+		go d.releaseLateResult(queued)
+	}
+	return upstream.Entry{}, contextRefusal(ctx)
+}
+
+// releaseLateResult releases an engine that is assigned after its request was cancelled.
+func (d *dispatcher) releaseLateResult(queued *queuedRequest) {
+	select {
+	case result := <-queued.result:
+		if result.refusal == nil {
+			d.release(result.entry, queued.item.Tokens)
+		}
+	case <-time.After(time.Second):
+	}
+}
+
+// release ends a claim at a decode engine.
+func (d *dispatcher) release(entry upstream.Entry, tokens int) {
+	d.decode.release(entry.ID, tokens)
+	d.reportLoad(d.decode, entry.ID)
+	d.recheck()
+}
+
+// backOff stops claims at an engine for fullEngineBackoff.
+func (d *dispatcher) backOff(id string) {
+	d.decode.setOpen(id, false)
+	time.AfterFunc(fullEngineBackoff, func() {
+		d.decode.setOpen(id, true)
+		d.recheck()
+	})
+	d.gateway.log.Debug("engine full", zap.String("upstream", id), zap.Float64("pool_free", d.decode.freeShare()))
+}
+
+// withdrawRefusing withdraws an engine that refuses although it has capacity by all that is known
+// here: it is changing its role or leaving. Otherwise each instance would send it a request in
+// vain; the claim on the whole engine informs them. The last engine is kept: it may have refused
+// for another reason, and there is no alternative.
+func (d *dispatcher) withdrawRefusing(p *pool, entry upstream.Entry) {
+	if p.availableEngines() <= 1 {
+		return
+	}
+	d.gateway.outliers.recordFailure(entry)
+	p.withdraw(entry.ID, refusalWithdrawal)
+	d.reportLoad(p, entry.ID)
+}
+
+// contextRefusal returns the refusal of a request whose context ended before it was sent.
+func contextRefusal(ctx context.Context) *verdict.Verdict {
+	if context.Cause(ctx) == context.DeadlineExceeded {
+		return verdict.Refuse(verdict.ReasonDeadlineUnmeetable, time.Second, "the deadline passed before the request was sent")
+	}
+	return verdict.Refuse(verdict.ReasonCancelled, 0, "the caller disconnected")
+}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -20,114 +20,114 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-func TestAnswerIsHandedOn(t *testing.T) {
-	w := newWorld(t)
-	w.run = func(_ context.Context, _ upstream.Entry, c *Call, _ RunOptions) (*Answer, error) {
+func TestAnswerIsForwarded(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.run = func(_ context.Context, _ upstream.Entry, c *Call, _ RunOptions) (*Answer, error) {
 		assert.Equal(t, string(c.Body), "body")
 		assert.Equal(t, c.Organisation, "wide")
-		return answer(http.StatusTeapot, "whole")
+		return newAnswer(http.StatusTeapot, "whole")
 	}
-	rec, aborted := w.ask("/book/1", nil)
+	rec, aborted := gw.request("/book/1", nil)
 	assert.Assert(t, !aborted)
 	assert.Equal(t, rec.Code, http.StatusTeapot)
 	assert.Equal(t, rec.Body.String(), "whole")
 	assert.Equal(t, len(rec.Header()["Content-Type"]), 0)
 }
 
-// An upstream breaks off a booking. It may have been made, so that it must not be
-// sent again and the caller must not be told that it was not.
+// An upstream closes the connection during a booking. The booking may have been made, so it must
+// not be sent again and the caller must not be told that it did not run.
 func TestBookingIsNotRepeated(t *testing.T) {
-	w := newWorld(t)
-	w.always(crashed())
-	rec, _ := w.ask("/book/1", nil)
+	gw := newTestGateway(t)
+	gw.failWith(crashedError())
+	rec, _ := gw.request("/book/1", nil)
 	assert.Equal(t, rec.Code, http.StatusBadGateway)
-	assert.Equal(t, len(w.sends), 1)
-	w.always(refused())
-	rec, _ = w.ask("/book/1", nil)
+	assert.Equal(t, len(gw.sends), 1)
+	gw.failWith(refusedError())
+	rec, _ = gw.request("/book/1", nil)
 	assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
-	assert.Equal(t, len(w.sends), 2)
+	assert.Equal(t, len(gw.sends), 2)
 }
 
-// An upstream cannot be reached. Nothing was sent to it, so that even a booking may go
-// to the next.
-func TestUnreachableUpstreamIsPassedOver(t *testing.T) {
-	w := newWorld(t)
+// An upstream is unreachable. Nothing was sent to it, so that even a booking may go to the next.
+func TestUnreachableUpstreamIsSkipped(t *testing.T) {
+	gw := newTestGateway(t)
 	first := ""
-	w.run = func(_ context.Context, to upstream.Entry, _ *Call, _ RunOptions) (*Answer, error) {
+	gw.run = func(_ context.Context, to upstream.Entry, _ *Call, _ RunOptions) (*Answer, error) {
 		if first == "" || first == to.ID {
 			first = to.ID
-			return nil, unsent()
+			return nil, unreachableError()
 		}
-		return answer(http.StatusOK, "ok")
+		return newAnswer(http.StatusOK, "ok")
 	}
-	rec, _ := w.ask("/book/1", nil)
+	rec, _ := gw.request("/book/1", nil)
 	assert.Equal(t, rec.Code, http.StatusOK)
 	for range 5 {
-		rec, _ = w.ask("/book/1", nil)
+		rec, _ = gw.request("/book/1", nil)
 		assert.Equal(t, rec.Code, http.StatusOK)
 	}
-	assert.Equal(t, len(w.sends), 7, "the upstream was asked again at once")
+	assert.Equal(t, len(gw.sends), 7, "the unreachable upstream was tried again immediately")
 }
 
-// A lookup fails at one upstream, by an error of its own or an answer that ends
-// early. Another may have the answer, once and not more often.
+// A lookup fails at one upstream with a server error or a truncated answer. It is retried at
+// another upstream, once.
 func TestLookupIsRepeatedOnce(t *testing.T) {
-	w := newWorld(t)
-	w.run = func(context.Context, upstream.Entry, *Call, RunOptions) (*Answer, error) {
-		switch len(w.sends) {
+	gw := newTestGateway(t)
+	gw.run = func(context.Context, upstream.Entry, *Call, RunOptions) (*Answer, error) {
+		switch len(gw.sends) {
 		case 1:
-			return answer(http.StatusInternalServerError, "failed")
+			return newAnswer(http.StatusInternalServerError, "failed")
 		case 2:
-			return answer(http.StatusOK, "ok")
+			return newAnswer(http.StatusOK, "ok")
 		case 3:
-			return &Answer{Status: http.StatusOK, Body: &broken{"ha"}, Length: 4}, nil
+			return &Answer{Status: http.StatusOK, Body: &truncatedBody{"ha"}, Length: 4}, nil
 		case 4:
-			return answer(http.StatusOK, "ok")
+			return newAnswer(http.StatusOK, "ok")
 		default:
-			return answer(http.StatusBadGateway, "theirs")
+			return newAnswer(http.StatusBadGateway, "theirs")
 		}
 	}
 	for range 2 {
-		rec, _ := w.ask("/read/1", nil)
+		rec, _ := gw.request("/read/1", nil)
 		assert.Equal(t, rec.Body.String(), "ok")
 	}
-	rec, _ := w.ask("/read/1", nil)
+	rec, _ := gw.request("/read/1", nil)
 	assert.Equal(t, rec.Code, http.StatusBadGateway)
-	assert.Equal(t, rec.Body.String(), "theirs", "an upstream's failure is handed on as it is")
-	assert.Equal(t, len(w.sends), 6)
+	assert.Equal(t, rec.Body.String(), "theirs", "an upstream's failure is forwarded unchanged")
+	assert.Equal(t, len(gw.sends), 6)
 }
 
-// An upstream runs a lookup and its answer is lost. Until its deadline the caller
-// would wait for what never comes.
-func TestSilentLookupGoesElsewhere(t *testing.T) {
-	w := newWorld(t)
-	w.run = func(ctx context.Context, _ upstream.Entry, _ *Call, _ RunOptions) (*Answer, error) {
-		if len(w.sends) == 1 {
+// An upstream runs a lookup and its answer is lost. Without a retry the caller would wait until its
+// deadline.
+func TestUnansweredLookupIsRetried(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.run = func(ctx context.Context, _ upstream.Entry, _ *Call, _ RunOptions) (*Answer, error) {
+		if len(gw.sends) == 1 {
 			<-ctx.Done()
 			return nil, verdict.Fail(verdict.MayHaveRun, verdict.ReasonCancelled, ctx.Err(), "ended")
 		}
-		return answer(http.StatusOK, "ok")
+		return newAnswer(http.StatusOK, "ok")
 	}
-	rec, _ := w.ask("/read/1", nil)
+	rec, _ := gw.request("/read/1", nil)
 	assert.Equal(t, rec.Body.String(), "ok")
 }
 
-// A booking is not answered in its route's time. Whether it was made is not known.
-func TestTimeoutPromisesNothing(t *testing.T) {
-	w := newWorld(t)
-	w.run = func(ctx context.Context, _ upstream.Entry, _ *Call, _ RunOptions) (*Answer, error) {
+// A booking is not answered within its route's timeout, so that it is unknown whether it ran.
+func TestTimedOutBookingIsGatewayTimeout(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.run = func(ctx context.Context, _ upstream.Entry, _ *Call, _ RunOptions) (*Answer, error) {
 		<-ctx.Done()
 		return nil, verdict.Fail(verdict.MayHaveRun, verdict.ReasonTimeout, ctx.Err(), "no answer in time")
 	}
-	rec, _ := w.ask("/book/1", nil)
+	rec, _ := gw.request("/book/1", nil)
 	assert.Equal(t, rec.Code, http.StatusGatewayTimeout)
 }
 
-// Refusals before anything is sent, each with what it promises.
-func TestRefusalsAtTheDoor(t *testing.T) {
-	w := newWorld(t)
-	w.run = func(context.Context, upstream.Entry, *Call, RunOptions) (*Answer, error) {
-		return answer(http.StatusOK, "")
+// Each refusal before anything is sent has the right status, and Retry-After only if a retry can
+// succeed.
+func TestRefusalsBeforeSending(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.run = func(context.Context, upstream.Entry, *Call, RunOptions) (*Answer, error) {
+		return newAnswer(http.StatusOK, "")
 	}
 	cases := []struct {
 		name, path string
@@ -141,136 +141,135 @@
 		{"over the quota", "/book/1", map[string]string{"Key": "small", "Tokens": "100 1"}, http.StatusTooManyRequests},
 	}
 	for _, c := range cases {
-		rec, _ := w.ask(c.path, c.header)
+		rec, _ := gw.request(c.path, c.header)
 		assert.Equal(t, rec.Code, c.status, c.name)
 		assert.Equal(t, rec.Header().Get("Retry-After") != "", c.status == http.StatusTooManyRequests, c.name)
 	}
 }
 
-// A machine is suspended, or cut off from the store. Which keys were withdrawn
-// meanwhile it cannot know, and it must not tell a caller for good that its key or its
-// route does not exist.
+// A machine was suspended or cut off from the store. The instance cannot know which keys were
+// withdrawn in the meantime, and must not refuse an unknown key or route permanently.
 func TestStaleInstanceServesNoKeys(t *testing.T) {
-	w := newWorld(t)
-	w.run = func(context.Context, upstream.Entry, *Call, RunOptions) (*Answer, error) {
-		return answer(http.StatusOK, "")
+	gw := newTestGateway(t)
+	gw.run = func(context.Context, upstream.Entry, *Call, RunOptions) (*Answer, error) {
+		return newAnswer(http.StatusOK, "")
 	}
-	w.skip = 3 * time.Second
-	rec, _ := w.ask("/book/1", nil)
+	gw.clockAdvance = 3 * time.Second
+	rec, _ := gw.request("/book/1", nil)
 	assert.Equal(t, rec.Code, http.StatusOK)
-	rec, _ = w.ask("/none/", nil)
+	rec, _ = gw.request("/none/", nil)
 	assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
-	w.skip = 5 * time.Second
-	rec, _ = w.ask("/book/1", nil)
+	gw.clockAdvance = 5 * time.Second
+	rec, _ = gw.request("/book/1", nil)
 	assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
-	w.state.ConfirmCurrent(w.now())
-	rec, _ = w.ask("/book/1", nil)
+	gw.state.ConfirmCurrent(gw.now())
+	rec, _ = gw.request("/book/1", nil)
 	assert.Equal(t, rec.Code, http.StatusOK)
 }
 
-// A key is withdrawn while its request waits, or while the first upstream fails: the
-// next one must not get it.
+// A key is withdrawn while its request waits or while the first attempt fails. The request must not
+// be sent to another upstream.
 func TestWithdrawnKeyStopsBeforeTheNextSend(t *testing.T) {
-	w := newWorld(t)
-	w.run = func(context.Context, upstream.Entry, *Call, RunOptions) (*Answer, error) {
-		without := set()
+	gw := newTestGateway(t)
+	gw.run = func(context.Context, upstream.Entry, *Call, RunOptions) (*Answer, error) {
+		without := testObjects()
 		without.Keys = nil
-		w.state.Apply(object.NewIndex(without, 2))
-		return nil, crashed()
+		gw.state.Apply(object.NewIndex(without, 2))
+		return nil, crashedError()
 	}
-	w.ask("/read/1", nil)
-	assert.Equal(t, len(w.sends), 1)
-	assert.Assert(t, !w.state.Apply(object.NewIndex(set(), 1)), "the configuration went back")
+	gw.request("/read/1", nil)
+	assert.Equal(t, len(gw.sends), 1)
+	assert.Assert(t, !gw.state.Apply(object.NewIndex(testObjects(), 1)), "an older configuration was applied")
 }
 
-// Bodies without a length, and more of them than memory allows.
+// Guards against memory exhaustion by bodies of unknown length and by too many bodies at once.
 func TestBodiesAreBounded(t *testing.T) {
-	w := newWorld(t)
-	w.gateway.MaxBufferedBodyBytes = 2
-	rec, _ := w.ask("/book/1", nil)
+	gw := newTestGateway(t)
+	gw.gateway.MaxBufferedBodyBytes = 2
+	rec, _ := gw.request("/book/1", nil)
 	assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
-	w.gateway.MaxBufferedBodyBytes = 1 << 30
+	gw.gateway.MaxBufferedBodyBytes = 1 << 30
 	rec = httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodPost, "http://h/book/1", strings.NewReader(strings.Repeat("x", 2<<20)))
 	r.Header.Set("Key", "key")
-	w.gateway.ServeHTTP(rec, r)
+	gw.gateway.ServeHTTP(rec, r)
 	assert.Equal(t, rec.Code, http.StatusRequestEntityTooLarge)
-	assert.Equal(t, w.gateway.bodies.Load(), int64(0))
+	assert.Equal(t, gw.gateway.bufferedBodyBytes.Load(), int64(0))
 }
 
-// A request crashes each upstream that runs it and comes again at any instance. Told
-// by the instance that saw the second crash, the others must not send it to a third;
-// one whose answers were lost has crashed nothing.
+// A request crashes each upstream that runs it and is retried at any instance. After the second
+// crash is reported, the other instances must not send it to a third upstream. A request whose
+// answers were merely lost is not blocked.
 func TestRequestThatCrashesUpstreamsIsStopped(t *testing.T) {
-	for _, gone := range []bool{false, true} {
-		w, other := newWorld(t), newWorld(t)
-		if gone {
-			w.reach = errors.New("nobody listens")
+	for _, crashed := range []bool{false, true} {
+		gw, other := newTestGateway(t), newTestGateway(t)
+		if crashed {
+			gw.reachErr = errors.New("nothing listens at the address")
 		}
-		w.always(crashed())
-		other.always(crashed())
+		gw.failWith(crashedError())
+		other.failWith(crashedError())
 		for _, path := range []string{"/read/x", "/read/other"} {
-			w.ask(path, nil)
+			gw.request(path, nil)
 		}
-		time.Sleep(5 * probeDelay)
+		time.Sleep(5 * crashProbeDelay)
 		var r fleet.Report
-		w.gateway.crashes.fill(boottime.Now(), &r)
-		other.gateway.crashes.take(boottime.Now(), &r, false)
-		for _, g := range []*world{w, other} {
+		gw.gateway.crashes.addReport(boottime.Now(), &r)
+		other.gateway.crashes.applyReport(boottime.Now(), &r, false)
+		for _, g := range []*testGateway{gw, other} {
 			sends := len(g.sends)
-			rec, _ := g.ask("/read/x", nil)
-			assert.Equal(t, len(g.sends) == sends, gone)
-			if gone {
+			rec, _ := g.request("/read/x", nil)
+			assert.Equal(t, len(g.sends) == sends, crashed)
+			if crashed {
 				assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
 			}
 		}
 	}
 }
 
-// Retries are bounded by what was asked, so that a failing service does not get three
-// times its load.
+// Retries are limited in proportion to requests, so that a failing service does not get three times
+// its load.
 func TestRetryBudget(t *testing.T) {
-	b := newBudgets(RetryBudget{Ratio: 0.2, Window: 10 * time.Second, Slack: 9, FirstStart: true}, func() fleet.Size { return fleet.SizeOf(3) })
+	b := newRetryBudgets(RetryBudget{Ratio: 0.2, Window: 10 * time.Second, Slack: 9, FirstStart: true}, func() fleet.Size { return fleet.SizeOf(3) })
 	for range 100 {
-		b.asked("s")
+		b.countRequest("s")
 	}
 	n := 0
-	for b.repeat("s") {
+	for b.tryRetry("s") {
 		n++
 	}
-	assert.Equal(t, n, 16) // 0.7 of a fifth of 100 and a third of 9
-	assert.Assert(t, b.repeat("other"), "a service's share of the slack")
+	assert.Equal(t, n, 16) // 0.7 × (0.2 × 100 requests + 9/3 slack)
+	assert.Assert(t, b.tryRetry("other"), "a service's share of the slack")
 }
 
-// All instances are killed in the same moment, each with its share of the slack used
-// up. Starting again with full shares they would repeat twice what the window allows,
-// while the upstreams are at their worst.
+// All instances are killed at once after using up their shares of the slack. With new shares after
+// the restart they would send twice the retries that the window allows, while the upstreams are
+// most overloaded.
 func TestRestartDoesNotRenewTheRetrySlack(t *testing.T) {
-	b := newBudgets(RetryBudget{Ratio: 0.2, Window: 10 * time.Second, Slack: 90}, func() fleet.Size { return fleet.SizeOf(3) })
+	b := newRetryBudgets(RetryBudget{Ratio: 0.2, Window: 10 * time.Second, Slack: 90}, func() fleet.Size { return fleet.SizeOf(3) })
 	for range 100 {
-		b.asked("s")
+		b.countRequest("s")
 	}
 	n := 0
-	for b.repeat("s") {
+	for b.tryRetry("s") {
 		n++
 	}
-	assert.Equal(t, n, 14) // 0.7 of a fifth of 100
-	b.slackFrom = boottime.Now()
-	b.count("s")
-	for b.repeat("s") {
+	assert.Equal(t, n, 14) // 0.7 × 0.2 × 100 requests
+	b.slackAvailableFrom = boottime.Now()
+	b.countRetry("s")
+	for b.tryRetry("s") {
 		n++
 	}
-	assert.Equal(t, n, 34) // 0.7 of 20 and a third of 90, less the one counted
+	assert.Equal(t, n, 34) // 0.7 × (0.2 × 100 requests + 90/3 slack), less the retry counted above
 }
 
-// Guards against callers that are refused by a full plain upstream, are not told when to come back,
-// and all return at once.
+// Guards against callers that are refused by a full plain upstream without a Retry-After and all
+// return at the same time.
 func TestRefusedPlainCallsReturnAtDifferentTimes(t *testing.T) {
-	w := newWorld(t)
-	w.run = func(context.Context, upstream.Entry, *Call, RunOptions) (*Answer, error) { return nil, refused() }
+	gw := newTestGateway(t)
+	gw.run = func(context.Context, upstream.Entry, *Call, RunOptions) (*Answer, error) { return nil, refusedError() }
 	times := make(map[string]bool)
 	for n := range 20 {
-		rec, _ := w.ask("/book/1", map[string]string{"Id": fmt.Sprint(n)})
+		rec, _ := gw.request("/book/1", map[string]string{"Id": fmt.Sprint(n)})
 		assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
 		after, err := strconv.ParseFloat(rec.Header().Get("Retry-After"), 64)
 		assert.NilError(t, err)
@@ -278,7 +277,7 @@
 		times[rec.Header().Get("Retry-After")] = true
 	}
 	assert.Assert(t, len(times) > 10, "%v", times)
-	w.always(verdict.Refuse(verdict.ReasonKeyWithdrawn, 0, "gone"))
-	rec, _ := w.ask("/book/1", nil)
+	gw.failWith(verdict.Refuse(verdict.ReasonKeyWithdrawn, 0, "gone"))
+	rec, _ := gw.request("/book/1", nil)
 	assert.Equal(t, rec.Header().Get("Retry-After"), "")
 }
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -18,7 +18,7 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Options of a gateway.
+// Options configures a Gateway.
 type Options struct {
 	Codec     Codec
 	Upstreams Upstreams
@@ -26,67 +26,67 @@
 	Quotas    *Quotas
 	Log       *zap.Logger
 	Metrics   *observe.Metrics
-	// ApplyTimeout is the time in which a new configuration must be in force.
+	// ApplyTimeout is the time within which a new configuration must take effect.
 	ApplyTimeout time.Duration
-	// DataCentre of this instance.
+	// DataCentre is the data centre of this instance.
 	DataCentre string
-	// TriggerReport asks for a report to the other instances, since something changed.
+	// TriggerReport requests a report to the other instances after a change.
 	TriggerReport func()
-	// MaxBufferedBodyBytes is the most bytes of request bodies held at once.
+	// MaxBufferedBodyBytes limits the total size of buffered request bodies.
 	MaxBufferedBodyBytes int64
-	// RetryBudget is what repeated sends may add to an upstream service's load.
+	// RetryBudget limits the load that retries add to a service's upstreams.
 	RetryBudget RetryBudget
-	// FleetSize is how many instances share the budget.
+	// FleetSize returns the number of instances that share the retry budget.
 	FleetSize func() fleet.Size
 }
 
-// Gateway is the callers' door for routed requests.
+// Gateway is the HTTP handler for routed requests.
 type Gateway struct {
 	Options
-	state    *State
-	quotas   *Quotas
-	log      *zap.Logger
-	desks    *desks
-	plain    *plainRooms
-	suspects *suspects
-	budget   *budgets
-	crashes  *crashes
-	homes    PlacementHomes
-	bodies   atomic.Int64
-	draining atomic.Bool
+	state             *State
+	quotas            *Quotas
+	log               *zap.Logger
+	dispatchers       *dispatcherSet
+	plainPools        *plainPools
+	outliers          *outlierDetector
+	retryBudgets      *retryBudgets
+	crashes           *crashTracker
+	placementHomes    PlacementHomes
+	bufferedBodyBytes atomic.Int64
+	draining          atomic.Bool
 }
 
-// New returns a gateway. Close ends its parts.
+// New returns a gateway. Call Close to release its resources.
 func New(o Options) *Gateway {
 	g := &Gateway{Options: o, state: o.State, quotas: o.Quotas, log: o.Log}
-	g.suspects = newSuspects(boottime.Now)
-	g.plain = newPlainRooms()
-	g.desks = newDesks(g)
-	g.crashes = newCrashes(g.log, g.Upstreams.CheckReachable)
-	g.budget = newBudgets(o.RetryBudget, o.FleetSize)
+	g.outliers = newOutlierDetector(boottime.Now)
+	g.plainPools = newPlainPools()
+	g.dispatchers = newDispatcherSet(g)
+	g.crashes = newCrashTracker(g.log, g.Upstreams.CheckReachable)
+	g.retryBudgets = newRetryBudgets(o.RetryBudget, o.FleetSize)
 	return g
 }
 
-// Close ends the gateway's parts.
-func (g *Gateway) Close() { g.desks.close() }
+// Close stops the dispatchers.
+func (g *Gateway) Close() { g.dispatchers.close() }
 
-// Drain makes answers tell callers to open another connection.
+// Drain makes all further responses close their connections, so that callers reconnect elsewhere.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// changed asks for a report to the others.
-func (g *Gateway) changed() {
+// triggerReport requests a report to the other instances.
+func (g *Gateway) triggerReport() {
 	if g.TriggerReport != nil {
 		g.TriggerReport()
 	}
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	if g.draining.Load() || len(r.TransferEncoding) > 0 {
-		// Of two lengths in one message the server takes the chunks and drops the other
-		// without a word. What follows the chunks may then be a request that was hidden
-		// in a body, so that a connection is not read on after a chunked one.
+		// If a message has both a length and chunked encoding, net/http uses the chunks and
+		// silently drops the length. What follows the chunks may be a smuggled request, so the
+		// connection is not reused after a chunked request.
 		w.Header().Set("Connection", "close")
 	}
 	call, key, err := g.Codec.Decode(r)
@@ -95,7 +95,7 @@
 		return
 	}
 	call.Arrived = arrived
-	a, v := g.find(call, key)
+	a, v := g.resolveCall(call, key)
 	if v != nil {
 		g.refuse(w, call, v)
 		return
@@ -106,11 +106,11 @@
 		g.refuse(w, call, v)
 		return
 	}
-	if v := g.crashes.blocked(call); v != nil {
+	if v := g.crashes.quarantineRefusal(call); v != nil {
 		g.refuse(w, call, v)
 		return
 	}
-	if v := g.charge(r.Context(), a); v != nil {
+	if v := g.chargeQuota(r.Context(), a); v != nil {
 		g.refuse(w, call, v)
 		return
 	}
@@ -121,8 +121,8 @@
 }
 
 // serve runs an admitted request.
-func (g *Gateway) serve(ctx context.Context, w http.ResponseWriter, a *admitted) {
-	g.budget.asked(a.service.Name)
+func (g *Gateway) serve(ctx context.Context, w http.ResponseWriter, a *admittedCall) {
+	g.retryBudgets.countRequest(a.service.Name)
 	var v *verdict.Verdict
 	if a.service.Kind == object.KindModel {
 		v = g.serveModel(ctx, w, a)
@@ -138,106 +138,107 @@
 	g.refuse(w, a.call, v)
 }
 
-// bodyChunk is the unit in which bodies without a length are counted, in bytes.
+// bodyChunk is the number of bytes initially accounted for a body of unknown length.
 const bodyChunk = 64 << 10
 
-// readBody reads the request's body. Several upstreams may be sent it, so that it is
-// kept; what all requests keep together is bounded, since bodies of megabytes on
-// thousands of connections would otherwise pass the process's memory. The returned
-// function ends the count and is never nil.
-func (g *Gateway) readBody(r *http.Request, a *admitted) (func(), *verdict.Verdict) {
+// readBody buffers the request's body, because it may be sent to several upstreams. The total of
+// all buffered bodies is limited: bodies of several megabytes on thousands of connections would
+// exhaust the process's memory. The returned function releases the accounted bytes and is never
+// nil.
+func (g *Gateway) readBody(r *http.Request, a *admittedCall) (func(), *verdict.Verdict) {
 	if r.ContentLength == 0 {
 		return func() {}, nil
 	}
 	limit := maxBody(a)
 	if r.ContentLength > limit {
-		return func() {}, verdict.Refuse(verdict.ReasonBodyTooLarge, 0, "the body has %d bytes, allowed are %d", r.ContentLength, limit)
+		return func() {}, verdict.Refuse(verdict.ReasonBodyTooLarge, 0, "the body has %d bytes; the limit is %d", r.ContentLength, limit)
 	}
 	counted := r.ContentLength
 	if counted < 0 {
 		counted = bodyChunk
 	}
-	g.bodies.Add(counted)
-	release := func() { g.bodies.Add(-counted) }
-	if g.bodies.Load() > g.MaxBufferedBodyBytes {
-		return release, verdict.Refuse(verdict.ReasonQueueTimeout, time.Second, "too many request bodies at once")
+	g.bufferedBodyBytes.Add(counted)
+	release := func() { g.bufferedBodyBytes.Add(-counted) }
+	if g.bufferedBodyBytes.Load() > g.MaxBufferedBodyBytes {
+		return release, verdict.Refuse(verdict.ReasonQueueTimeout, time.Second, "too many buffered request bodies")
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
-		return release, g.bodyError(err)
+		return release, g.bodyReadError(err)
 	}
 	if int64(len(body)) > limit {
 		return release, verdict.Refuse(verdict.ReasonBodyTooLarge, 0, "the body has more than %d bytes", limit)
 	}
 	if extra := int64(len(body)) - counted; extra > 0 {
-		g.bodies.Add(extra)
+		g.bufferedBodyBytes.Add(extra)
 		counted += extra
 	}
 	a.call.Body = body
 	return release, nil
 }
 
-func (g *Gateway) bodyError(err error) *verdict.Verdict {
+func (g *Gateway) bodyReadError(err error) *verdict.Verdict {
 	if errors.Is(err, context.Canceled) {
-		return verdict.Refuse(verdict.ReasonCancelled, 0, "the caller left")
+		return verdict.Refuse(verdict.ReasonCancelled, 0, "the caller disconnected")
 	}
 	return &verdict.Verdict{Ran: verdict.NotRun, Reason: verdict.ReasonBadRequest, Detail: "the body cannot be read", Cause: err}
 }
 
-// maxBody is the largest body of a request's service in bytes.
-func maxBody(a *admitted) int64 { return a.service.MaxBodyBytes }
+// maxBody returns the body size limit of the request's service in bytes.
+func maxBody(a *admittedCall) int64 { return a.service.MaxBodyBytes }
 
-// hashPoint spreads requests evenly over a route's targets.
+// hashPoint maps a request ID to a uniformly distributed hash, used to pick a route's target.
 func hashPoint(id string) uint64 { return xxhash.Sum64String(id) }
 
-// reportsLate reports whether the fleet is so large that reports go by way of hubs.
-func (g *Gateway) reportsLate() bool { return g.FleetSize().Large() }
+// reportsViaHubs reports whether the fleet is large enough that instances report through hubs, so
+// that the loads known here lag behind.
+func (g *Gateway) reportsViaHubs() bool { return g.FleetSize().Large() }
 
-// FillReport completes a report to other instances.
+// FillReport adds this instance's loads, workload and crashes to a report for other instances.
 func (g *Gateway) FillReport(now time.Duration, r *fleet.Report) {
 	r.Loads = make(map[fleet.Hash]fleet.Load)
-	g.plain.fill(r.Loads)
-	g.desks.fill(r)
-	g.crashes.fill(now, r)
+	g.plainPools.addLoads(r.Loads)
+	g.dispatchers.addReport(r)
+	g.crashes.addReport(now, r)
 }
 
-// FillReportFor completes a report by what is for one receiver.
+// FillReportFor adds the parts of a report that depend on its receiver.
 func (g *Gateway) FillReportFor(now time.Duration, to fleet.Run, r *fleet.Report) {
 	g.quotas.FillReportFor(now, to, r)
 }
 
-// FillPollAnswer completes the answer to a poll.
+// FillPollAnswer adds the gateway's data to the answer to a poll.
 func (g *Gateway) FillPollAnswer(now time.Duration, poll, r *fleet.Report) {
 	g.quotas.FillPollAnswer(r)
 	if !r.Whole {
 		return
 	}
 	r.Loads = make(map[fleet.Hash]fleet.Load)
-	g.plain.fillAll(poll.Instance, r.Loads)
-	g.desks.fillAll(poll.Instance, r)
-	g.crashes.fill(now, r)
+	g.plainPools.addLoadsExcept(poll.Instance, r.Loads)
+	g.dispatchers.addPollAnswer(poll.Instance, r)
+	g.crashes.addReport(now, r)
 }
 
-// HandleClaim takes in another instance's claim of a place.
+// HandleClaim handles another instance's claim for an engine.
 func (g *Gateway) HandleClaim(now time.Duration, instance string, c fleet.Claim, answer func(fleet.Place)) {
-	g.desks.claimed(now, instance, c, answer)
+	g.dispatchers.handleClaim(now, instance, c, answer)
 }
 
-// ApplyLoads takes in what has just changed of what another instance has placed.
+// ApplyLoads applies changes of another instance's loads.
 func (g *Gateway) ApplyLoads(now time.Duration, instance string, loads map[fleet.Hash]fleet.Load) {
-	g.desks.takeLoads(now, instance, loads)
+	g.dispatchers.applyLoads(now, instance, loads)
 }
 
-// Sweep drops what is no longer needed.
-func (g *Gateway) Sweep() { g.desks.sweep() }
+// Sweep removes expired state.
+func (g *Gateway) Sweep() { g.dispatchers.sweep() }
 
-// ApplyReport takes in a report of another instance.
+// ApplyReport applies a report of another instance.
 func (g *Gateway) ApplyReport(now time.Duration, r *fleet.Report) {
 	g.quotas.ApplyReport(now, r)
 	if r.Answer && !r.Whole {
 		return
 	}
-	g.plain.take(r)
-	g.desks.take(r)
-	g.crashes.take(now, r, !r.Answer && g.reportsLate())
+	g.plainPools.applyReport(r)
+	g.dispatchers.applyReport(r)
+	g.crashes.applyReport(now, r, !r.Answer && g.reportsViaHubs())
 }
--- a/gateway/world_test.go
+++ b/gateway/helpers_test.go
@@ -23,19 +23,19 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// fakes stands in for the codec and the upstreams: run answers each send.
-type fakes struct {
+// fakeUpstreams implements Codec and Upstreams; run answers each request.
+type fakeUpstreams struct {
 	mu       sync.Mutex
 	run      func(ctx context.Context, to upstream.Entry, c *Call, o RunOptions) (*Answer, error)
 	prefill  func(to upstream.Entry) (string, error)
 	reserve  func(to upstream.Entry) (string, error)
-	reach    error
+	reachErr error
 	sends    []string
 	options  []RunOptions
 	released []string
 }
 
-func (f *fakes) Decode(r *http.Request) (*Call, string, error) {
+func (f *fakeUpstreams) Decode(r *http.Request) (*Call, string, error) {
 	c := &Call{ID: r.Header.Get("Id"), Method: r.Method, Target: r.RequestURI, Path: r.URL.Path, Host: r.Host, Header: http.Header{}, Timeout: 2 * time.Second}
 	if r.Header.Get("Tokens") != "" {
 		_, err := fmt.Sscan(r.Header.Get("Tokens"), &c.PromptTokens, &c.MaxOutput)
@@ -44,7 +44,7 @@
 	return c, r.Header.Get("Key"), nil
 }
 
-func (f *fakes) Run(ctx context.Context, to upstream.Entry, c *Call, o RunOptions) (*Answer, error) {
+func (f *fakeUpstreams) Run(ctx context.Context, to upstream.Entry, c *Call, o RunOptions) (*Answer, error) {
 	f.mu.Lock()
 	f.sends = append(f.sends, to.ID)
 	f.options = append(f.options, o)
@@ -52,46 +52,46 @@
 	return f.run(ctx, to, c, o)
 }
 
-func (f *fakes) Prefill(_ context.Context, to upstream.Entry, _ *Call) (string, error) {
+func (f *fakeUpstreams) Prefill(_ context.Context, to upstream.Entry, _ *Call) (string, error) {
 	if f.prefill == nil {
 		return "handle", nil
 	}
 	return f.prefill(to)
 }
 
-func (f *fakes) note(what string) {
+func (f *fakeUpstreams) recordRelease(what string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.released = append(f.released, what)
 }
 
-func (f *fakes) FreeHandle(_ context.Context, _ upstream.Entry, handle string) error {
-	f.note(handle)
+func (f *fakeUpstreams) FreeHandle(_ context.Context, _ upstream.Entry, handle string) error {
+	f.recordRelease(handle)
 	return nil
 }
 
-func (f *fakes) Reserve(_ context.Context, to upstream.Entry, _ int, _ time.Duration) (string, error) {
+func (f *fakeUpstreams) Reserve(_ context.Context, to upstream.Entry, _ int, _ time.Duration) (string, error) {
 	if f.reserve == nil {
 		return "reservation", nil
 	}
 	return f.reserve(to)
 }
 
-func (f *fakes) CheckReachable(context.Context, upstream.Entry) error { return f.reach }
+func (f *fakeUpstreams) CheckReachable(context.Context, upstream.Entry) error { return f.reachErr }
 
-func (f *fakes) DropReservation(_ context.Context, _ upstream.Entry, reservation string) error {
-	f.note(reservation)
+func (f *fakeUpstreams) DropReservation(_ context.Context, _ upstream.Entry, reservation string) error {
+	f.recordRelease(reservation)
 	return nil
 }
 
-func answer(status int, body string) (*Answer, error) {
+func newAnswer(status int, body string) (*Answer, error) {
 	return &Answer{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), Length: int64(len(body))}, nil
 }
 
-// broken is a body that ends early.
-type broken struct{ text string }
+// truncatedBody is a body that ends early.
+type truncatedBody struct{ text string }
 
-func (b *broken) Read(to []byte) (int, error) {
+func (b *truncatedBody) Read(to []byte) (int, error) {
 	if b.text == "" {
 		return 0, io.ErrUnexpectedEOF
 	}
@@ -100,9 +100,9 @@
 	return n, nil
 }
 
-func (b *broken) Close() error { return nil }
+func (b *truncatedBody) Close() error { return nil }
 
-func set() object.Set {
+func testObjects() object.Set {
 	limit := func(name string, rate int64) object.Limit {
 		return object.Limit{Name: name, TokensPerSecond: rate, Burst: rate, CallTokens: 1}
 	}
@@ -127,68 +127,67 @@
 	}
 }
 
-// world is a gateway before faked upstreams.
-type world struct {
-	*fakes
+// testGateway is a gateway with fake upstreams.
+type testGateway struct {
+	*fakeUpstreams
 	gateway *Gateway
 	state   *State
-	// now stands in for the time since boot; it is ahead of the real one by skip, and by what
-	// passed before the test.
-	skip, before time.Duration
+	// The gateway's clock is the time since boot plus clockAdvance, set by tests, and clockOffset,
+	// which passed during setup.
+	clockAdvance, clockOffset time.Duration
 }
 
-func (w *world) now() time.Duration { return boottime.Now() + w.before + w.skip }
+func (gw *testGateway) now() time.Duration { return boottime.Now() + gw.clockOffset + gw.clockAdvance }
 
-func newWorld(t *testing.T) *world {
+func newTestGateway(t *testing.T) *testGateway {
 	t.Helper()
-	w := &world{fakes: &fakes{}}
-	w.state = NewState(w.now, 4*time.Second)
-	w.state.UpstreamsRead()
-	w.state.InstancesRead()
-	index := object.NewIndex(set(), 1)
-	assert.Assert(t, w.state.Apply(index))
-	w.state.ConfirmCurrent(w.now())
+	gw := &testGateway{fakeUpstreams: &fakeUpstreams{}}
+	gw.state = NewState(gw.now, 4*time.Second)
+	gw.state.UpstreamsRead()
+	gw.state.InstancesRead()
+	index := object.NewIndex(testObjects(), 1)
+	assert.Assert(t, gw.state.Apply(index))
+	gw.state.ConfirmCurrent(gw.now())
 	for i, role := range []upstream.Role{upstream.Plain, upstream.Plain, upstream.Prefill, upstream.Prefill, upstream.Decode, upstream.Decode} {
 		service := "model"
 		if role == upstream.Plain {
 			service = "plain"
 		}
-		w.state.Directory.Put(upstream.Entry{ID: fmt.Sprint(role, i), Service: service, Address: fmt.Sprint("1.2.3.4:", i), Role: role, Slots: 4})
+		gw.state.Directory.Put(upstream.Entry{ID: fmt.Sprint(role, i), Service: service, Address: fmt.Sprint("1.2.3.4:", i), Role: role, Slots: 4})
 	}
-	quotas := NewQuotas(w.now, fleet.Member{Name: "a"}, QuotaBound{Window: 8 * time.Second})
-	quotas.Connect(alone{})
+	quotas := NewQuotas(gw.now, fleet.Member{Name: "a"}, QuotaBound{Window: 8 * time.Second})
+	quotas.Connect(soloNetwork{})
 	quotas.SetLimits(index)
-	w.fill(quotas)
-	w.gateway = New(Options{
-		ApplyTimeout: 2 * time.Second, Codec: w.fakes, Upstreams: w.fakes, State: w.state, Quotas: quotas, Log: zap.NewNop(), Metrics: observe.NewMetrics(),
+	gw.fillQuotas(quotas)
+	gw.gateway = New(Options{
+		ApplyTimeout: 2 * time.Second, Codec: gw.fakeUpstreams, Upstreams: gw.fakeUpstreams, State: gw.state, Quotas: quotas, Log: zap.NewNop(), Metrics: observe.NewMetrics(),
 		MaxBufferedBodyBytes: 1 << 20, RetryBudget: RetryBudget{Ratio: 1, Window: 10 * time.Second, Slack: 20, FirstStart: true}, FleetSize: func() fleet.Size { return fleet.SizeOf(1) },
 	})
-	t.Cleanup(w.gateway.Close)
-	return w
+	t.Cleanup(gw.gateway.Close)
+	return gw
 }
 
-// fill lets an instance that is alone have all that its limits allow.
-func (w *world) fill(quotas *Quotas) {
+// fillQuotas lets time pass until the quotas of an instance without peers are filled.
+func (gw *testGateway) fillQuotas(quotas *Quotas) {
 	for range 100 {
-		w.before += 100 * time.Millisecond
-		quotas.FillReportFor(w.now(), 0, &fleet.Report{})
+		gw.clockOffset += 100 * time.Millisecond
+		quotas.FillReportFor(gw.now(), 0, &fleet.Report{})
 	}
-	w.state.ConfirmCurrent(w.now())
+	gw.state.ConfirmCurrent(gw.now())
 }
 
-// alone is the network of an instance without others.
-type alone struct{}
+// soloNetwork is the network of an instance without peers.
+type soloNetwork struct{}
 
-func (alone) Hubs() []fleet.Hub { return nil }
-func (alone) Size() fleet.Size  { return fleet.SizeOf(1) }
-func (alone) Suspect(string)    {}
-func (alone) Ask(context.Context, string, fleet.Ask) (fleet.Grant, error) {
+func (soloNetwork) Hubs() []fleet.Hub { return nil }
+func (soloNetwork) Size() fleet.Size  { return fleet.SizeOf(1) }
+func (soloNetwork) Suspect(string)    {}
+func (soloNetwork) Ask(context.Context, string, fleet.Ask) (fleet.Grant, error) {
 	return fleet.Grant{}, fleet.ErrUnanswered
 }
 
-// ask sends a request and returns the answer; aborted tells that the connection was
-// closed in the middle of it.
-func (w *world) ask(path string, header map[string]string) (rec *httptest.ResponseRecorder, aborted bool) {
+// request sends a request and returns the response. aborted is set if the connection was aborted.
+func (gw *testGateway) request(path string, header map[string]string) (rec *httptest.ResponseRecorder, aborted bool) {
 	rec = httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodPost, "http://h"+path, strings.NewReader("body"))
 	r.Header.Set("Id", "1")
@@ -204,17 +203,17 @@
 			aborted = true
 		}
 	}()
-	w.gateway.ServeHTTP(rec, r)
+	gw.gateway.ServeHTTP(rec, r)
 	return rec, aborted
 }
 
-func refused() error { return verdict.Refuse(verdict.ReasonUpstreamRefused, 0, "full") }
-func crashed() error {
+func refusedError() error { return verdict.Refuse(verdict.ReasonUpstreamRefused, 0, "full") }
+func crashedError() error {
 	return verdict.Fail(verdict.MayHaveRun, verdict.ReasonUpstreamCrashed, nil, "closed")
 }
-func unsent() error {
+func unreachableError() error {
 	return verdict.Fail(verdict.NotRun, verdict.ReasonUpstreamUnreachable, nil, "refused")
 }
-func (w *world) always(err error) {
-	w.run = func(context.Context, upstream.Entry, *Call, RunOptions) (*Answer, error) { return nil, err }
+func (gw *testGateway) failWith(err error) {
+	gw.run = func(context.Context, upstream.Entry, *Call, RunOptions) (*Answer, error) { return nil, err }
 }
--- /dev/null
+++ b/gateway/outliers.go
@@ -0,0 +1,111 @@
+package gateway
+
+import (
+	"errors"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/cairnworks/cairnworks/boottime"
+	"github.com/cairnworks/cairnworks/upstream"
+)
+
+// Limits and timings of ejections.
+const (
+	// baseEjection is how long an upstream gets no requests after its first failure; the time
+	// doubles with each further failure up to maxEjection. A crashed engine remains listed for up
+	// to three of its heartbeats.
+	baseEjection = 400 * time.Millisecond
+	maxEjection  = 3 * time.Second
+	// restartedEjection is how long a model engine gets no requests after its process has ended. It
+	// may be back at its address immediately, in another role and with empty memory, and refuses
+	// requests until its new entry has arrived, which takes a heartbeat and a read.
+	restartedEjection = 2 * time.Second
+	// failureRetention is how long failures count against an upstream.
+	failureRetention = 10 * time.Second
+)
+
+// outlierDetector ejects upstreams that were unreachable or broke off answers. It is safe for
+// concurrent use.
+type outlierDetector struct {
+	now boottime.Clock
+	mu  sync.Mutex
+	// ejections are keyed by ID and start time of the run.
+	ejections map[upstreamRun]ejection
+}
+
+type upstreamRun struct {
+	id      string
+	started int64
+}
+
+type ejection struct {
+	failures    int
+	lastFailure time.Duration
+	until       time.Duration
+}
+
+func newOutlierDetector(now boottime.Clock) *outlierDetector {
+	return &outlierDetector{now: now, ejections: make(map[upstreamRun]ejection)}
+}
+
+// recordUnreachable ejects an upstream that could not be reached.
+func (o *outlierDetector) recordUnreachable(e upstream.Entry, cause error) {
+	minimum := baseEjection
+	if e.Role != upstream.Plain && errors.Is(cause, syscall.ECONNREFUSED) {
+		minimum = restartedEjection
+	}
+	o.eject(e, minimum)
+}
+
+// recordFailure ejects an upstream that failed a request.
+func (o *outlierDetector) recordFailure(e upstream.Entry) { o.eject(e, baseEjection) }
+
+// eject ejects an upstream for a time that grows with each failure.
+func (o *outlierDetector) eject(e upstream.Entry, minimum time.Duration) {
+	now := o.now()
+	key := upstreamRun{e.ID, e.Started}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	entry := o.ejections[key]
+	if entry.until > now {
+		// Concurrent failures count as one.
+		return
+	}
+	if now-entry.lastFailure > failureRetention {
+		entry.failures = 0
+	}
+	entry.lastFailure = now
+	entry.until = now + min(max(baseEjection<<min(entry.failures, 4), minimum), maxEjection)
+	entry.failures++
+	o.ejections[key] = entry
+}
+
+// recordSuccess clears the failures of an upstream.
+func (o *outlierDetector) recordSuccess(e upstream.Entry) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	delete(o.ejections, upstreamRun{e.ID, e.Started})
+}
+
+// ejected returns which of the entries are ejected, and drops expired failures.
+func (o *outlierDetector) ejected(entries []upstream.Entry) map[string]bool {
+	now := o.now()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if len(o.ejections) == 0 {
+		return nil
+	}
+	out := make(map[string]bool)
+	for _, e := range entries {
+		if f, known := o.ejections[upstreamRun{e.ID, e.Started}]; known && f.until > now {
+			out[e.ID] = true
+		}
+	}
+	for key, f := range o.ejections {
+		if now-f.lastFailure > failureRetention {
+			delete(o.ejections, key)
+		}
+	}
+	return out
+}
--- /dev/null
+++ b/gateway/placement.go
@@ -0,0 +1,135 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/cairnworks/cairnworks/decision/room"
+	"github.com/cairnworks/cairnworks/decision/waiting"
+	"github.com/cairnworks/cairnworks/fleet"
+	"github.com/cairnworks/cairnworks/upstream"
+	"github.com/cairnworks/cairnworks/verdict"
+)
+
+// homeAttempts is the number of homes asked before the request is placed by local information. The
+// second one has replaced a first that did not answer.
+const homeAttempts = 2
+
+// PlacementHomes connects instances of a large fleet to a service's home: the instance that places
+// its requests.
+type PlacementHomes interface {
+	// Home returns the home of a service and whether it is this instance.
+	Home(service string) (fleet.Hub, bool)
+	// Claim asks a home for an engine and waits until it is assigned or refused.
+	Claim(ctx context.Context, hub string, c fleet.Claim) (fleet.Place, error)
+	// TellLoads sends a home this instance's current loads at some engines.
+	TellLoads(hub string, loads map[fleet.Hash]fleet.Load)
+	// Suspect reports a home that does not answer, so that another replaces it.
+	Suspect(hub string)
+}
+
+// Connect sets the connection to the homes of services. It must be called before any request.
+func (g *Gateway) Connect(h PlacementHomes) { g.placementHomes = h }
+
+// homeOf returns the home of a service and whether it is this instance. A small fleet has no homes:
+// each instance is informed immediately of the others' loads.
+func (g *Gateway) homeOf(service string) (fleet.Hub, bool) {
+	if g.placementHomes == nil || !g.reportsViaHubs() {
+		return fleet.Hub{}, true
+	}
+	return g.placementHomes.Home(service)
+}
+
+// placementRequest is a request for a decode engine.
+type placementRequest struct {
+	item *waiting.Item
+	// except holds engines that must not be assigned; full holds those that have just refused a
+	// reservation.
+	except, full map[string]bool
+}
+
+// place waits for a decode engine.
+func (d *dispatcher) place(ctx context.Context, request placementRequest) (upstream.Entry, *verdict.Verdict) {
+	for range homeAttempts {
+		home, isLocal := d.gateway.homeOf(d.service)
+		if isLocal {
+			break
+		}
+		if entry, refusal, ok := d.placeRemotely(ctx, home, request); ok {
+			return entry, refusal
+		}
+	}
+	return d.placeLocally(ctx, request)
+}
+
+// placeRemotely waits for an engine assigned by another instance. It reports false if that instance
+// does not answer.
+func (d *dispatcher) placeRemotely(ctx context.Context, home fleet.Hub, request placementRequest) (upstream.Entry, *verdict.Verdict, bool) {
+	ejected := d.gateway.outliers.ejected(d.gateway.state.Directory.Service(d.service))
+	item := request.item
+	place, ok := d.claimFromHome(ctx, home, fleet.Claim{
+		Organisation: fleet.HashOf(item.Organisation), Priority: item.Priority, Tokens: item.Tokens, Output: item.Output,
+		Waited: time.Since(item.Arrived), Objective: item.Objective, Left: time.Until(item.Deadline), Point: item.Point,
+		Except: shortHashes(request.except), Avoid: shortHashes(ejected), Full: shortHashes(request.full),
+	})
+	if ctx.Err() != nil {
+		return upstream.Entry{}, contextRefusal(ctx), true
+	}
+	if !ok {
+		return upstream.Entry{}, nil, false
+	}
+	if place.State == fleet.PlaceRefused {
+		return upstream.Entry{}, queueTimeout(item, place.Retry), true
+	}
+	entry, known := d.decode.recordPlacement(place.Upstream, room.Need{Tokens: item.Tokens, Output: item.Output})
+	return entry, nil, known
+}
+
+// claimFromHome sends a claim to a home, and reports the home if it does not answer.
+func (d *dispatcher) claimFromHome(ctx context.Context, home fleet.Hub, c fleet.Claim) (fleet.Place, bool) {
+	c.Service = fleet.HashOf(d.service)
+	place, err := d.gateway.placementHomes.Claim(ctx, home.Name, c)
+	if err != nil && ctx.Err() == nil {
+		d.gateway.placementHomes.Suspect(home.Name)
+		d.gateway.log.Info("home of places silent", zap.String("service", d.service), zap.String("home", home.Name), zap.Error(err))
+	}
+	return place, err == nil
+}
+
+// claimPrefill claims capacity at a prefill engine that is not in tried.
+func (d *dispatcher) claimPrefill(ctx context.Context, tokens int, tried map[string]bool) (upstream.Entry, bool) {
+	ejected := d.gateway.outliers.ejected(d.gateway.state.Directory.Service(d.service))
+	if home, isLocal := d.gateway.homeOf(d.service); !isLocal {
+		place, ok := d.claimFromHome(ctx, home, fleet.Claim{Prefill: true, Tokens: tokens, Except: shortHashes(tried), Avoid: shortHashes(ejected)})
+		if ok && place.State == fleet.PlaceRefused {
+			return upstream.Entry{}, false
+		}
+		if ok {
+			if entry, known := d.prefill.recordPlacement(place.Upstream, room.Need{Tokens: tokens}); known {
+				return entry, true
+			}
+		}
+	}
+	if entry, ok := d.prefill.claim(room.Need{Tokens: tokens}, union(ejected, tried)); ok {
+		return entry, true
+	}
+	return d.prefill.claim(room.Need{Tokens: tokens}, tried)
+}
+
+// reportLoad sends this instance's load at an engine to the service's home.
+func (d *dispatcher) reportLoad(p *pool, id string) {
+	if home, isLocal := d.gateway.homeOf(d.service); !isLocal {
+		d.gateway.placementHomes.TellLoads(home.Name, map[fleet.Hash]fleet.Load{fleet.ShortHashOf(id): p.ownLoad(id)})
+	}
+	d.gateway.triggerReport()
+}
+
+func shortHashes(ids map[string]bool) []fleet.Hash {
+	out := make([]fleet.Hash, 0, len(ids))
+	for id := range ids {
+		out = append(out, fleet.ShortHashOf(id))
+	}
+	return out
+}
--- a/gateway/places_bench_test.go
+++ b/gateway/placement_bench_test.go
@@ -15,20 +15,20 @@
 	"github.com/cairnworks/cairnworks/upstream"
 )
 
-// BenchmarkHome measures what a home does for one request: its claim at a decode engine, which is
-// given at once, and the word of its end. Datagrams are not in it.
+// BenchmarkHome measures a home's work for one request: its claim at a decode engine, which is
+// assigned immediately, and the report of its end. Network transfer is not included.
 func BenchmarkHome(b *testing.B) {
 	for _, engines := range []int{66, 400} {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
 			state := NewState(boottime.Now, time.Minute)
 			state.UpstreamsRead()
 			state.InstancesRead()
-			assert.Assert(b, state.Apply(object.NewIndex(set(), 1)))
+			assert.Assert(b, state.Apply(object.NewIndex(testObjects(), 1)))
 			state.ConfirmCurrent(boottime.Now())
 			for e := range engines {
 				state.Directory.Put(upstream.Entry{ID: fmt.Sprint("d", e), Service: "model", Role: upstream.Decode, Slots: 4})
 			}
-			g := New(Options{Upstreams: &fakes{}, State: state, Log: zap.NewNop(), Metrics: observe.NewMetrics(), FleetSize: func() fleet.Size { return fleet.SizeOf(295) }})
+			g := New(Options{Upstreams: &fakeUpstreams{}, State: state, Log: zap.NewNop(), Metrics: observe.NewMetrics(), FleetSize: func() fleet.Size { return fleet.SizeOf(295) }})
 			defer g.Close()
 			places := make(chan fleet.Place, 1)
 			c := fleet.Claim{Service: fleet.HashOf("model"), Tokens: 250, Objective: time.Second, Left: time.Minute}
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -20,279 +20,281 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Figures of plain calls.
+// Limits and timings of plain calls.
 const (
-	// plainDepth is how many requests are placed at a plain upstream for each of its
-	// slots, those at work included; more would wait there for long while others may
-	// have room.
-	plainDepth = 4
-	// plainRetry is when a caller is told to come back after a full service, on average.
+	// plainRequestsPerSlot is the number of requests placed at a plain upstream per slot, including
+	// the running ones. More requests would queue there for long while other upstreams may have
+	// capacity.
+	plainRequestsPerSlot = 4
+	// plainRetry is the mean Retry-After when all upstreams are full.
 	plainRetry = 400 * time.Millisecond
-	// plainSpread is the part of it by which the times of two callers lie apart at most, half to
-	// each side.
-	plainSpread = 1.0
-	// maxUnsent is how many upstreams that cannot be reached are passed over before a
-	// request is refused. Nothing was sent to them.
-	maxUnsent = 4
-	// slowObjectives is after how many objectives an answer counts as lost.
-	slowObjectives = 4
-	// keptAnswer is the most bytes of an answer that are read before it is handed on.
-	// An answer that ends early within them can still be replaced by an honest
-	// failure, or asked for again.
-	keptAnswer = 256 << 10
+	// plainRetrySpread is the width of the range of Retry-After times, as a fraction of plainRetry
+	// and centred on it.
+	plainRetrySpread = 1.0
+	// maxUnreachable is the number of unreachable upstreams that are tried before a request is
+	// refused. Nothing was sent to them.
+	maxUnreachable = 4
+	// attemptObjectives is the number of objectives after which an attempt's answer is considered
+	// lost.
+	attemptObjectives = 4
+	// maxBufferedAnswer is the number of bytes of an answer that are buffered before any are
+	// forwarded. An answer that is cut off within them can still be replaced by an error response
+	// or retried.
+	maxBufferedAnswer = 256 << 10
 )
 
-// plainRooms are the pools of plain services.
-type plainRooms struct {
+// plainPools holds the upstream pools of plain services, by service.
+type plainPools struct {
 	mu    sync.Mutex
 	pools map[string]*pool
 }
 
-func newPlainRooms() *plainRooms { return &plainRooms{pools: make(map[string]*pool)} }
+func newPlainPools() *plainPools { return &plainPools{pools: make(map[string]*pool)} }
 
-func (p *plainRooms) get(service string) *pool {
+func (p *plainPools) get(service string) *pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s, known := p.pools[service]
+	plainPool, known := p.pools[service]
 	if !known {
-		s = newPool()
-		p.pools[service] = s
+		plainPool = newPool()
+		p.pools[service] = plainPool
 	}
-	return s
+	return plainPool
 }
 
-func (p *plainRooms) all() []*pool {
+func (p *plainPools) all() []*pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make([]*pool, 0, len(p.pools))
-	for _, s := range p.pools {
-		out = append(out, s)
+	for _, plainPool := range p.pools {
+		out = append(out, plainPool)
 	}
 	return out
 }
 
-func (p *plainRooms) fill(loads map[fleet.Hash]fleet.Load) {
-	for _, s := range p.all() {
-		s.fill(loads)
+func (p *plainPools) addLoads(loads map[fleet.Hash]fleet.Load) {
+	for _, plainPool := range p.all() {
+		plainPool.addOwnLoads(loads)
 	}
 }
 
-func (p *plainRooms) fillAll(but string, loads map[fleet.Hash]fleet.Load) {
-	for _, s := range p.all() {
-		s.fillAll(but, loads)
+func (p *plainPools) addLoadsExcept(except string, loads map[fleet.Hash]fleet.Load) {
+	for _, plainPool := range p.all() {
+		plainPool.addLoadsExcept(except, loads)
 	}
 }
 
-func (p *plainRooms) take(r *fleet.Report) {
+func (p *plainPools) applyReport(r *fleet.Report) {
 	now := boottime.Now()
-	for _, s := range p.all() {
-		s.take(now, r)
+	for _, plainPool := range p.all() {
+		plainPool.applyReport(now, r)
 	}
 }
 
-// servePlain runs a request at one upstream, or at further ones where that is
-// allowed, and hands the answer on.
-func (g *Gateway) servePlain(ctx context.Context, w http.ResponseWriter, a *admitted) *verdict.Verdict {
-	run := &plainRun{gateway: g, admitted: a, pool: g.plain.get(a.service.Name), tried: make(map[string]bool)}
-	answer, v := run.answer(ctx)
+// servePlain runs a request at one upstream, retrying at others where the route allows it, and
+// forwards the answer.
+func (g *Gateway) servePlain(ctx context.Context, w http.ResponseWriter, a *admittedCall) *verdict.Verdict {
+	run := &plainRun{gateway: g, admitted: a, pool: g.plainPools.get(a.service.Name), tried: make(map[string]bool)}
+	answer, v := run.execute(ctx)
 	if v != nil {
 		if v.Ran == verdict.NotRun && v.Reason.Retryable() && v.RetryAfter == 0 {
-			v.RetryAfter = plainReturn(a.call.ID)
+			v.RetryAfter = plainRetryAfter(a.call.ID)
 		}
 		return v
 	}
-	g.deliver(w, a, answer)
+	g.writeAnswer(w, a, answer)
 	return nil
 }
 
-// plainReturn is when the caller of a refused request is told to come back. The times are spread,
-// since upstreams that are full refuse many at once, which would return as one.
-func plainReturn(id string) time.Duration {
-	part := float64(hashPoint(id)) / math.MaxUint64
-	return time.Duration((1 + plainSpread*(part-0.5)) * float64(plainRetry))
+// plainRetryAfter returns the Retry-After of a refused request. The times are spread because full
+// upstreams refuse many requests at once, and the callers would otherwise all return at the same
+// time.
+func plainRetryAfter(id string) time.Duration {
+	fraction := float64(hashPoint(id)) / math.MaxUint64
+	return time.Duration((1 + plainRetrySpread*(fraction-0.5)) * float64(plainRetry))
 }
 
-// plainRun is a plain request on its way.
+// plainRun is the state of a plain request and its attempts.
 type plainRun struct {
 	gateway  *Gateway
-	admitted *admitted
+	admitted *admittedCall
 	pool     *pool
-	// tried upstreams are not asked again.
-	tried  map[string]bool
-	sent   int
-	unsent int
-	// ran is the strongest verdict of all sends so far.
-	ran verdict.Ran
-	// prepaid tells that the next send was taken off the retry budget already.
-	prepaid bool
-	// last is an upstream's failure that is handed on when no better answer comes.
-	last *keptResponse
+	// tried holds the upstreams that are not tried again.
+	tried            map[string]bool
+	sends            int
+	unreachableCount int
+	// maxRan is the strongest verdict of all attempts.
+	maxRan verdict.Ran
+	// budgetTaken is set if the next retry has already been taken from the retry budget.
+	budgetTaken bool
+	// lastFailure is an upstream's error response, forwarded if no retry gets a better one.
+	lastFailure *bufferedResponse
 }
 
-// keptResponse is an answer that was read whole.
-type keptResponse struct {
+// bufferedResponse is an answer that was read completely or up to maxBufferedAnswer.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
-	// rest follows the body where the answer is larger than what is kept.
+	// rest is the unread remainder of an answer larger than maxBufferedAnswer.
 	rest io.ReadCloser
-	// length is the length told by the upstream, or -1.
+	// length is the content length stated by the upstream, or -1.
 	length int64
 }
 
-// answer sends the request until there is an answer to hand on.
-func (r *plainRun) answer(ctx context.Context) (*keptResponse, *verdict.Verdict) {
+// execute makes attempts until there is an answer to forward.
+func (r *plainRun) execute(ctx context.Context) (*bufferedResponse, *verdict.Verdict) {
 	for {
 		response, v := r.attempt(ctx)
-		if v == nil && !r.worthRepeating(response) {
+		if v == nil && !r.isRetryableFailure(response) {
 			return response, nil
 		}
 		if v == nil {
-			r.last = response
+			r.lastFailure = response
 		}
-		again := r.mayRepeat(ctx, v)
-		if again {
+		retry := r.mayRetry(ctx, v)
+		if retry {
 			continue
 		}
-		if r.last != nil {
-			return r.last, nil
+		if r.lastFailure != nil {
+			return r.lastFailure, nil
 		}
-		v.Ran = max(v.Ran, r.ran)
+		v.Ran = max(v.Ran, r.maxRan)
 		return nil, v
 	}
 }
 
-// worthRepeating reports whether an upstream's answer is a failure that another
-// upstream may not have.
-func (r *plainRun) worthRepeating(response *keptResponse) bool {
+// isRetryableFailure reports whether the answer is a server error that another upstream may not
+// return.
+func (r *plainRun) isRetryableFailure(response *bufferedResponse) bool {
 	return response.status >= http.StatusInternalServerError && r.admitted.route.MayRepeat()
 }
 
-// mayRepeat decides whether the request is sent once more. v is nil where an
-// upstream answered with a failure.
-func (r *plainRun) mayRepeat(ctx context.Context, v *verdict.Verdict) bool {
+// mayRetry decides whether the request is sent again. v is nil if an upstream answered with a
+// server error.
+func (r *plainRun) mayRetry(ctx context.Context, v *verdict.Verdict) bool {
 	if ctx.Err() != nil {
 		return false
 	}
 	if v != nil && v.Reason == verdict.ReasonUpstreamUnreachable && v.Ran == verdict.NotRun {
-		r.unsent++
-		return r.unsent < maxUnsent
+		r.unreachableCount++
+		return r.unreachableCount < maxUnreachable
 	}
 	route := r.admitted.route
-	if r.sent == 0 || r.sent >= route.Attempts() {
+	if r.sends == 0 || r.sends >= route.Attempts() {
 		return false
 	}
 	notRun := v != nil && v.Ran == verdict.NotRun
 	if !notRun && !route.MayRepeat() {
 		return false
 	}
-	if !r.prepaid && !r.gateway.budget.repeat(r.admitted.service.Name) {
+	if !r.budgetTaken && !r.gateway.retryBudgets.tryRetry(r.admitted.service.Name) {
 		return false
 	}
-	r.prepaid = false
+	r.budgetTaken = false
 	reason := verdict.ReasonUpstreamRefused
 	if v != nil {
 		reason = v.Reason
 	}
 	r.gateway.Metrics.Retried(r.admitted.service.Name, reason)
-	r.gateway.log.Info("retried", zap.String("request", r.admitted.call.ID), zap.String("reason", string(reason)), zap.Int("sent", r.sent))
+	r.gateway.log.Info("retried", zap.String("request", r.admitted.call.ID), zap.String("reason", string(reason)), zap.Int("sent", r.sends))
 	return true
 }
 
-// plainShape is the size of a plain upstream.
-func (g *Gateway) plainShape(e upstream.Entry) room.Engine {
-	return room.Engine{ID: e.ID, Slots: max(e.Slots, 1) * plainDepth, Near: e.DataCentre == g.DataCentre}
+// plainEngine returns the capacity of a plain upstream.
+func (g *Gateway) plainEngine(e upstream.Entry) room.Engine {
+	return room.Engine{ID: e.ID, Slots: max(e.Slots, 1) * plainRequestsPerSlot, Near: e.DataCentre == g.DataCentre}
 }
 
 // attempt sends the request to one upstream.
-func (r *plainRun) attempt(ctx context.Context) (*keptResponse, *verdict.Verdict) {
+func (r *plainRun) attempt(ctx context.Context) (*bufferedResponse, *verdict.Verdict) {
 	g, a := r.gateway, r.admitted
-	r.pool.sync(g.state.Directory, a.service.Name, upstream.Plain, shaped{near: g.DataCentre}, g.plainShape)
-	r.pool.spread(g.reportsLate())
-	entry, v := r.place()
+	r.pool.sync(g.state.Directory, a.service.Name, upstream.Plain, poolShape{near: g.DataCentre}, g.plainEngine)
+	r.pool.setSampling(g.reportsViaHubs())
+	entry, v := r.claim()
 	if v != nil {
 		return nil, v
 	}
-	g.changed()
+	g.triggerReport()
 	defer r.pool.release(entry.ID, 0)
 	r.tried[entry.ID] = true
 	a.upstream = entry.ID
-	if v := g.mayRun(a); v != nil {
+	if v := g.checkStillAllowed(a); v != nil {
 		return nil, v
 	}
-	r.sent++
-	ctx, giveUp := context.WithCancelCause(ctx)
-	defer giveUp(nil)
-	hedge := time.AfterFunc(r.patience(time.Now()), func() {
-		if r.moreAllowed() && g.budget.repeat(a.service.Name) {
-			r.prepaid = true
-			giveUp(errSlow)
+	r.sends++
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	timer := time.AfterFunc(r.attemptTimeout(time.Now()), func() {
+		if r.attemptsLeft() && g.retryBudgets.tryRetry(a.service.Name) {
+			r.budgetTaken = true
+			cancel(errAttemptTimeout)
 		}
 	})
-	defer hedge.Stop()
-	answer, err := g.Upstreams.Run(ctx, entry, a.call, RunOptions{Priority: a.call.prio})
+	defer timer.Stop()
+	answer, err := g.Upstreams.Run(ctx, entry, a.call, RunOptions{Priority: a.call.priority})
 	if err != nil {
 		v := verdict.From(err)
-		if context.Cause(ctx) == errSlow {
+		if context.Cause(ctx) == errAttemptTimeout {
 			v.Reason = verdict.ReasonTimeout
 		}
-		r.failed(ctx, entry, v)
+		r.recordFailure(ctx, entry, v)
 		return nil, v
 	}
-	response, err := keep(answer)
+	response, err := bufferAnswer(answer)
 	if err != nil {
-		v := verdict.Fail(verdict.MayHaveRun, verdict.ReasonTruncated, err, "the upstream's answer ended early")
-		r.failed(ctx, entry, v)
+		v := verdict.Fail(verdict.MayHaveRun, verdict.ReasonTruncated, err, "the upstream's answer was truncated")
+		r.recordFailure(ctx, entry, v)
 		return nil, v
 	}
-	g.suspects.succeed(entry)
-	g.crashes.succeeded(a.call)
+	g.outliers.recordSuccess(entry)
+	g.crashes.recordSuccess(a.call)
 	return response, nil
 }
 
-// errSlow ends an attempt of a request that is sent to another upstream instead.
-var errSlow = errors.New("no answer in the time that leaves another upstream one")
+// errAttemptTimeout cancels an attempt so that the request can be sent to another upstream.
+var errAttemptTimeout = errors.New("attempt timed out; another upstream is tried")
 
-// patience is how long an attempt may go on before another upstream is asked. An upstream that has
-// run the request and lost the answer, or that hangs, would otherwise hold it until its deadline. In
-// a burst all answers are slow, and second sends within the objective would double the load when
-// there is least room.
-func (r *plainRun) patience(now time.Time) time.Duration {
+// attemptTimeout returns how long an attempt may take before another upstream is tried. Otherwise
+// an upstream that ran the request and lost the answer, or that hangs, would hold the request until
+// its deadline. During a burst all answers are slow, and retries within the objective would double
+// the load when capacity is scarcest.
+func (r *plainRun) attemptTimeout(now time.Time) time.Duration {
 	route := r.admitted.route
 	if !route.MayRepeat() || route.ObjectiveMS == 0 {
-		return defaultPatience
+		return defaultTimeout
 	}
-	slow := slowObjectives * time.Duration(route.ObjectiveMS) * time.Millisecond
+	slow := attemptObjectives * time.Duration(route.ObjectiveMS) * time.Millisecond
 	return min(slow, r.admitted.call.Deadline.Sub(now)/2)
 }
 
-// moreAllowed reports whether the route lets the request be sent once more.
-func (r *plainRun) moreAllowed() bool {
-	return r.admitted.route.MayRepeat() && r.sent < r.admitted.route.Attempts()
+// attemptsLeft reports whether the route allows another attempt.
+func (r *plainRun) attemptsLeft() bool {
+	return r.admitted.route.MayRepeat() && r.sends < r.admitted.route.Attempts()
 }
 
-// failed notes a failed attempt.
-func (r *plainRun) failed(ctx context.Context, entry upstream.Entry, v *verdict.Verdict) {
+// recordFailure records a failed attempt.
+func (r *plainRun) recordFailure(ctx context.Context, entry upstream.Entry, v *verdict.Verdict) {
 	if v.Reason == verdict.ReasonUpstreamUnreachable && v.Ran == verdict.NotRun {
-		r.sent--
+		r.sends--
 	}
-	r.ran = max(r.ran, v.Ran)
-	r.gateway.blame(ctx, r.admitted.call, entry, v)
+	r.maxRan = max(r.maxRan, v.Ran)
+	r.gateway.recordUpstreamFailure(ctx, r.admitted.call, entry, v)
 }
 
-// blame notes an upstream's part in a failed attempt.
-func (g *Gateway) blame(ctx context.Context, c *Call, entry upstream.Entry, v *verdict.Verdict) {
+// recordUpstreamFailure records a failed attempt against the upstream.
+func (g *Gateway) recordUpstreamFailure(ctx context.Context, c *Call, entry upstream.Entry, v *verdict.Verdict) {
 	if ctx.Err() != nil && v.Reason != verdict.ReasonTimeout {
 		return
 	}
 	if v.Ran != verdict.NotRun && (v.Reason == verdict.ReasonUpstreamCrashed || v.Reason == verdict.ReasonTruncated) {
-		g.crashes.broke(c, entry, g.changed)
+		g.crashes.recordBrokenOff(c, entry, g.triggerReport)
 	}
 	switch v.Reason {
 	case verdict.ReasonUpstreamUnreachable:
-		g.suspects.unreached(entry, v.Cause)
+		g.outliers.recordUnreachable(entry, v.Cause)
 	case verdict.ReasonUpstreamCrashed, verdict.ReasonTimeout:
-		g.suspects.fail(entry)
+		g.outliers.recordFailure(entry)
 	case verdict.ReasonWrongUpstream:
 		g.state.Directory.MarkGone(entry)
 	}
@@ -300,10 +302,10 @@
 		zap.Stringer("role", entry.Role), zap.String("reason", string(v.Reason)), zap.Stringer("ran", v.Ran), zap.Error(v.Cause))
 }
 
-// place claims a place at an upstream.
-func (r *plainRun) place() (upstream.Entry, *verdict.Verdict) {
+// claim claims capacity at an upstream.
+func (r *plainRun) claim() (upstream.Entry, *verdict.Verdict) {
 	entries := r.gateway.state.Directory.Service(r.admitted.service.Name)
-	except := r.gateway.suspects.among(entries)
+	except := r.gateway.outliers.ejected(entries)
 	if except == nil {
 		except = make(map[string]bool)
 	}
@@ -313,36 +315,36 @@
 	if entry, ok := r.pool.claim(room.Need{}, except); ok {
 		return entry, nil
 	}
-	// Better an upstream under suspicion than none.
+	// An ejected upstream is better than none.
 	if entry, ok := r.pool.claim(room.Need{}, r.tried); ok {
 		return entry, nil
 	}
-	return upstream.Entry{}, verdict.Refuse(verdict.ReasonNoUpstream, 0, "no upstream of %s has room", r.admitted.service.Name)
+	return upstream.Entry{}, verdict.Refuse(verdict.ReasonNoUpstream, 0, "no upstream of %s has capacity", r.admitted.service.Name)
 }
 
-// keep reads an answer as far as it is kept.
-func keep(answer *Answer) (*keptResponse, error) {
-	response := &keptResponse{status: answer.Status, header: answer.Header, length: answer.Length}
+// bufferAnswer reads an answer up to maxBufferedAnswer bytes.
+func bufferAnswer(answer *Answer) (*bufferedResponse, error) {
+	response := &bufferedResponse{status: answer.Status, header: answer.Header, length: answer.Length}
 	var buffer bytes.Buffer
-	n, err := io.Copy(&buffer, io.LimitReader(answer.Body, keptAnswer))
+	n, err := io.Copy(&buffer, io.LimitReader(answer.Body, maxBufferedAnswer))
 	if err != nil {
 		_ = answer.Body.Close()
 		return nil, err
 	}
 	response.body = buffer.Bytes()
-	if n == keptAnswer {
+	if n == maxBufferedAnswer {
 		response.rest = answer.Body
 		return response, nil
 	}
-	// The body's end gives its connection back.
+	// Reading to EOF lets the connection be reused.
 	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
 		return nil, err
 	}
 	return response, answer.Body.Close()
 }
 
-// deliver hands an answer on.
-func (g *Gateway) deliver(w http.ResponseWriter, a *admitted, response *keptResponse) {
+// writeAnswer forwards an answer to the caller.
+func (g *Gateway) writeAnswer(w http.ResponseWriter, a *admittedCall, response *bufferedResponse) {
 	copyHeader(w.Header(), &Answer{Header: response.header})
 	if response.rest == nil {
 		w.Header().Set("Content-Length", strconv.Itoa(len(response.body)))
@@ -357,15 +359,15 @@
 	if response.rest != nil {
 		_ = response.rest.Close()
 	}
-	g.ended(a, response.status, err)
+	g.recordEnd(a, response.status, err)
 	if err != nil {
-		// An answer that ends early must not look whole.
+		// Abort the connection so that a truncated answer does not look complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// ended tells of a request that an upstream answered.
-func (g *Gateway) ended(a *admitted, status int, err error) {
+// recordEnd logs and counts a request that was answered by an upstream.
+func (g *Gateway) recordEnd(a *admittedCall, status int, err error) {
 	took := time.Since(a.call.Arrived)
 	if err != nil && !errors.Is(err, context.Canceled) {
 		g.log.Info("answer broken off", zap.String("request", a.call.ID), zap.Int("status", status), zap.Duration("took", took), zap.Error(err))
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -11,52 +11,53 @@
 	"github.com/cairnworks/cairnworks/upstream"
 )
 
-// peerLoadAge is how long another instance's placements count without a new report.
-// Reports come at least every 500 ms; an instance that died no longer holds anything once
-// upstreams have seen its connections end.
-const peerLoadAge = 1200 * time.Millisecond
+// peerLoadTTL is how long another instance's loads count without a new report. Reports arrive at
+// least every 500 ms; a dead instance holds no capacity once upstreams have seen its connections
+// close.
+const peerLoadTTL = 1200 * time.Millisecond
 
-// ofAll is the name under which the placements of all others are kept that a hub tells.
-const ofAll = ""
+// allPeers is the name under which the sum of all other instances' loads, as reported by a hub, is
+// stored.
+const allPeers = ""
 
-// pool is the upstreams of one service and role with what all instances have placed
-// there. It is safe for concurrent use.
+// pool holds the upstreams of one service and role with the loads of all instances. It is safe for
+// concurrent use.
 type pool struct {
 	mu   sync.Mutex
 	room *room.Room
-	// entries by id, and ids by their short form in reports.
-	entries map[string]upstream.Entry
-	ids     map[fleet.Hash]string
-	heard   map[string]time.Duration
-	// whole are the instances that have told all that they have placed themselves.
-	whole   map[string]bool
-	version uint64
-	shaped  shaped
-	// away are engines that get no work, with the claim that keeps it from them.
-	away map[string]int
+	// entries are keyed by ID; ids maps the short hashes used in reports to IDs.
+	entries    map[string]upstream.Entry
+	ids        map[fleet.Hash]string
+	lastReport map[string]time.Duration
+	// fullReport holds the instances that have reported all of their own loads.
+	fullReport map[string]bool
+	version    uint64
+	shape      poolShape
+	// withdrawn holds engines that get no requests, with the size of the claim that fills each.
+	withdrawn map[string]int
 }
 
 func newPool() *pool {
-	return &pool{room: room.New(), entries: make(map[string]upstream.Entry), ids: make(map[fleet.Hash]string), heard: make(map[string]time.Duration), whole: make(map[string]bool), away: make(map[string]int)}
+	return &pool{room: room.New(), entries: make(map[string]upstream.Entry), ids: make(map[fleet.Hash]string), lastReport: make(map[string]time.Duration), fullReport: make(map[string]bool), withdrawn: make(map[string]int)}
 }
 
-// shaped is what upstreams are taken over by, besides their entries: the data centre whose go
-// first, and the memory of each.
-type shaped struct {
+// poolShape holds the inputs of sync besides the directory: the data centre to prefer and the
+// memory of each engine.
+type poolShape struct {
 	near   string
 	memory int
 }
 
-// sync takes over the upstreams that may be given work. shape tells an entry's size by what it is
-// shaped by.
-func (p *pool) sync(directory *upstream.Directory, service string, role upstream.Role, by shaped, shape func(upstream.Entry) room.Engine) {
+// sync updates the upstreams from the directory, if it or the shape has changed. toEngine returns
+// the capacity of an entry.
+func (p *pool) sync(directory *upstream.Directory, service string, role upstream.Role, shape poolShape, toEngine func(upstream.Entry) room.Engine) {
 	version := directory.Version()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.version == version && p.shaped == by {
+	if p.version == version && p.shape == shape {
 		return
 	}
-	p.version, p.shaped = version, by
+	p.version, p.shape = version, shape
 	var engines []room.Engine
 	p.entries = make(map[string]upstream.Entry)
 	p.ids = make(map[fleet.Hash]string)
@@ -67,34 +68,34 @@
 		p.entries[e.ID] = e
 		p.ids[fleet.ShortHashOf(e.ID)] = e.ID
 		if !e.Leaving {
-			engines = append(engines, shape(e))
+			engines = append(engines, toEngine(e))
 		}
 	}
 	p.room.SetEngines(engines)
-	for id := range p.away {
+	for id := range p.withdrawn {
 		if _, still := p.entries[id]; !still {
-			p.bringBack(id)
+			p.restoreLocked(id)
 		}
 	}
 }
 
-// spread tells whether what others have placed is known late, so that claims are spread
-// by chance.
-func (p *pool) spread(late bool) {
+// setSampling sets whether claims choose among randomly sampled engines, as is needed if other
+// instances' loads are known with a delay.
+func (p *pool) setSampling(sample bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if late {
+	if sample {
 		p.room.Sample(rand.IntN)
 		return
 	}
 	p.room.Sample(nil)
 }
 
-// claim places a request of a size; see room.Room.Claim.
+// claim places a request; see room.Room.Claim.
 func (p *pool) claim(n room.Need, except map[string]bool) (upstream.Entry, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dropSilent()
+	p.expirePeers()
 	id, ok := p.room.Claim(n, except)
 	return p.entries[id], ok
 }
@@ -103,16 +104,16 @@
 func (p *pool) claimFor(instance string, n room.Need, except map[string]bool) (upstream.Entry, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dropSilent()
+	p.expirePeers()
 	id, ok := p.room.ClaimFor(instance, n, except)
-	if _, heard := p.heard[instance]; ok && !heard {
-		p.heard[instance] = boottime.Now()
+	if _, known := p.lastReport[instance]; ok && !known {
+		p.lastReport[instance] = boottime.Now()
 	}
 	return p.entries[id], ok
 }
 
-// giveBack ends a claim that was placed for another instance and that it did not take.
-func (p *pool) giveBack(instance, id string, tokens int) {
+// releaseFor ends a claim that was placed for another instance and not used by it.
+func (p *pool) releaseFor(instance, id string, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if load := p.room.Peer(instance, id); load.Requests > 0 && load.Tokens >= tokens {
@@ -120,8 +121,8 @@
 	}
 }
 
-// hold notes a request that another instance has placed for this one.
-func (p *pool) hold(hash fleet.Hash, n room.Need) (upstream.Entry, bool) {
+// recordPlacement records a request that another instance has placed for this one.
+func (p *pool) recordPlacement(hash fleet.Hash, n room.Need) (upstream.Entry, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.room.Advance(boottime.Now())
@@ -132,16 +133,16 @@
 	return entry, known
 }
 
-// own is what this instance has placed at an engine.
-func (p *pool) own(id string) fleet.Load {
+// ownLoad returns this instance's load at an engine.
+func (p *pool) ownLoad(id string) fleet.Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.room.Own()[id]
 	return fleet.Load{Requests: l.Requests, Tokens: l.Tokens}
 }
 
-// named are the engines with some short hashes.
-func (p *pool) named(list []fleet.Hash) map[string]bool {
+// idsOf returns the IDs of the engines with the given short hashes.
+func (p *pool) idsOf(list []fleet.Hash) map[string]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make(map[string]bool, len(list))
@@ -153,27 +154,27 @@
 	return out
 }
 
-// takeLoads takes over what has changed of another instance's placements.
-func (p *pool) takeLoads(now time.Duration, instance string, loads map[fleet.Hash]fleet.Load) {
+// applyLoads applies changes of another instance's loads.
+func (p *pool) applyLoads(now time.Duration, instance string, loads map[fleet.Hash]fleet.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.room.Advance(now)
 	for hash, l := range loads {
 		if id, known := p.ids[hash]; known {
 			p.room.SetPeerLoad(instance, id, room.Load{Requests: l.Requests, Tokens: l.Tokens})
-			p.heard[instance] = now
+			p.lastReport[instance] = now
 		}
 	}
 }
 
-// dropSilent forgets the placements of instances that report no more.
-func (p *pool) dropSilent() {
+// expirePeers drops the loads of instances that no longer report.
+func (p *pool) expirePeers() {
 	now := boottime.Now()
 	p.room.Advance(now)
-	for instance, at := range p.heard {
-		if now-at > peerLoadAge {
-			delete(p.heard, instance)
-			delete(p.whole, instance)
+	for instance, at := range p.lastReport {
+		if now-at > peerLoadTTL {
+			delete(p.lastReport, instance)
+			delete(p.fullReport, instance)
 			p.room.SetPeer(instance, nil)
 		}
 	}
@@ -192,7 +193,7 @@
 	p.room.Resize(id, by)
 }
 
-func (p *pool) shut(id string, open bool) {
+func (p *pool) setOpen(id string, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if open {
@@ -202,46 +203,46 @@
 	p.room.Shut(id)
 }
 
-// idlest returns the engine with the lowest load, of those that are not in except.
-func (p *pool) idlest(except map[string]bool) (upstream.Entry, bool) {
+// leastLoaded returns the engine with the lowest load that is not in except.
+func (p *pool) leastLoaded(except map[string]bool) (upstream.Entry, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dropSilent()
+	p.expirePeers()
 	id, ok := p.room.Idlest(except)
 	return p.entries[id], ok
 }
 
-// Figures of withdrawn engines.
+// Time limits of withdrawals.
 const (
-	// awayLimit is how long an engine stays withdrawn that never shows its new role: it
-	// first lets run what it has.
-	awayLimit = 25 * time.Second
-	// refusedLimit is how long an engine stays withdrawn that refused a request whose
-	// memory it had reserved. It is changing its role, as an instance ordered that has
-	// ended since, or leaving; one that only refuses now and then is missed for little.
-	refusedLimit = 2 * time.Second
+	// roleChangeWithdrawal is how long an engine remains withdrawn if its new role never appears.
+	// It finishes its running requests before it changes.
+	roleChangeWithdrawal = 25 * time.Second
+	// refusalWithdrawal is how long an engine remains withdrawn after it refused a request despite
+	// a reservation. It is either leaving or changing its role by order of an instance that has
+	// since ended; for an engine that refuses only occasionally, the loss is small.
+	refusalWithdrawal = 2 * time.Second
 )
 
-// withdraw claims a whole engine, so that no instance gives it work, until its entry
-// shows another role, a limit is over or it is restored. An engine that is about to change its role
-// still takes reservations, and refuses the requests that come with them.
+// withdraw claims a whole engine, so that no instance places requests there, until its entry shows
+// another role, the limit expires or it is restored. An engine that is about to change its role
+// still accepts reservations but refuses the requests that follow.
 func (p *pool) withdraw(id string, limit time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, already := p.away[id]; already {
+	if _, already := p.withdrawn[id]; already {
 		return
 	}
-	p.away[id] = p.room.Fill(id)
+	p.withdrawn[id] = p.room.Fill(id)
 	time.AfterFunc(limit, func() { p.restore(id) })
 }
 
-// open is how many engines are not withdrawn.
-func (p *pool) open() int {
+// availableEngines returns the number of engines that are not withdrawn.
+func (p *pool) availableEngines() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
 	for _, e := range p.room.Engines() {
-		if _, away := p.away[e.ID]; !away {
+		if _, isWithdrawn := p.withdrawn[e.ID]; !isWithdrawn {
 			n++
 		}
 	}
@@ -252,39 +253,39 @@
 func (p *pool) restore(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.bringBack(id)
+	p.restoreLocked(id)
 }
 
-func (p *pool) bringBack(id string) {
-	if tokens, withdrawn := p.away[id]; withdrawn {
+func (p *pool) restoreLocked(id string) {
+	if tokens, withdrawn := p.withdrawn[id]; withdrawn {
 		p.room.Release(id, tokens)
-		delete(p.away, id)
+		delete(p.withdrawn, id)
 	}
 }
 
-// free is the share of the pool that nobody has claimed.
-func (p *pool) free() float64 {
+// freeShare returns the unclaimed fraction of the pool.
+func (p *pool) freeShare() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.room.Free()
 }
 
-// requests is how many requests all instances have placed at an engine.
-func (p *pool) requests(id string) int {
+// engineRequests returns the number of requests placed at an engine by all instances.
+func (p *pool) engineRequests(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.room.Load(id).Requests
 }
 
-// running is how many requests all instances have placed.
-func (p *pool) running() int {
+// totalRequests returns the number of requests placed by all instances.
+func (p *pool) totalRequests() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.room.Requests()
 }
 
-// fill adds this instance's placements to a report.
-func (p *pool) fill(loads map[fleet.Hash]fleet.Load) {
+// addOwnLoads adds this instance's loads to a report.
+func (p *pool) addOwnLoads(loads map[fleet.Hash]fleet.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, l := range p.room.Own() {
@@ -292,37 +293,38 @@
 	}
 }
 
-// forgetPeers drops what others have placed, before their sum takes its place; the lock is held.
-func (p *pool) forgetPeers() {
-	for instance := range p.heard {
+// dropPeers drops the loads of all other instances before their sum replaces them. The caller must
+// hold the lock.
+func (p *pool) dropPeers() {
+	for instance := range p.lastReport {
 		p.room.SetPeer(instance, nil)
 	}
-	clear(p.heard)
-	clear(p.whole)
+	clear(p.lastReport)
+	clear(p.fullReport)
 }
 
-// fillAll adds the placements of all instances but one.
-func (p *pool) fillAll(but string, loads map[fleet.Hash]fleet.Load) {
+// addLoadsExcept adds the loads of all instances but one.
+func (p *pool) addLoadsExcept(except string, loads map[fleet.Hash]fleet.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dropSilent()
+	p.expirePeers()
 	for id := range p.entries {
-		l, less := p.room.Load(id), p.room.Peer(but, id)
-		if l.Requests > less.Requests {
-			loads[fleet.ShortHashOf(id)] = fleet.Load{Requests: l.Requests - less.Requests, Tokens: l.Tokens - less.Tokens}
+		l, excluded := p.room.Load(id), p.room.Peer(except, id)
+		if l.Requests > excluded.Requests {
+			loads[fleet.ShortHashOf(id)] = fleet.Load{Requests: l.Requests - excluded.Requests, Tokens: l.Tokens - excluded.Tokens}
 		}
 	}
 }
 
-// take takes over another instance's placements, or those of all others.
-func (p *pool) take(now time.Duration, r *fleet.Report) {
+// applyReport applies another instance's loads, or a hub's sum of all others.
+func (p *pool) applyReport(now time.Duration, r *fleet.Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.room.Advance(now)
 	from := r.Instance
 	if r.Answer {
-		from = ofAll
-		p.forgetPeers()
+		from = allPeers
+		p.dropPeers()
 	}
 	loads := make(map[string]room.Load)
 	for hash, l := range r.Loads {
@@ -330,12 +332,13 @@
 			loads[id] = room.Load{Requests: l.Requests, Tokens: l.Tokens}
 		}
 	}
-	if !r.Answer && !p.whole[from] {
-		// An instance that has just become a hub holds the sum that others told it; counted
-		// twice, all engines would look full until that sum is old.
-		p.whole[from] = true
-		p.room.Part(ofAll, loads)
+	if !r.Answer && !p.fullReport[from] {
+		// An instance that has just become a hub still has the sum reported by another hub. If the
+		// reporting instance's loads were counted both in that sum and separately, all engines
+		// would look full until the sum expires.
+		p.fullReport[from] = true
+		p.room.Part(allPeers, loads)
 	}
-	p.heard[from] = now
+	p.lastReport[from] = now
 	p.room.SetPeer(from, loads)
 }
--- a/gateway/quota.go
+++ b/gateway/quota.go
@@ -14,106 +14,109 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// Figures of quotas.
+// Limits and timings of quotas.
 const (
-	// smallShare is the part of the burst up to which a request is charged without asking: it
-	// is small beside what a bucket may fall below nothing by, and its caller waits for
-	// milliseconds only.
-	smallShare = 0.02
-	// shortTime is how long such requests ask as well once their organisation's bucket is
-	// known to be empty.
-	shortTime = time.Second
-	// unansweredRetry is when a caller is told to come back where no home answers: by then
-	// another one has been chosen.
-	unansweredRetry = 300 * time.Millisecond
-	// billsTold is how many reports tell of a bill after its last change.
-	billsTold = 4
-	// answersKept is how long the answer to an ask is kept for repetitions, which come
-	// within the tries of one ask.
-	answersKept = 2 * time.Second
-	// runsKept is how many runs are remembered for each instance of the fleet. A run that is
-	// silent for long may only be cut off.
-	runsKept = 4
-	// boundShare is the part of the bound on a quota that bursts and what instances hold may
-	// use up. The rest is for requests that were granted tokens and are sent later.
-	boundShare = 0.7
+	// uncheckedBurstRatio is the fraction of the burst up to which a request is charged without
+	// asking the home. Such a request is small compared with a bucket's allowed overdraft, and its
+	// caller waits only milliseconds.
+	uncheckedBurstRatio = 0.02
+	// emptyBucketTTL is how long such requests also ask the home after their organisation's bucket
+	// was reported empty.
+	emptyBucketTTL = time.Second
+	// unansweredQuotaRetry is the Retry-After if the home does not answer. By then another one has
+	// been chosen.
+	unansweredQuotaRetry = 300 * time.Millisecond
+	// billReports is the number of reports that include a bill after its last change.
+	billReports = 4
+	// grantRetention is how long a grant is kept for duplicates, which arrive within the retries of
+	// one ask.
+	grantRetention = 2 * time.Second
+	// runsPerInstance is the number of runs remembered per instance before ended ones are dropped.
+	// A run that has been silent for long may merely be cut off.
+	runsPerInstance = 4
+	// toleranceRatio is the fraction of the quota's tolerance available to bursts and to tokens
+	// held by instances. The rest is for requests that are sent some time after their tokens were
+	// granted.
+	toleranceRatio = 0.7
 )
 
-// QuotaBound is what the fleet may pass a quota by, in total over a window.
+// QuotaBound is the amount by which the fleet may exceed a quota within a window.
 type QuotaBound struct {
 	Window time.Duration
-	// Over is a share of what the quota allows in the window, Slack is in tokens.
+	// Over is a fraction of the quota's tokens in the window; Slack is a number of tokens.
 	Over, Slack float64
 }
 
-// widen returns a limit with the burst that the bound leaves room for, besides what instances
-// hold and hand on late. The bound is on what upstreams see in a window; a bucket of the bare
-// burst refuses requests that the window has room for.
+// widen returns the limit with its burst raised to what the bound allows, less the tokens that
+// instances hold and forward late. The bound applies to what upstreams receive within a window; a
+// bucket with only the configured burst would refuse requests that fit the window.
 func (b QuotaBound) widen(limit escrow.Limit) escrow.Limit {
 	tolerance := (limit.Rate*b.Window.Seconds()+limit.Burst)*b.Over + b.Slack
-	limit.Burst += max(boundShare*tolerance-escrow.Hold.Seconds()*limit.Rate, 0)
+	limit.Burst += max(toleranceRatio*tolerance-escrow.Hold.Seconds()*limit.Rate, 0)
 	return limit
 }
 
-// QuotaNetwork is how instances reach one another for quotas.
+// QuotaNetwork connects instances for quota enforcement. The home of a quota is the hub that holds
+// its bucket.
 type QuotaNetwork interface {
-	// Hubs are the instances that hold buckets, this one included if it does.
+	// Hubs returns the instances that hold buckets, including this one if it is a hub.
 	Hubs() []fleet.Hub
-	// Size is the size of the fleet. While it is not known, nobody's home is.
+	// Size returns the size of the fleet. While it is unknown, the homes are unknown too.
 	Size() fleet.Size
 	Ask(ctx context.Context, hub string, a fleet.Ask) (fleet.Grant, error)
-	// Suspect makes another take the place of a hub that does not answer.
+	// Suspect reports a hub that does not answer, so that another replaces it.
 	Suspect(hub string)
 }
 
-// Quotas keeps the organisations' quotas with the other instances. It is safe for
+// Quotas enforces the organisations' quotas together with the other instances. It is safe for
 // concurrent use.
 type Quotas struct {
 	now   boottime.Clock
 	bound QuotaBound
 	self  fleet.Hub
 
-	mu      sync.Mutex
-	network QuotaNetwork
-	giver   *escrow.Giver
-	home    *escrow.Home
-	// homes is which of the hubs is the home of each shard.
+	mu          sync.Mutex
+	network     QuotaNetwork
+	distributor *escrow.Giver
+	home        *escrow.Home
+	// homes maps each shard to its home among the hubs.
 	homes  [escrow.Shards]fleet.Hub
 	hubs   []fleet.Hub
 	limits map[fleet.Hash]escrow.Limit
-	// bills are what this instance has spent at others' buckets without asking.
+	// bills holds the tokens this instance has charged to the homes' buckets without asking.
 	bills map[fleet.Run]map[fleet.Hash]*bill
-	// short are organisations with empty buckets, and until when that is believed.
-	short map[fleet.Hash]time.Duration
-	// answers are those given lately, by the ids of the asks.
-	answers map[uint64]givenGrant
+	// emptyUntil holds the organisations with empty buckets and until when the buckets are assumed
+	// to be empty.
+	emptyUntil map[fleet.Hash]time.Duration
+	// recentGrants holds recent answers by the ID of the ask.
+	recentGrants map[uint64]recentGrant
 }
 
 type bill struct {
 	tokens int64
-	// told is how many reports have told the total.
-	told int
+	// reports is the number of reports that have included the current total.
+	reports int
 }
 
-type givenGrant struct {
+type recentGrant struct {
 	grant fleet.Grant
 	at    time.Duration
 }
 
-// NewQuotas returns quotas without organisations. Nothing may be spent at first, since it is
-// not known what was spent before.
+// NewQuotas returns quotas without organisations. Nothing may be spent at first, because it is
+// unknown what was spent before.
 func NewQuotas(now boottime.Clock, self fleet.Member, bound QuotaBound) *Quotas {
 	return &Quotas{
 		now: now, bound: bound, self: fleet.Hub{Name: self.Name, Run: fleet.RunOf(self.Name, self.Incarnation)},
-		giver: escrow.NewGiver(now()), home: escrow.NewHome(now()), limits: make(map[fleet.Hash]escrow.Limit),
-		bills: make(map[fleet.Run]map[fleet.Hash]*bill), short: make(map[fleet.Hash]time.Duration), answers: make(map[uint64]givenGrant),
+		distributor: escrow.NewGiver(now()), home: escrow.NewHome(now()), limits: make(map[fleet.Hash]escrow.Limit),
+		bills: make(map[fleet.Run]map[fleet.Hash]*bill), emptyUntil: make(map[fleet.Hash]time.Duration), recentGrants: make(map[uint64]recentGrant),
 	}
 }
 
-// Connect sets the way to the other instances. It must be called before anything else.
+// Connect sets the connection to the other instances. It must be called before any other method.
 func (q *Quotas) Connect(n QuotaNetwork) { q.network = n }
 
-// SetLimits takes the organisations' limits from a configuration.
+// SetLimits sets the organisations' limits from a configuration.
 func (q *Quotas) SetLimits(index *object.Index) {
 	limits := make(map[fleet.Hash]escrow.Limit)
 	byHash := make(map[uint64]escrow.Limit)
@@ -132,17 +135,17 @@
 	q.home.SetLimits(byHash)
 }
 
-// QuotaDecision is the answer to a request for tokens.
+// QuotaDecision is the result of Take.
 type QuotaDecision struct {
 	Admitted bool
-	// Unanswered tells that no home answered, so that nothing is known of the quota.
+	// Unanswered is set if no home answered, so that the state of the quota is unknown.
 	Unanswered bool
-	// Retry is when there will be enough.
+	// Retry is the time until there are enough tokens.
 	Retry time.Duration
 	// Waited is the time spent waiting for tokens.
 	Waited time.Duration
-	// Home was asked last, and is empty where none is known yet. Level is what it had left, Part
-	// the part of the rate that it gets.
+	// Home is the home that was asked last, empty if none is known yet. Level is the number of
+	// tokens left in its bucket; Part is the fraction of the rate that the bucket receives.
 	Home        string
 	Level, Part float64
 }
@@ -154,31 +157,31 @@
 	if d.Unanswered {
 		return fmt.Sprintf("the quota's home %s does not answer", d.Home)
 	}
-	return fmt.Sprintf("%.0f left at %s, which %.2f of the rate flows into", d.Level, d.Home, d.Part)
+	return fmt.Sprintf("%.0f tokens left at %s, which receives %.2f of the rate", d.Level, d.Home, d.Part)
 }
 
-// Take takes tokens of an organisation's quota, all or none. It waits for them up to a time.
-func (q *Quotas) Take(ctx context.Context, organisation string, tokens int64, patience time.Duration) QuotaDecision {
+// Take takes tokens from an organisation's quota, all or none, waiting for them up to maxWait.
+func (q *Quotas) Take(ctx context.Context, organisation string, tokens int64, maxWait time.Duration) QuotaDecision {
 	org := fleet.HashOf(organisation)
-	if home, ok := q.charge(org, tokens); ok {
+	if home, ok := q.chargeUnchecked(org, tokens); ok {
 		return QuotaDecision{Admitted: true, Home: home.Name}
 	}
-	begun := q.now()
+	started := q.now()
 	for {
-		d := q.ask(ctx, org, tokens)
-		d.Waited = q.now() - begun
-		if d.Admitted || ctx.Err() != nil || d.Waited+d.Retry > patience {
+		d := q.askHome(ctx, org, tokens)
+		d.Waited = q.now() - started
+		if d.Admitted || ctx.Err() != nil || d.Waited+d.Retry > maxWait {
 			return d
 		}
-		// A home that does not answer was waited for by the ask.
-		if (!d.Unanswered || d.Home == "") && !pause(ctx, d.Retry) {
+		// If the home did not answer, askHome has already waited.
+		if (!d.Unanswered || d.Home == "") && !sleep(ctx, d.Retry) {
 			return d
 		}
 	}
 }
 
-// pause waits and reports whether the context still holds.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and reports whether ctx is still active.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(max(d, time.Millisecond))
 	defer timer.Stop()
 	select {
@@ -189,8 +192,8 @@
 	}
 }
 
-// charge charges a small request to its organisation's home without asking.
-func (q *Quotas) charge(org fleet.Hash, tokens int64) (fleet.Hub, bool) {
+// chargeUnchecked charges a small request to its organisation's home without asking.
+func (q *Quotas) chargeUnchecked(org fleet.Hash, tokens int64) (fleet.Hub, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	limit, known := q.limits[org]
@@ -200,18 +203,18 @@
 	if limit.Rate <= 0 {
 		return q.self, true
 	}
-	if float64(tokens) > smallShare*limit.Burst || q.now() < q.short[org] {
+	if float64(tokens) > uncheckedBurstRatio*limit.Burst || q.now() < q.emptyUntil[org] {
 		return fleet.Hub{}, false
 	}
 	home, known := q.homeOf(org)
 	if known {
-		q.bill(home, org, tokens)
+		q.addToBill(home, org, tokens)
 	}
 	return home, known
 }
 
-// bill charges tokens to a bucket; the lock is held.
-func (q *Quotas) bill(home fleet.Hub, org fleet.Hash, tokens int64) {
+// addToBill charges tokens to a bucket. The caller must hold the lock.
+func (q *Quotas) addToBill(home fleet.Hub, org fleet.Hash, tokens int64) {
 	at, known := q.bills[home.Run]
 	if !known {
 		at = make(map[fleet.Hash]*bill)
@@ -223,13 +226,13 @@
 		at[org] = b
 	}
 	b.tokens += tokens
-	b.told = 0
+	b.reports = 0
 	if home == q.self {
 		q.home.Charge(escrow.Run(q.self.Run), uint64(org), b.tokens)
 	}
 }
 
-// Refund gives back tokens of a request that did not run.
+// Refund returns the tokens of a request that did not run.
 func (q *Quotas) Refund(organisation string, tokens int64) {
 	org := fleet.HashOf(organisation)
 	q.mu.Lock()
@@ -238,20 +241,20 @@
 		return
 	}
 	if home, known := q.homeOf(org); known {
-		q.bill(home, org, -tokens)
+		q.addToBill(home, org, -tokens)
 	}
 }
 
-// ask asks the organisation's home for tokens.
-func (q *Quotas) ask(ctx context.Context, org fleet.Hash, tokens int64) QuotaDecision {
+// askHome asks the organisation's home for tokens.
+func (q *Quotas) askHome(ctx context.Context, org fleet.Hash, tokens int64) QuotaDecision {
 	q.mu.Lock()
 	home, known := q.homeOf(org)
 	if !known {
 		q.mu.Unlock()
-		return QuotaDecision{Unanswered: true, Retry: unansweredRetry}
+		return QuotaDecision{Unanswered: true, Retry: unansweredQuotaRetry}
 	}
 	if home == q.self {
-		d := q.take(q.now(), org, tokens)
+		d := q.takeLocal(q.now(), org, tokens)
 		q.mu.Unlock()
 		return QuotaDecision{Admitted: d.Granted, Retry: d.Retry, Home: home.Name, Level: d.Level, Part: d.Part}
 	}
@@ -261,26 +264,26 @@
 		if ctx.Err() == nil {
 			q.network.Suspect(home.Name)
 		}
-		return QuotaDecision{Unanswered: true, Retry: unansweredRetry, Home: home.Name}
+		return QuotaDecision{Unanswered: true, Retry: unansweredQuotaRetry, Home: home.Name}
 	}
 	return QuotaDecision{Admitted: g.Granted, Retry: g.Retry, Home: home.Name, Level: g.Level, Part: g.Part}
 }
 
-// take takes tokens out of a bucket here; the lock is held.
-func (q *Quotas) take(now time.Duration, org fleet.Hash, tokens int64) escrow.Decision {
-	q.giveOwn(now)
+// takeLocal takes tokens from a bucket of this instance. The caller must hold the lock.
+func (q *Quotas) takeLocal(now time.Duration, org fleet.Hash, tokens int64) escrow.Decision {
+	q.distributeOwn(now)
 	return q.home.Take(now, uint64(org), tokens)
 }
 
-// homeOf is the home of an organisation, if it is known; the lock is held.
+// homeOf returns the home of an organisation, if known. The caller must hold the lock.
 func (q *Quotas) homeOf(org fleet.Hash) (fleet.Hub, bool) {
-	known := q.chooseHomes()
+	known := q.updateHomes()
 	return q.homes[escrow.ShardOf(uint64(org))], known
 }
 
-// chooseHomes chooses the homes anew where the hubs have changed, and reports whether they are
-// known; the lock is held.
-func (q *Quotas) chooseHomes() bool {
+// updateHomes reassigns the homes if the hubs have changed, and reports whether the homes are
+// known. The caller must hold the lock.
+func (q *Quotas) updateHomes() bool {
 	if _, known := q.network.Size().Instances(); !known {
 		return false
 	}
@@ -306,30 +309,31 @@
 	return true
 }
 
-// handOver gives what is left in a shard's buckets to the home that has taken this one's place;
-// the lock is held.
+// handOver transfers the remaining tokens of a shard's buckets to the home that replaces this
+// instance. The caller must hold the lock.
 func (q *Quotas) handOver(shard int, to fleet.Hub) {
 	for org, tokens := range q.home.HandOver(shard) {
-		q.bill(to, fleet.Hash(org), -tokens)
+		q.addToBill(to, fleet.Hash(org), -tokens)
 	}
 }
 
-// giveOwn lets this instance's part of the rates flow into its own buckets; the lock is held.
-func (q *Quotas) giveOwn(now time.Duration) {
+// distributeOwn adds this instance's part of the rates to its own buckets. The caller must hold the
+// lock.
+func (q *Quotas) distributeOwn(now time.Duration) {
 	n, known := q.network.Size().Instances()
 	if !known {
-		q.giver.Pass(now)
+		q.distributor.Pass(now)
 		return
 	}
-	q.giver.Accrue(now, n)
+	q.distributor.Accrue(now, n)
 	if shards := q.shardsOf(q.self.Run); len(shards) > 0 {
-		q.home.Receive(now, escrow.Run(q.self.Run), q.giver.Give(escrow.Run(q.self.Run), shards))
+		q.home.Receive(now, escrow.Run(q.self.Run), q.distributor.Give(escrow.Run(q.self.Run), shards))
 	}
 }
 
-// shardsOf are the shards that a run is the home of; the lock is held.
+// shardsOf returns the shards whose home is run. The caller must hold the lock.
 func (q *Quotas) shardsOf(run fleet.Run) []int {
-	if !q.chooseHomes() {
+	if !q.updateHomes() {
 		return nil
 	}
 	var out []int
@@ -341,23 +345,23 @@
 	return out
 }
 
-// FillReportFor adds to a report what its receiver is handed on, and what it is charged.
+// FillReportFor adds the receiver's shares of the rates and its bills to a report.
 func (q *Quotas) FillReportFor(now time.Duration, to fleet.Run, r *fleet.Report) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.giveOwn(now)
+	q.distributeOwn(now)
 	if shards := q.shardsOf(to); len(shards) > 0 {
-		r.Shares = q.giver.Give(escrow.Run(to), shards)
+		r.Shares = q.distributor.Give(escrow.Run(to), shards)
 	}
 	for org, b := range q.bills[to] {
-		if b.told < billsTold {
-			b.told++
+		if b.reports < billReports {
+			b.reports++
 			r.Bills = append(r.Bills, fleet.Bill{Organisation: org, Tokens: b.tokens})
 		}
 	}
 }
 
-// FillPollAnswer adds to an answer which buckets here are empty.
+// FillPollAnswer adds the organisations whose buckets are empty at this instance.
 func (q *Quotas) FillPollAnswer(r *fleet.Report) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -366,7 +370,7 @@
 	}
 }
 
-// ApplyReport takes in what another instance hands on, charges and lacks.
+// ApplyReport applies another instance's shares, bills and list of empty buckets.
 func (q *Quotas) ApplyReport(now time.Duration, r *fleet.Report) {
 	from := escrow.Run(fleet.RunOf(r.Instance, r.Incarnation))
 	q.mu.Lock()
@@ -376,7 +380,7 @@
 		q.home.Charge(from, uint64(b.Organisation), b.Tokens)
 	}
 	for _, org := range r.Short {
-		q.short[org] = now + shortTime
+		q.emptyUntil[org] = now + emptyBucketTTL
 	}
 }
 
@@ -384,38 +388,38 @@
 func (q *Quotas) HandleAsk(now time.Duration, a fleet.Ask) fleet.Grant {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if kept, answered := q.answers[a.ID]; answered {
+	if kept, answered := q.recentGrants[a.ID]; answered {
 		return kept.grant
 	}
-	d := q.take(now, a.Organisation, a.Tokens)
+	d := q.takeLocal(now, a.Organisation, a.Tokens)
 	g := fleet.Grant{ID: a.ID, Granted: d.Granted, Unknown: d.Unknown, Retry: d.Retry, Level: d.Level, Part: d.Part}
-	q.answers[a.ID] = givenGrant{g, now}
+	q.recentGrants[a.ID] = recentGrant{g, now}
 	return g
 }
 
-// Sweep drops what is no longer needed. known tells whether a run is one of the fleet's.
+// Sweep drops expired state. known reports whether a run belongs to the fleet.
 func (q *Quotas) Sweep(known func(fleet.Run) bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.now()
-	for id, kept := range q.answers {
-		if now-kept.at > answersKept {
-			delete(q.answers, id)
+	for id, kept := range q.recentGrants {
+		if now-kept.at > grantRetention {
+			delete(q.recentGrants, id)
 		}
 	}
-	for org, until := range q.short {
+	for org, until := range q.emptyUntil {
 		if now > until {
-			delete(q.short, org)
+			delete(q.emptyUntil, org)
 		}
 	}
 	ended := func(run escrow.Run) bool { return !known(fleet.Run(run)) && fleet.Run(run) != q.self.Run }
-	q.giver.Forget(ended)
+	q.distributor.Forget(ended)
 	for run := range q.bills {
 		if ended(escrow.Run(run)) {
 			delete(q.bills, run)
 		}
 	}
-	if n, known := q.network.Size().Instances(); known && q.home.Runs() > runsKept*n {
+	if n, known := q.network.Size().Instances(); known && q.home.Runs() > runsPerInstance*n {
 		q.home.Forget(ended)
 	}
 }
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -14,7 +14,7 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// quotaFleet is a fleet whose instances reach one another at once, and all are hubs.
+// quotaFleet is a fleet whose instances are all hubs and reach each other without delay.
 type quotaFleet struct {
 	now     time.Duration
 	asks    uint64
@@ -25,14 +25,15 @@
 	*Quotas
 	fleet *quotaFleet
 	hub   fleet.Hub
-	// mute leaves asks unanswered, suspects are those that others have noticed.
-	mute     bool
-	suspects map[string]bool
+	// unresponsive makes the instance ignore asks; suspects holds the instances it has found
+	// unresponsive.
+	unresponsive bool
+	suspects     map[string]bool
 }
 
 func newQuotaFleet(n int) *quotaFleet {
 	f := &quotaFleet{now: time.Second}
-	index := object.NewIndex(set(), 1)
+	index := object.NewIndex(testObjects(), 1)
 	for i := range n {
 		self := fleet.Member{Name: fmt.Sprint("i", i), Incarnation: 1}
 		m := &quotaMember{fleet: f, hub: fleet.Hub{Name: self.Name, Run: fleet.RunOf(self.Name, 1)}, suspects: make(map[string]bool)}
@@ -45,7 +46,7 @@
 	return f
 }
 
-// run lets time pass, in which all report to all.
+// run advances the time while all instances report to each other.
 func (f *quotaFleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += 100 * time.Millisecond {
 		for _, from := range f.members {
@@ -79,7 +80,7 @@
 
 func (m *quotaMember) Ask(_ context.Context, to string, a fleet.Ask) (fleet.Grant, error) {
 	for _, other := range m.fleet.members {
-		if other.hub.Name == to && !other.mute {
+		if other.hub.Name == to && !other.unresponsive {
 			m.fleet.asks++
 			a.ID = m.fleet.asks
 			return other.HandleAsk(m.fleet.now, a), nil
@@ -88,7 +89,7 @@
 	return fleet.Grant{}, errors.New("no answer")
 }
 
-// homeOf is the member that is an organisation's home.
+// homeOf returns the member that is an organisation's home.
 func (f *quotaFleet) homeOf(organisation string) *quotaMember {
 	home, _ := f.members[0].homeOf(fleet.HashOf(organisation))
 	for _, m := range f.members {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// other is a member that is not an organisation's home.
+// other returns a member that is not an organisation's home.
 func (f *quotaFleet) other(organisation string) *quotaMember {
 	for _, m := range f.members {
 		if m != f.homeOf(organisation) {
@@ -109,8 +110,8 @@
 	return nil
 }
 
-// Guards against an organisation that is refused at one instance what the fleet has left.
-func TestAnyInstanceMaySpendWhatTheFleetHasLeft(t *testing.T) {
+// Guards against refusing an organisation at one instance although the fleet has tokens left.
+func TestAnyInstanceMaySpendRemainingQuota(t *testing.T) {
 	f := newQuotaFleet(9)
 	for _, m := range f.members {
 		assert.Assert(t, m.Take(t.Context(), "wide", 100_000, 0).Admitted)
@@ -122,24 +123,25 @@
 	assert.Equal(t, d.Home, f.homeOf("wide").hub.Name)
 }
 
-// Guards against small requests that cost a way to the home each, or are not counted there.
+// Guards against small requests that each need a round trip to the home, or that are not charged
+// there.
 func TestSmallRequestsAreChargedAfterwards(t *testing.T) {
 	f := newQuotaFleet(4)
 	m, home := f.other("wide"), f.homeOf("wide")
-	home.mute = true
+	home.unresponsive = true
 	for range 200 {
 		assert.Assert(t, m.Take(t.Context(), "wide", 10_000, 0).Admitted)
 	}
-	assert.Assert(t, len(m.suspects) == 0, "nobody was asked")
-	home.mute = false
+	assert.Assert(t, len(m.suspects) == 0, "no home was asked")
+	home.unresponsive = false
 	f.run(200 * time.Millisecond)
 	d := m.Take(t.Context(), "wide", 10_000, 0)
-	assert.Assert(t, !d.Admitted, "the bucket is empty, and that is known")
+	assert.Assert(t, !d.Admitted, "the bucket is reported empty")
 	f.run(2500 * time.Millisecond)
 	assert.Assert(t, m.Take(t.Context(), "wide", 10_000, 0).Admitted)
 }
 
-// Guards against an organisation that loses the tokens of requests that did not run.
+// Guards against an organisation losing the tokens of requests that did not run.
 func TestRefundReachesTheHome(t *testing.T) {
 	f := newQuotaFleet(4)
 	m := f.other("narrow")
@@ -151,11 +153,11 @@
 	assert.Assert(t, m.Take(t.Context(), "narrow", 9, 0).Admitted)
 }
 
-// Guards against a dead home whose organisation is refused until its death is known.
-func TestSilentHomeIsPassedOver(t *testing.T) {
+// Guards against refusing an organisation until its home is known to be dead.
+func TestUnresponsiveQuotaHomeIsSkipped(t *testing.T) {
 	f := newQuotaFleet(9)
 	home, m := f.homeOf("wide"), f.other("wide")
-	home.mute = true
+	home.unresponsive = true
 	d := m.Take(t.Context(), "wide", 50_000, 0)
 	assert.Assert(t, d.Unanswered && !d.Admitted, "%+v", d)
 	assert.Assert(t, m.suspects[home.hub.Name])
@@ -167,19 +169,20 @@
 	assert.Assert(t, d.Admitted && d.Home != home.hub.Name, "%+v", d)
 }
 
-// Guards against an ask that is repeated since its answer was lost, and takes tokens twice.
+// Guards against charging an ask twice that is repeated because its answer was lost.
 func TestRepeatedAskTakesTokensOnce(t *testing.T) {
 	f := newQuotaFleet(2)
 	q, ask := f.homeOf("wide"), fleet.Ask{ID: 7, Organisation: fleet.HashOf("wide"), Tokens: 600_000}
 	first := q.HandleAsk(f.now, ask)
 	assert.Assert(t, first.Granted)
 	assert.Equal(t, q.HandleAsk(f.now, ask), first)
-	f.now += 3 * answersKept
+	f.now += 3 * grantRetention
 	q.Sweep(func(fleet.Run) bool { return false })
-	assert.Equal(t, len(q.answers), 0)
+	assert.Equal(t, len(q.recentGrants), 0)
 }
 
-// Guards against bursts that, with what instances hold, pass the bound on a window.
+// Guards against bursts that, together with the tokens held by instances, exceed the bound within a
+// window.
 func TestWidenedBurstStaysWithinTheBound(t *testing.T) {
 	for _, rate := range []float64{1_000, 12_000, 45_000, 330_000, 5_000_000} {
 		b := QuotaBound{Window: 8 * time.Second, Over: 0.1, Slack: 73_000}
--- a/gateway/roles.go
+++ b/gateway/roles.go
@@ -15,160 +15,161 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Figures of changes of role.
+// Limits and timings of role changes.
 const (
-	// roleInterval is how often the division of engines is looked at.
-	roleInterval = time.Second
-	// roleConfirm is how often in a row the same change must be wanted.
-	roleConfirm = 2
-	// roleSettle is how long after a change nothing is changed, beyond the time that
-	// the engine is away: what the pools are given settles meanwhile.
-	roleSettle = 2 * time.Second
-	// roleUnknown is how long nothing is changed after an order without an answer,
-	// which may be carried out seconds late.
-	roleUnknown = 20 * time.Second
-	// roleCall bounds each call that belongs to a change.
-	roleCall = time.Second
-	// orderTries is how many engines are asked for each that is to change: some have crashed
-	// or are leaving.
-	orderTries = 2
-	// holdShare is the part of the lease in which a holder gives orders. The rest covers
-	// an order on its way.
-	holdShare = 0.5
-	// takeover is how many leases another holder must not have been seen renewing before
-	// its place is taken.
-	takeover = 3
+	// roleCheckInterval is how often the split between prefill and decode engines is checked.
+	roleCheckInterval = time.Second
+	// roleConfirmations is the number of consecutive checks that must call for a change.
+	roleConfirmations = 2
+	// roleSettleTime is how long no further change is made after a change, in addition to the time
+	// that the engine is unavailable, so that the pools' loads can settle.
+	roleSettleTime = 2 * time.Second
+	// unansweredOrderPause is how long no change is made after an order without an answer, which
+	// may be executed seconds later.
+	unansweredOrderPause = 20 * time.Second
+	// roleCallTimeout limits each call of a change.
+	roleCallTimeout = time.Second
+	// orderCandidates is the number of engines asked per engine to change: some may have crashed or
+	// be leaving.
+	orderCandidates = 2
+	// leaseUseRatio is the fraction of the lease during which the holder gives orders. The rest is
+	// for orders in transit.
+	leaseUseRatio = 0.5
+	// takeoverLeases is the number of leases for which another holder must not have been seen
+	// renewing before it is replaced.
+	takeoverLeases = 3
 )
 
-// EngineState is what an engine says of itself when it is asked.
+// EngineState is the state reported by an engine.
 type EngineState struct {
 	Role upstream.Role
-	// Busy tells that an order is being carried out.
+	// Busy is set while an order is being executed.
 	Busy bool
 	// Orders is the number of orders that the engine has accepted.
 	Orders int64
 }
 
-// Order changes an engine's role.
+// Order is an order to an engine to change its role.
 type Order struct {
 	Role upstream.Role
-	// Holder names who gives orders; Token grows with each new holder, and engines that
-	// check refuse lower ones.
+	// Holder is the name of the lease holder. Token is a fencing token that grows with each new
+	// holder; engines that check it refuse lower ones.
 	Holder string
 	Token  uint64
-	// Expect is the number of accepted orders that the order was decided on. An order
-	// that is carried out late, after others, is void.
+	// Expect is the number of accepted orders on which this order is based. The engine must ignore
+	// an order that arrives late, after others.
 	Expect int64
 }
 
-// EngineController are the calls that change engines.
+// EngineController is the set of calls that change engines' roles.
 type EngineController interface {
 	State(ctx context.Context, e upstream.Entry) (EngineState, error)
 	Order(ctx context.Context, e upstream.Entry, o Order) error
 }
 
-// RoleOptions say who gives orders.
+// RoleOptions configures RunRoles.
 type RoleOptions struct {
 	Engines EngineController
 	Log     port.KeyedLog
-	// Holder names this instance. Its earlier runs have ended and hold in its name.
+	// Holder is the name of this instance. Leases of its earlier runs, which have ended, count as
+	// its own.
 	Holder string
-	// IsLeader reports whether this instance is the one that should act for a service: of
-	// those that hear one another only one should try.
+	// IsLeader reports whether this instance should act for a service: among instances that can
+	// reach each other, only one should try.
 	IsLeader func(service string) bool
-	// Lease is the time within which two holders must not take turns.
+	// Lease is the lease duration, within which the holder must not change.
 	Lease time.Duration
-	// MayLead reports whether this instance may come to lead; nil means always.
+	// MayLead reports whether this instance may become the leader; nil means always.
 	MayLead func() bool
 }
 
-// roleRecord is what stands in the store of a service's holder.
+// roleRecord is the stored record of a service's lease holder.
 type roleRecord struct {
 	Holder string `json:"holder"`
 }
 
-// roleKeeper changes engines' roles where that serves more requests. Any instance may
-// do it for a service; who does is settled by a conditional write.
-type roleKeeper struct {
+// roleController changes engines' roles if that lets the service handle more requests. Any instance
+// may do this for a service; a conditional write decides which one does.
+type roleController struct {
 	RoleOptions
 	gateway *Gateway
-	// wanted counts how often in a row a change was wanted, by service.
-	wanted map[string]int
-	quiet  map[string]time.Duration
-	seen   map[string]sighting
+	// confirmations counts the consecutive checks that called for a change, by service.
+	confirmations map[string]int
+	pausedUntil   map[string]time.Duration
+	observed      map[string]holderObservation
 }
 
-// sighting is when this instance first saw a record.
-type sighting struct {
-	offset uint64
-	at     time.Duration
+// holderObservation is when this instance first saw a record.
+type holderObservation struct {
+	offset    uint64
+	firstSeen time.Duration
 }
 
-// RunRoles watches the division of engines until ctx ends.
+// RunRoles checks the split of engines periodically until ctx ends.
 func (g *Gateway) RunRoles(ctx context.Context, o RoleOptions) error {
-	k := &roleKeeper{RoleOptions: o, gateway: g, wanted: make(map[string]int), quiet: make(map[string]time.Duration), seen: make(map[string]sighting)}
-	ticker := time.NewTicker(roleInterval)
+	c := &roleController{RoleOptions: o, gateway: g, confirmations: make(map[string]int), pausedUntil: make(map[string]time.Duration), observed: make(map[string]holderObservation)}
+	ticker := time.NewTicker(roleCheckInterval)
 	defer ticker.Stop()
-	watched := false
+	observed := false
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if !watched && (k.MayLead == nil || k.MayLead()) {
-			k.watch(ctx)
-			watched = true
+		if !observed && (c.MayLead == nil || c.MayLead()) {
+			c.observeHolders(ctx)
+			observed = true
 		}
-		for _, d := range g.desks.all() {
-			k.look(ctx, d)
+		for _, d := range g.dispatchers.all() {
+			c.reconcile(ctx, d)
 		}
 	}
 }
 
-// watch notes who gives orders now. A holder that is gone can be replaced the sooner the
-// earlier its last renewal was seen.
-func (k *roleKeeper) watch(ctx context.Context) {
-	call, cancel := context.WithTimeout(ctx, roleCall)
+// observeHolders records the current lease holders. The earlier a holder's last renewal is
+// observed, the sooner it can be replaced after it is gone.
+func (c *roleController) observeHolders(ctx context.Context) {
+	call, cancel := context.WithTimeout(ctx, roleCallTimeout)
 	defer cancel()
-	records, _, err := k.Log.Newest(call, port.TopicRoles)
+	records, _, err := c.Log.Newest(call, port.TopicRoles)
 	if err != nil {
-		k.gateway.log.Info("holders of orders not read", zap.Error(err))
+		c.gateway.log.Info("holders of orders not read", zap.Error(err))
 		return
 	}
 	for _, record := range records {
-		k.free(record)
+		c.canTakeOver(record)
 	}
 }
 
-// look changes one engine of a service if that has been wanted for long enough.
-func (k *roleKeeper) look(ctx context.Context, d *desk) {
-	if boottime.Now() < k.quiet[d.service] || k.gateway.draining.Load() {
+// reconcile changes engines of a service if enough consecutive checks have called for it.
+func (c *roleController) reconcile(ctx context.Context, d *dispatcher) {
+	if boottime.Now() < c.pausedUntil[d.service] || c.gateway.draining.Load() {
 		return
 	}
-	to, count := k.change(d)
-	if count == 0 || !k.IsLeader(d.service) {
-		k.wanted[d.service] = 0
+	to, count := c.desiredChange(d)
+	if count == 0 || !c.IsLeader(d.service) {
+		c.confirmations[d.service] = 0
 		return
 	}
-	if k.wanted[d.service]++; k.wanted[d.service] < roleConfirm {
+	if c.confirmations[d.service]++; c.confirmations[d.service] < roleConfirmations {
 		return
 	}
-	k.wanted[d.service] = 0
-	work := d.workView()
-	k.gateway.log.Info("role change wanted", zap.String("service", d.service), zap.Stringer("to", to), zap.Int("engines", count),
+	c.confirmations[d.service] = 0
+	work := d.workload()
+	c.gateway.log.Info("role change wanted", zap.String("service", d.service), zap.Stringer("to", to), zap.Int("engines", count),
 		zap.Float64("samples", work.Samples), zap.Float64("prompt_tokens", work.Prompt), zap.Float64("prefill_tokens_per_s", work.Speed),
 		zap.Float64("decode_engine_s", work.Decode))
-	if err := k.carryOut(ctx, d, to, count); err != nil {
-		k.quiet[d.service] = boottime.Now() + takeover*k.Lease
-		k.gateway.log.Info("role not changed", zap.String("service", d.service), zap.Stringer("to", to), zap.Error(err))
+	if err := c.applyChange(ctx, d, to, count); err != nil {
+		c.pausedUntil[d.service] = boottime.Now() + takeoverLeases*c.Lease
+		c.gateway.log.Info("role not changed", zap.String("service", d.service), zap.Stringer("to", to), zap.Error(err))
 	}
 }
 
-// change tells how many engines should change, and to which role.
-func (k *roleKeeper) change(d *desk) (to upstream.Role, count int) {
+// desiredChange returns how many engines should change, and to which role.
+func (c *roleController) desiredChange(d *dispatcher) (to upstream.Role, count int) {
 	prefill, decode := 0, 0
-	for _, e := range k.gateway.state.Directory.Service(d.service) {
+	for _, e := range c.gateway.state.Directory.Service(d.service) {
 		switch {
 		case e.Leaving:
 		case e.Role == upstream.Prefill:
@@ -177,7 +178,7 @@
 			decode++
 		}
 	}
-	want, ok := d.wantedPrefill(prefill+decode, prefill)
+	want, ok := d.desiredPrefill(prefill+decode, prefill)
 	switch {
 	case !ok:
 		return 0, 0
@@ -188,46 +189,46 @@
 	}
 }
 
-// carryOut becomes the holder and gives the orders.
-func (k *roleKeeper) carryOut(ctx context.Context, d *desk, to upstream.Role, count int) error {
-	token, until, err := k.become(ctx, d.service)
+// applyChange acquires the lease and gives the orders.
+func (c *roleController) applyChange(ctx context.Context, d *dispatcher, to upstream.Role, count int) error {
+	token, until, err := c.acquireLease(ctx, d.service)
 	if err != nil {
 		return err
 	}
-	k.quiet[d.service] = boottime.Now() + time.Duration(d.shape().RoleChangeMS)*time.Millisecond + roleSettle
+	c.pausedUntil[d.service] = boottime.Now() + time.Duration(d.settings().RoleChangeMS)*time.Millisecond + roleSettleTime
 	from, pool := upstream.Decode, d.decode
 	if to == upstream.Decode {
 		from, pool = upstream.Prefill, d.prefill
 	}
-	passed := union(k.gateway.suspects.among(k.gateway.state.Directory.Service(d.service)), map[string]bool{})
-	done, last := 0, fmt.Errorf("no %s engine can change", from)
-	for tries := 0; done < count && tries < orderTries*count; tries++ {
-		entry, ok := pool.idlest(passed)
+	excluded := union(c.gateway.outliers.ejected(c.gateway.state.Directory.Service(d.service)), map[string]bool{})
+	ordered, lastErr := 0, fmt.Errorf("no %s engine can change", from)
+	for attempt := 0; ordered < count && attempt < orderCandidates*count; attempt++ {
+		entry, ok := pool.leastLoaded(excluded)
 		if !ok {
 			break
 		}
-		passed[entry.ID] = true
-		err := k.order(ctx, d, roleOrder{entry: entry, pool: pool, from: from, to: to, token: token, until: until})
-		if errors.Is(err, errLeaseOver) {
+		excluded[entry.ID] = true
+		err := c.orderChange(ctx, d, roleOrder{entry: entry, pool: pool, from: from, to: to, token: token, until: until})
+		if errors.Is(err, errLeaseExpired) {
 			return err
 		}
 		if err != nil {
-			k.gateway.log.Info("engine passed over", zap.String("service", d.service), zap.String("upstream", entry.ID), zap.Error(err))
-			last = err
+			c.gateway.log.Info("engine passed over", zap.String("service", d.service), zap.String("upstream", entry.ID), zap.Error(err))
+			lastErr = err
 			continue
 		}
-		done++
+		ordered++
 	}
-	if done == 0 {
-		return last
+	if ordered == 0 {
+		return lastErr
 	}
 	return nil
 }
 
-// errLeaseOver tells that this instance may give no more orders.
-var errLeaseOver = errors.New("the lease is over")
+// errLeaseExpired means that this instance may give no more orders.
+var errLeaseExpired = errors.New("the lease has expired")
 
-// roleOrder is one engine's part of a change.
+// roleOrder is an order to change one engine, with its preconditions.
 type roleOrder struct {
 	entry    upstream.Entry
 	pool     *pool
@@ -236,77 +237,77 @@
 	until    time.Duration
 }
 
-// order changes the role of one engine. An error says that it got no order.
-func (k *roleKeeper) order(ctx context.Context, d *desk, o roleOrder) error {
+// orderChange orders one engine to change its role. An error means that no order was sent.
+func (c *roleController) orderChange(ctx context.Context, d *dispatcher, o roleOrder) error {
 	entry, pool, from, to, token, until := o.entry, o.pool, o.from, o.to, o.token, o.until
-	call, cancel := context.WithTimeout(ctx, roleCall)
+	call, cancel := context.WithTimeout(ctx, roleCallTimeout)
 	defer cancel()
-	state, err := k.Engines.State(call, entry)
+	state, err := c.Engines.State(call, entry)
 	if err != nil {
 		return err
 	}
 	if state.Busy || state.Role != from {
-		return errors.New("the engine is changing already")
+		return errors.New("the engine is already changing its role")
 	}
 	if boottime.Now() >= until {
-		// Another may have become the holder while this machine was suspended or slow.
-		return errLeaseOver
+		// Another instance may hold the lease by now if this machine was suspended or slow.
+		return errLeaseExpired
 	}
-	pool.withdraw(entry.ID, awayLimit)
-	k.gateway.changed()
-	err = k.Engines.Order(call, entry, Order{Role: to, Holder: k.Holder, Token: token, Expect: state.Orders})
-	k.gateway.log.Info("role ordered", zap.String("service", d.service), zap.String("upstream", entry.ID), zap.Stringer("to", to),
+	pool.withdraw(entry.ID, roleChangeWithdrawal)
+	c.gateway.triggerReport()
+	err = c.Engines.Order(call, entry, Order{Role: to, Holder: c.Holder, Token: token, Expect: state.Orders})
+	c.gateway.log.Info("role ordered", zap.String("service", d.service), zap.String("upstream", entry.ID), zap.Stringer("to", to),
 		zap.Uint64("token", token), zap.Int64("expect", state.Orders), zap.Error(err))
 	switch {
 	case err == nil:
 	case verdict.From(err).Ran == verdict.NotRun:
 		pool.restore(entry.ID)
 	default:
-		k.quiet[d.service] = boottime.Now() + roleUnknown
+		c.pausedUntil[d.service] = boottime.Now() + unansweredOrderPause
 	}
 	return nil
 }
 
-var errHeld = errors.New("another instance gives the orders")
+var errHeldByOther = errors.New("another instance holds the lease")
 
-// become makes this instance the one that gives orders to a service's engines, by a
-// write that only takes effect if nobody else has written since the topic was read.
-// until is when it must stop. Another holder's place is taken only when it has not
-// renewed it for several leases, all of which this instance has watched.
-func (k *roleKeeper) become(ctx context.Context, service string) (token uint64, until time.Duration, err error) {
-	call, cancel := context.WithTimeout(ctx, roleCall)
+// acquireLease makes this instance the holder for a service, by a write that succeeds only if
+// nothing was written since the topic was read. The holder must stop giving orders at until.
+// Another holder is replaced only if this instance has watched it for several leases without seeing
+// a renewal.
+func (c *roleController) acquireLease(ctx context.Context, service string) (token uint64, until time.Duration, err error) {
+	call, cancel := context.WithTimeout(ctx, roleCallTimeout)
 	defer cancel()
-	records, next, err := k.Log.Newest(call, port.TopicRoles)
+	records, next, err := c.Log.Newest(call, port.TopicRoles)
 	if err != nil {
 		return 0, 0, err
 	}
 	for _, record := range records {
-		if record.Key == service && !k.free(record) {
-			return 0, 0, errHeld
+		if record.Key == service && !c.canTakeOver(record) {
+			return 0, 0, errHeldByOther
 		}
 	}
-	value, err := json.Marshal(roleRecord{Holder: k.Holder})
+	value, err := json.Marshal(roleRecord{Holder: c.Holder})
 	if err != nil {
 		return 0, 0, err
 	}
-	begun := boottime.Now()
-	if err := k.Log.PutAt(call, port.TopicRoles, next, service, value); err != nil {
+	started := boottime.Now()
+	if err := c.Log.PutAt(call, port.TopicRoles, next, service, value); err != nil {
 		return 0, 0, err
 	}
-	// The offset names the holder; engines take 0 for none.
-	return next + 1, begun + time.Duration(holdShare*float64(k.Lease)), nil
+	// The offset plus one is the fencing token; engines treat 0 as no holder.
+	return next + 1, started + time.Duration(leaseUseRatio*float64(c.Lease)), nil
 }
 
-// free reports whether a record's holder is this instance, or gone.
-func (k *roleKeeper) free(record port.KeyedRecord) bool {
-	var held roleRecord
-	if err := json.Unmarshal(record.Value, &held); err == nil && held.Holder == k.Holder {
+// canTakeOver reports whether a record's holder is this instance, or gone.
+func (c *roleController) canTakeOver(record port.KeyedRecord) bool {
+	var lease roleRecord
+	if err := json.Unmarshal(record.Value, &lease); err == nil && lease.Holder == c.Holder {
 		return true
 	}
 	now := boottime.Now()
-	if s, known := k.seen[record.Key]; !known || s.offset != record.Offset {
-		k.seen[record.Key] = sighting{record.Offset, now}
+	if seen, known := c.observed[record.Key]; !known || seen.offset != record.Offset {
+		c.observed[record.Key] = holderObservation{record.Offset, now}
 		return false
 	}
-	return now-k.seen[record.Key].at > takeover*k.Lease
+	return now-c.observed[record.Key].firstSeen > takeoverLeases*c.Lease
 }
--- a/gateway/roles_test.go
+++ b/gateway/roles_test.go
@@ -15,14 +15,14 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// topic is a keyed topic in memory. lost makes writes take effect without an answer.
-type topic struct {
+// memoryLog is a keyed log in memory. With loseAnswers, writes take effect but return an error.
+type memoryLog struct {
 	port.KeyedLog
-	records []port.KeyedRecord
-	lost    bool
+	records     []port.KeyedRecord
+	loseAnswers bool
 }
 
-func (k *topic) Newest(context.Context, port.Topic) ([]port.KeyedRecord, uint64, error) {
+func (k *memoryLog) Newest(context.Context, port.Topic) ([]port.KeyedRecord, uint64, error) {
 	newest := map[string]port.KeyedRecord{}
 	for _, r := range k.records {
 		newest[r.Key] = r
@@ -34,89 +34,89 @@
 	return out, uint64(len(k.records)), nil
 }
 
-func (k *topic) PutAt(_ context.Context, _ port.Topic, at uint64, key string, value []byte) error {
+func (k *memoryLog) PutAt(_ context.Context, _ port.Topic, at uint64, key string, value []byte) error {
 	if at != uint64(len(k.records)) {
 		return port.ErrConflict
 	}
 	k.records = append(k.records, port.KeyedRecord{Key: key, Value: value, Offset: at})
-	if k.lost {
+	if k.loseAnswers {
 		return errors.New("no answer")
 	}
 	return nil
 }
 
-// ordered notes the orders that engines get.
-type ordered struct {
+// fakeEngines records the orders sent to engines.
+type fakeEngines struct {
 	orders []Order
 	state  EngineState
 	err    error
 	before func()
-	// gone is an engine that does not answer.
-	gone string
-	// asked are the engines whose state was read.
+	// unreachable is the ID of an engine that does not answer.
+	unreachable string
+	// asked holds the IDs of the engines whose state was read.
 	asked []string
 }
 
-func (o *ordered) State(_ context.Context, e upstream.Entry) (EngineState, error) {
+func (o *fakeEngines) State(_ context.Context, e upstream.Entry) (EngineState, error) {
 	if o.before != nil {
 		o.before()
 	}
 	o.asked = append(o.asked, e.ID)
-	if e.ID == o.gone {
+	if e.ID == o.unreachable {
 		return EngineState{}, errors.New("connection refused")
 	}
 	return o.state, nil
 }
 
-func (o *ordered) Order(_ context.Context, _ upstream.Entry, order Order) error {
+func (o *fakeEngines) Order(_ context.Context, _ upstream.Entry, order Order) error {
 	o.orders = append(o.orders, order)
 	return o.err
 }
 
-func keeper(w *world, log port.KeyedLog, engines EngineController, holder string) *roleKeeper {
-	return &roleKeeper{
+func newRoleController(gw *testGateway, log port.KeyedLog, engines EngineController, holder string) *roleController {
+	return &roleController{
 		RoleOptions: RoleOptions{Engines: engines, Log: log, Holder: holder, IsLeader: func(string) bool { return true }, Lease: time.Second},
-		gateway:     w.gateway, wanted: map[string]int{}, quiet: map[string]time.Duration{}, seen: map[string]sighting{},
+		gateway:     gw.gateway, confirmations: map[string]int{}, pausedUntil: map[string]time.Duration{}, observed: map[string]holderObservation{},
 	}
 }
 
-func modelDesk(w *world) *desk {
-	service := set().Services[1]
-	d := w.gateway.desks.get(&service)
+func modelDispatcher(gw *testGateway) *dispatcher {
+	service := testObjects().Services[1]
+	d := gw.gateway.dispatchers.get(&service)
 	d.sync()
 	return d
 }
 
-// Guards against one crashed engine, which seems to have the least to do, that keeps all others
-// from changing while requests are refused.
-func TestCrashedEngineDoesNotStopTheChange(t *testing.T) {
-	w := newWorld(t)
-	d := modelDesk(w)
-	crashed, _ := d.prefill.idlest(nil)
-	engines := &ordered{state: EngineState{Role: upstream.Prefill}, gone: crashed.ID}
-	k := keeper(w, &topic{}, engines, "a")
-	assert.NilError(t, k.carryOut(t.Context(), d, upstream.Decode, 1))
+// Guards against one crashed engine, which seems to be the least loaded, blocking the role changes
+// of all other engines while requests are refused.
+func TestCrashedEngineDoesNotBlockRoleChange(t *testing.T) {
+	gw := newTestGateway(t)
+	d := modelDispatcher(gw)
+	crashed, _ := d.prefill.leastLoaded(nil)
+	engines := &fakeEngines{state: EngineState{Role: upstream.Prefill}, unreachable: crashed.ID}
+	c := newRoleController(gw, &memoryLog{}, engines, "a")
+	assert.NilError(t, c.applyChange(t.Context(), d, upstream.Decode, 1))
 	assert.Equal(t, len(engines.orders), 1)
-	// One that others have failed to reach is not asked.
-	w.gateway.suspects.fail(crashed)
+	// An engine that failed other requests is not asked.
+	gw.gateway.outliers.recordFailure(crashed)
 	engines.asked = nil
-	assert.NilError(t, k.carryOut(t.Context(), d, upstream.Decode, 1))
+	assert.NilError(t, c.applyChange(t.Context(), d, upstream.Decode, 1))
 	assert.Equal(t, len(engines.asked), 1)
 	assert.Assert(t, engines.asked[0] != crashed.ID)
 }
 
-// An engine changes its stage. Until its entry shows the new one it refuses what is
-// sent to it, reservations or not, so that it must get nothing.
-func TestChangingEngineGetsNothing(t *testing.T) {
-	w := newWorld(t)
-	engines := &ordered{state: EngineState{Role: upstream.Prefill, Orders: 3}}
-	d := modelDesk(w)
-	k := keeper(w, &topic{}, engines, "a")
-	assert.NilError(t, k.carryOut(t.Context(), d, upstream.Decode, 1))
+// An engine changes its role. Until its entry shows the new role it refuses all requests, with or
+// without a reservation, so it must not get any.
+func TestEngineChangingRoleGetsNoRequests(t *testing.T) {
+	gw := newTestGateway(t)
+	engines := &fakeEngines{state: EngineState{Role: upstream.Prefill, Orders: 3}}
+	d := modelDispatcher(gw)
+	c := newRoleController(gw, &memoryLog{}, engines, "a")
+	assert.NilError(t, c.applyChange(t.Context(), d, upstream.Decode, 1))
 	assert.DeepEqual(t, engines.orders, []Order{{Role: upstream.Decode, Holder: "a", Token: 1, Expect: 3}})
-	assert.Equal(t, len(d.prefill.away), 1)
+	assert.Equal(t, len(d.prefill.withdrawn), 1)
 	var changing string
-	for id := range d.prefill.away {
+	for id := range d.prefill.withdrawn {
 		changing = id
 	}
 	for range 4 {
@@ -125,121 +125,122 @@
 	}
 	e := d.prefill.entries[changing]
 	e.Role = upstream.Decode
-	w.state.Directory.Put(e)
+	gw.state.Directory.Put(e)
 	d.sync()
-	assert.Equal(t, len(d.prefill.away), 0)
+	assert.Equal(t, len(d.prefill.withdrawn), 0)
 	assert.Equal(t, len(d.decode.room.Engines()), 3)
 }
 
-// Two instances want to change engines at once. If both gave orders, engines would go
-// to and fro between the stages, and those that do not check tokens obey both.
+// Two instances want to change engines at once. If both gave orders, engines would switch back and
+// forth between the roles; engines that do not check tokens obey both.
 func TestOneHolderAtATime(t *testing.T) {
-	w := newWorld(t)
-	log := &topic{}
-	engines := &ordered{state: EngineState{Role: upstream.Prefill}}
-	d := modelDesk(w)
-	first, second := keeper(w, log, engines, "a"), keeper(w, log, engines, "b")
-	_, _, err := first.become(t.Context(), d.service)
+	gw := newTestGateway(t)
+	log := &memoryLog{}
+	engines := &fakeEngines{state: EngineState{Role: upstream.Prefill}}
+	d := modelDispatcher(gw)
+	first, second := newRoleController(gw, log, engines, "a"), newRoleController(gw, log, engines, "b")
+	_, _, err := first.acquireLease(t.Context(), d.service)
 	assert.NilError(t, err)
-	_, _, err = second.become(t.Context(), d.service)
-	assert.ErrorIs(t, err, errHeld)
-	token, _, err := first.become(t.Context(), d.service)
+	_, _, err = second.acquireLease(t.Context(), d.service)
+	assert.ErrorIs(t, err, errHeldByOther)
+	token, _, err := first.acquireLease(t.Context(), d.service)
 	assert.NilError(t, err)
 	assert.Equal(t, token, uint64(2))
-	second.seen[d.service] = sighting{offset: 1, at: boottime.Now() - takeover*time.Second - time.Millisecond}
-	token, _, err = second.become(t.Context(), d.service)
+	second.observed[d.service] = holderObservation{offset: 1, firstSeen: boottime.Now() - takeoverLeases*time.Second - time.Millisecond}
+	token, _, err = second.acquireLease(t.Context(), d.service)
 	assert.NilError(t, err, "a holder that was not seen renewing for several leases")
 	assert.Equal(t, token, uint64(3))
-	_, _, err = first.become(t.Context(), d.service)
-	assert.ErrorIs(t, err, errHeld)
-}
-
-// The machine is suspended between the write that made it the holder and its order.
-// Another may hold by now.
-func TestLateHolderGivesNoOrder(t *testing.T) {
-	w := newWorld(t)
-	engines := &ordered{state: EngineState{Role: upstream.Prefill}}
-	k := keeper(w, &topic{}, engines, "a")
-	d := modelDesk(w)
-	err := k.order(t.Context(), d, orderTo(d, upstream.Decode, 1, boottime.Now()))
+	_, _, err = first.acquireLease(t.Context(), d.service)
+	assert.ErrorIs(t, err, errHeldByOther)
+}
+
+// The machine is suspended between the write that acquires the lease and the order. Another
+// instance may hold the lease by then.
+func TestExpiredLeaseHolderGivesNoOrder(t *testing.T) {
+	gw := newTestGateway(t)
+	engines := &fakeEngines{state: EngineState{Role: upstream.Prefill}}
+	c := newRoleController(gw, &memoryLog{}, engines, "a")
+	d := modelDispatcher(gw)
+	err := c.orderChange(t.Context(), d, leastLoadedOrder(d, upstream.Decode, 1, boottime.Now()))
 	assert.ErrorContains(t, err, "lease")
 	assert.Equal(t, len(engines.orders), 0)
-	// The write's answer is lost: whether this instance holds is not known.
-	_, _, err = keeper(w, &topic{lost: true}, engines, "a").become(t.Context(), d.service)
+	// If the write's answer is lost, it is unknown whether this instance holds the lease.
+	_, _, err = newRoleController(gw, &memoryLog{loseAnswers: true}, engines, "a").acquireLease(t.Context(), d.service)
 	assert.Assert(t, err != nil)
 }
 
-// An order gets no answer and may be carried out seconds later. A second one would
-// change another engine too.
-func TestUnansweredOrderIsWaitedOut(t *testing.T) {
-	w := newWorld(t)
-	d := modelDesk(w)
-	engines := &ordered{state: EngineState{Role: upstream.Prefill}, err: verdict.Fail(verdict.MayHaveRun, verdict.ReasonTimeout, nil, "no answer")}
-	k := keeper(w, &topic{}, engines, "a")
-	assert.NilError(t, k.carryOut(t.Context(), d, upstream.Decode, 1))
-	assert.Assert(t, k.quiet[d.service] > boottime.Now()+roleUnknown/2)
-	assert.Equal(t, len(d.prefill.away), 1)
-	refusing := &ordered{state: EngineState{Role: upstream.Prefill}, err: verdict.Refuse(verdict.ReasonUpstreamRefused, 0, "no")}
-	k = keeper(w, &topic{}, refusing, "a")
-	assert.NilError(t, k.carryOut(t.Context(), d, upstream.Decode, 1))
-	assert.Equal(t, len(d.prefill.away), 1, "an engine that refused the order serves on")
-	busy := &ordered{state: EngineState{Role: upstream.Prefill, Busy: true}}
-	assert.Assert(t, keeper(w, &topic{}, busy, "a").carryOut(t.Context(), d, upstream.Decode, 1) != nil)
+// An order gets no answer and may be executed seconds later. A second order would change another
+// engine as well.
+func TestUnansweredOrderPausesChanges(t *testing.T) {
+	gw := newTestGateway(t)
+	d := modelDispatcher(gw)
+	engines := &fakeEngines{state: EngineState{Role: upstream.Prefill}, err: verdict.Fail(verdict.MayHaveRun, verdict.ReasonTimeout, nil, "no answer")}
+	c := newRoleController(gw, &memoryLog{}, engines, "a")
+	assert.NilError(t, c.applyChange(t.Context(), d, upstream.Decode, 1))
+	assert.Assert(t, c.pausedUntil[d.service] > boottime.Now()+unansweredOrderPause/2)
+	assert.Equal(t, len(d.prefill.withdrawn), 1)
+	refusing := &fakeEngines{state: EngineState{Role: upstream.Prefill}, err: verdict.Refuse(verdict.ReasonUpstreamRefused, 0, "no")}
+	c = newRoleController(gw, &memoryLog{}, refusing, "a")
+	assert.NilError(t, c.applyChange(t.Context(), d, upstream.Decode, 1))
+	assert.Equal(t, len(d.prefill.withdrawn), 1, "an engine that refused the order remains in service")
+	busy := &fakeEngines{state: EngineState{Role: upstream.Prefill, Busy: true}}
+	assert.Assert(t, newRoleController(gw, &memoryLog{}, busy, "a").applyChange(t.Context(), d, upstream.Decode, 1) != nil)
 	assert.Equal(t, len(busy.orders), 0)
 }
 
-// A change is wanted by the work that was measured, twice in a row, and by the one
-// instance that leads.
-func TestChangeIsConfirmed(t *testing.T) {
-	w := newWorld(t)
-	w.state.Directory.Put(upstream.Entry{ID: "prefill9", Service: "model", Address: "1.2.3.4:9", Role: upstream.Prefill, Slots: 4})
-	d := modelDesk(w)
+// A role change requires measurements that call for it in two consecutive checks, and is made only
+// by the leader.
+func TestRoleChangeNeedsConfirmation(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.state.Directory.Put(upstream.Entry{ID: "prefill9", Service: "model", Address: "1.2.3.4:9", Role: upstream.Prefill, Slots: 4})
+	d := modelDispatcher(gw)
 	for range 20 {
-		d.prefilled(5_000, 10*time.Millisecond, false)
-		d.finished(&Call{PromptTokens: 5_000}, 100, 1000, 10*time.Second)
+		d.recordPrefill(5_000, 10*time.Millisecond, false)
+		d.recordCompletion(&Call{PromptTokens: 5_000}, 100, 1000, 10*time.Second)
 	}
-	engines := &ordered{state: EngineState{Role: upstream.Prefill}}
-	k := keeper(w, &topic{}, engines, "a")
-	k.look(t.Context(), d)
+	engines := &fakeEngines{state: EngineState{Role: upstream.Prefill}}
+	c := newRoleController(gw, &memoryLog{}, engines, "a")
+	c.reconcile(t.Context(), d)
 	assert.Equal(t, len(engines.orders), 0)
-	k.look(t.Context(), d)
+	c.reconcile(t.Context(), d)
 	assert.Equal(t, len(engines.orders), 1)
-	k.look(t.Context(), d)
-	k.look(t.Context(), d)
-	assert.Equal(t, len(engines.orders), 1, "ordered again at once")
-	k.quiet[d.service] = 0
-	k.IsLeader = func(string) bool { return false }
-	k.look(t.Context(), d)
-	k.look(t.Context(), d)
+	c.reconcile(t.Context(), d)
+	c.reconcile(t.Context(), d)
+	assert.Equal(t, len(engines.orders), 1, "ordered again immediately")
+	c.pausedUntil[d.service] = 0
+	c.IsLeader = func(string) bool { return false }
+	c.reconcile(t.Context(), d)
+	c.reconcile(t.Context(), d)
 	assert.Equal(t, len(engines.orders), 1)
 }
 
-// The holder was killed while an engine left, and another instance sees that too few
-// engines prefill. Had it begun to watch only then, callers would wait out the leases.
-func TestWatchedHolderIsReplacedAtOnce(t *testing.T) {
-	w := newWorld(t)
-	log := &topic{}
-	d := modelDesk(w)
-	_, _, err := keeper(w, log, &ordered{}, "a").become(t.Context(), d.service)
+// The holder was killed while an engine was leaving, and another instance sees that too few engines
+// prefill. If it started observing the holder only then, callers would wait until the leases have
+// passed.
+func TestObservedHolderIsReplacedAtOnce(t *testing.T) {
+	gw := newTestGateway(t)
+	log := &memoryLog{}
+	d := modelDispatcher(gw)
+	_, _, err := newRoleController(gw, log, &fakeEngines{}, "a").acquireLease(t.Context(), d.service)
 	assert.NilError(t, err)
-	other := keeper(w, log, &ordered{}, "b")
-	other.watch(t.Context())
-	seen := other.seen[d.service]
-	seen.at -= takeover*time.Second + time.Millisecond
-	other.seen[d.service] = seen
-	_, _, err = other.become(t.Context(), d.service)
+	other := newRoleController(gw, log, &fakeEngines{}, "b")
+	other.observeHolders(t.Context())
+	seen := other.observed[d.service]
+	seen.firstSeen -= takeoverLeases*time.Second + time.Millisecond
+	other.observed[d.service] = seen
+	_, _, err = other.acquireLease(t.Context(), d.service)
 	assert.NilError(t, err)
-	restarted := keeper(w, log, &ordered{}, "b")
-	_, _, err = restarted.become(t.Context(), d.service)
+	restarted := newRoleController(gw, log, &fakeEngines{}, "b")
+	_, _, err = restarted.acquireLease(t.Context(), d.service)
 	assert.NilError(t, err, "an earlier run of the same instance")
 }
 
-// orderTo is an order to the engine with the least to do.
-func orderTo(d *desk, to upstream.Role, token uint64, until time.Duration) roleOrder {
+// leastLoadedOrder returns an order to the least loaded engine.
+func leastLoadedOrder(d *dispatcher, to upstream.Role, token uint64, until time.Duration) roleOrder {
 	from, pool := upstream.Decode, d.decode
 	if to == upstream.Decode {
 		from, pool = upstream.Prefill, d.prefill
 	}
-	entry, _ := pool.idlest(nil)
+	entry, _ := pool.leastLoaded(nil)
 	return roleOrder{entry: entry, pool: pool, from: from, to: to, token: token, until: until}
 }
