--- a/gateway/state.go
+++ b/gateway/state.go
@@ -10,17 +10,17 @@
 	"github.com/cairnworks/cairnworks/upstream"
 )
 
-// State is what an instance believes of the configuration. It is safe for
-// concurrent use.
+// State holds the configuration and the lists this instance has read. It is safe for concurrent
+// use.
 type State struct {
 	now   boottime.Clock
 	index atomic.Pointer[object.Index]
-	// proof is when the read was begun that showed that no newer version exists.
-	proof atomic.Int64
-	// maxAge is the age of the proof from which requests with a key are refused.
+	// confirmedAt is the start time of the last read that found no newer version.
+	confirmedAt atomic.Int64
+	// maxAge is the age of that confirmation from which requests with a key are refused.
 	maxAge time.Duration
-	// upstreams and instances tell that these lists have been read, complete is closed once
-	// nothing is missing.
+	// upstreams and instances are set once the respective list has been read. complete is closed
+	// once nothing is missing.
 	upstreams, instances atomic.Bool
 	complete             chan struct{}
 	completeOnce         sync.Once
@@ -28,15 +28,15 @@
 	Directory *upstream.Directory
 }
 
-// NewState returns a state in which nothing has been read.
+// NewState returns a state for which nothing has been read yet.
 func NewState(now boottime.Clock, maxAge time.Duration) *State {
 	return &State{now: now, maxAge: maxAge, complete: make(chan struct{}), Directory: upstream.NewDirectory()}
 }
 
-// Prerequisite is what an instance must have read before it can serve.
+// Prerequisite is something an instance must have read before it can serve.
 type Prerequisite string
 
-// Parts of what an instance reads.
+// The values of Prerequisite, as they appear in refusals.
 const (
 	NoPrerequisite            Prerequisite = ""
 	PrerequisiteConfiguration Prerequisite = "configuration"
@@ -44,8 +44,8 @@
 	PrerequisiteInstances     Prerequisite = "list of instances"
 )
 
-// Missing is what has not been read yet, NoPart if nothing is missing. A list that was not read
-// names nobody, which is not to be taken for an empty one.
+// Missing returns the first prerequisite that has not been read, or NoPrerequisite. A list that has
+// not been read must not be treated as an empty list.
 func (s *State) Missing() Prerequisite {
 	switch {
 	case s.Index() == nil:
@@ -61,57 +61,56 @@
 // Complete returns a channel that is closed once nothing is missing.
 func (s *State) Complete() <-chan struct{} { return s.complete }
 
-// UpstreamsRead notes that the list of upstreams has been read.
+// UpstreamsRead records that the list of upstreams has been read.
 func (s *State) UpstreamsRead() {
 	s.upstreams.Store(true)
-	s.look()
+	s.closeIfComplete()
 }
 
-// InstancesRead notes that the list of instances has been read.
+// InstancesRead records that the list of instances has been read.
 func (s *State) InstancesRead() {
 	s.instances.Store(true)
-	s.look()
+	s.closeIfComplete()
 }
 
-// look tells those who wait once nothing is missing.
-func (s *State) look() {
+// closeIfComplete closes complete once nothing is missing.
+func (s *State) closeIfComplete() {
 	if s.Missing() == NoPrerequisite {
 		s.completeOnce.Do(func() { close(s.complete) })
 	}
 }
 
-// Apply puts a configuration in force unless a newer one is. It reports whether it
-// did.
+// Apply activates a configuration and reports whether it did. It does nothing if the active
+// configuration has the same or a newer version.
 func (s *State) Apply(index *object.Index) bool {
 	for {
-		old := s.index.Load()
-		if old != nil && old.Version() >= index.Version() {
+		previous := s.index.Load()
+		if previous != nil && previous.Version() >= index.Version() {
 			return false
 		}
-		if s.index.CompareAndSwap(old, index) {
-			s.look()
+		if s.index.CompareAndSwap(previous, index) {
+			s.closeIfComplete()
 			return true
 		}
 	}
 }
 
-// Index returns the configuration in force, nil while there is none.
+// Index returns the active configuration, or nil if there is none yet.
 func (s *State) Index() *object.Index { return s.index.Load() }
 
-// ConfirmCurrent notes that no newer configuration existed when a read was begun.
-func (s *State) ConfirmCurrent(begun time.Duration) {
+// ConfirmCurrent records that a read which began at started found no newer configuration.
+func (s *State) ConfirmCurrent(started time.Duration) {
 	for {
-		old := s.proof.Load()
-		if int64(begun) <= old || s.proof.CompareAndSwap(old, int64(begun)) {
+		previous := s.confirmedAt.Load()
+		if int64(started) <= previous || s.confirmedAt.CompareAndSwap(previous, int64(started)) {
 			return
 		}
 	}
 }
 
-// Age is how old the proof is that the configuration in force is the newest.
-func (s *State) Age() time.Duration { return s.now() - time.Duration(s.proof.Load()) }
+// Age returns the time since the configuration was last confirmed to be the newest.
+func (s *State) Age() time.Duration { return s.now() - time.Duration(s.confirmedAt.Load()) }
 
-// Fresh reports whether keys may be relied on: a key that was withdrawn since the
-// proof would still work here, and a machine that was suspended or cut off cannot
-// know.
+// Fresh reports whether keys may be accepted. A key withdrawn since the last confirmation would
+// still be accepted here, and an instance that was suspended or partitioned cannot know.
 func (s *State) Fresh() bool { return s.Index() != nil && s.Age() < s.maxAge }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -13,103 +13,100 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Figures of streams.
+// Limits and timings of streams.
 const (
-	// streamBuffer is the size of a stream's read buffer in bytes; events have some
-	// hundred.
-	streamBuffer = 4 << 10
-	// writePatience is how long a caller may take nothing of its answer before its
-	// connection is closed; its engine memory is needed by others.
-	writePatience = 5 * time.Second
-	// maxEvent bounds an event that is held back until it is whole, in bytes.
-	maxEvent = 256 << 10
+	// streamBufferBytes is the size of a stream's read buffer; events have a few hundred bytes.
+	streamBufferBytes = 4 << 10
+	// writeTimeout is how long a caller may block writes of its answer before its connection is
+	// closed. The engine memory it holds is needed by others.
+	writeTimeout = 5 * time.Second
+	// maxEventBytes limits the size of an event that is buffered until it is complete.
+	maxEventBytes = 256 << 10
 )
 
-// stream hands the answer to a model request on. For routes whose streams may be
-// resumed it holds back an event until it is whole, so that another engine can go on
-// after the last one.
+// stream forwards the answer to a model request. On resumable routes it forwards only complete
+// events, so that another engine can continue after the last one.
 type stream struct {
 	gateway  *Gateway
-	admitted *admitted
+	admitted *admittedCall
 	w        http.ResponseWriter
-	// started tells that the caller has got a status.
+	// started is set once the status has been sent to the caller.
 	started bool
 	status  int
-	// lastID is the id of the last event handed on.
+	// lastID is the ID of the last forwarded event.
 	lastID string
-	// partial is the event that is not yet whole.
+	// partial holds the bytes of an incomplete event.
 	partial []byte
-	// events counts the events handed on; progress is told of each more, if set.
+	// events is the number of forwarded events; onEvents, if set, is called when it grows.
 	events   int
-	progress func(events int)
-	// newline tells that the last byte ended a line.
-	newline bool
+	onEvents func(events int)
+	// afterNewline is set if the last byte was a newline.
+	afterNewline bool
 }
 
-// count counts the events that end in data.
+// count counts the events that end within data.
 func (s *stream) count(data []byte) {
 	before := s.events
 	for _, b := range data {
 		ends := b == '\n'
-		if ends && s.newline {
+		if ends && s.afterNewline {
 			s.events++
 			ends = false
 		}
-		s.newline = ends
+		s.afterNewline = ends
 	}
-	if s.events > before && s.progress != nil {
-		s.progress(s.events)
+	if s.events > before && s.onEvents != nil {
+		s.onEvents(s.events)
 	}
 }
 
-// resumable reports whether another engine may go on with what the caller has got.
+// resumable reports whether another engine can continue the stream.
 func (s *stream) resumable() bool {
 	return s.admitted.route.Resumable && s.status == http.StatusOK && s.lastID != ""
 }
 
-// copy hands an answer on until its end. The verdict tells of an answer that broke
-// off.
+// copy forwards an answer to its end. It returns a verdict if the answer is cut off.
 func (s *stream) copy(answer *Answer) *verdict.Verdict {
 	defer func() { _ = answer.Body.Close() }()
 	if !s.started && answer.Status != http.StatusOK {
-		return s.copyFailure(answer)
+		return s.copyErrorAnswer(answer)
 	}
 	if s.started && answer.Status != http.StatusOK {
-		return verdict.Fail(verdict.HasRun, verdict.ReasonUpstreamRefused, nil, "the engine that was to go on answered %d", answer.Status)
+		return verdict.Fail(verdict.HasRun, verdict.ReasonUpstreamRefused, nil, "the engine that was to resume the stream answered %d", answer.Status)
 	}
-	s.begin(answer)
+	s.writeHeader(answer)
 	s.partial = s.partial[:0]
-	buffer := make([]byte, streamBuffer)
+	buffer := make([]byte, streamBufferBytes)
 	for {
 		n, err := answer.Body.Read(buffer)
 		if n > 0 {
 			s.count(buffer[:n])
 			if failed := s.write(buffer[:n]); failed != nil {
-				return verdict.Fail(verdict.HasRun, verdict.ReasonCancelled, failed, "the caller left")
+				return verdict.Fail(verdict.HasRun, verdict.ReasonCancelled, failed, "the caller disconnected")
 			}
 		}
 		if err == io.EOF {
-			return s.end()
+			return s.flushRest()
 		}
 		if err != nil {
-			return verdict.Fail(verdict.HasRun, verdict.ReasonTruncated, err, "the engine's stream broke off")
+			return verdict.Fail(verdict.HasRun, verdict.ReasonTruncated, err, "the engine's stream was cut off")
 		}
 	}
 }
 
-// copyFailure hands an engine's failure on whole.
-func (s *stream) copyFailure(answer *Answer) *verdict.Verdict {
-	response, err := keep(answer)
+// copyErrorAnswer forwards an engine's error response as a whole.
+func (s *stream) copyErrorAnswer(answer *Answer) *verdict.Verdict {
+	response, err := bufferAnswer(answer)
 	if err != nil {
-		return verdict.Fail(verdict.MayHaveRun, verdict.ReasonTruncated, err, "the engine's answer ended early")
+		return verdict.Fail(verdict.MayHaveRun, verdict.ReasonTruncated, err, "the engine's answer was truncated")
 	}
 	s.started, s.status = true, response.status
-	s.gateway.deliver(s.w, s.admitted, response)
+	s.gateway.writeAnswer(s.w, s.admitted, response)
 	return nil
 }
 
-// begin sends the status and the headers of the first engine.
-func (s *stream) begin(answer *Answer) {
+// writeHeader sends the status and headers of the first engine's answer.
+func (s *stream) writeHeader(answer *Answer) {
 	if s.started {
 		return
 	}
@@ -124,7 +121,7 @@
 
 var eventEnd = []byte("\n\n")
 
-// write hands bytes on at once, or whole events where the stream may be resumed.
+// write forwards data immediately, or by complete events on resumable routes.
 func (s *stream) write(data []byte) error {
 	if !s.admitted.route.Resumable {
 		return s.flush(data)
@@ -132,22 +129,22 @@
 	s.partial = append(s.partial, data...)
 	at := bytes.LastIndex(s.partial, eventEnd)
 	if at < 0 {
-		if len(s.partial) > maxEvent {
+		if len(s.partial) > maxEventBytes {
 			return errors.New("event too large")
 		}
 		return nil
 	}
-	whole := s.partial[:at+len(eventEnd)]
-	if err := s.flush(whole); err != nil {
+	complete := s.partial[:at+len(eventEnd)]
+	if err := s.flush(complete); err != nil {
 		return err
 	}
-	s.note(whole)
+	s.rememberLastID(complete)
 	s.partial = append(s.partial[:0], s.partial[at+len(eventEnd):]...)
 	return nil
 }
 
-// note remembers the id of the last event that was handed on.
-func (s *stream) note(events []byte) {
+// rememberLastID stores the ID of the last event in events.
+func (s *stream) rememberLastID(events []byte) {
 	at := bytes.LastIndex(events, []byte("id:"))
 	for at > 0 && events[at-1] != '\n' {
 		at = bytes.LastIndex(events[:at], []byte("id:"))
@@ -159,32 +156,32 @@
 	s.lastID = string(bytes.TrimSpace(line))
 }
 
-// end hands on what follows the last whole event, as the stream is complete.
-func (s *stream) end() *verdict.Verdict {
+// flushRest forwards the bytes after the last complete event when the stream has ended.
+func (s *stream) flushRest() *verdict.Verdict {
 	if len(s.partial) == 0 {
 		return nil
 	}
 	rest := s.partial
 	s.partial = nil
 	if err := s.flush(rest); err != nil {
-		return verdict.Fail(verdict.HasRun, verdict.ReasonCancelled, err, "the caller left")
+		return verdict.Fail(verdict.HasRun, verdict.ReasonCancelled, err, "the caller disconnected")
 	}
 	return nil
 }
 
-// release takes the stream's write deadline off the connection. The server keeps the
-// connection for the caller's next request, whose answer could no longer be written
-// once the deadline has passed: the caller would see the connection closed.
-func (s *stream) release() {
+// clearWriteDeadline removes the write deadline from the connection. The server reuses the
+// connection for the caller's next request; after the deadline, that request's answer could not be
+// written and the caller would see the connection closed.
+func (s *stream) clearWriteDeadline() {
 	err := http.NewResponseController(s.w).SetWriteDeadline(time.Time{})
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
-		s.gateway.log.Debug("write deadline not taken off", zap.String("request", s.admitted.call.ID), zap.Error(err))
+		s.gateway.log.Debug("cannot clear write deadline", zap.String("request", s.admitted.call.ID), zap.Error(err))
 	}
 }
 
 func (s *stream) flush(data []byte) error {
 	control := http.NewResponseController(s.w)
-	if err := control.SetWriteDeadline(time.Now().Add(writePatience)); err != nil && !errors.Is(err, http.ErrNotSupported) {
+	if err := control.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return err
 	}
 	if _, err := s.w.Write(data); err != nil {
