--- a/decision/escrow/escrow.go
+++ b/decision/escrow/escrow.go
@@ -1,102 +1,107 @@
-// Package escrow divides the organisations' token rates between instances so that no two of
-// them spend the same token, whoever is cut off from whom.
+// Package escrow divides each organisation's token rate between the instances so that no two of
+// them spend the same token, even while the fleet is partitioned.
 //
-// Load pattern: hundreds of instances share an organisation's requests, so that each sees one
-// of it in many seconds, and its part of the rate never pays for a single long request. One
-// organisation at times sends several times its rate. Instances die, freeze and lose one
-// another meanwhile.
+// Load pattern: hundreds of instances share an organisation's requests, so each sees one of them
+// every many seconds, and a fixed share of the rate never pays for a single long request. At
+// times one organisation sends several times its rate. Meanwhile instances crash, freeze and
+// lose contact with one another.
 //
-// Without it: instances that tell all others what they spend need messages that grow with the
-// fleet's square, hear one another late or not at all, and fall back to parts of the rate that
-// are too small to serve anything (TestLargeFleetServesWithinTheRate).
+// Without it: instances that broadcast what they spend need a number of messages that grows with
+// the square of the fleet size, receive one another's late or not at all, and fall back to
+// shares of the rate that are too small to serve anything
+// (TestLargeFleetServesWithinTheRate).
 //
-// Each instance owns an equal part of the time in which every rate flows. It hands its part on
-// to the home of the organisation, one instance that all choose by the same rule, and the home
-// turns the time that it was given into tokens in a bucket. What was handed on is gone for the
-// giver, so that the parts add up to one rate at any moment: homes that two sides of a cut
-// choose differently share it as the sides do, and a home that dies takes with it what it held
-// and no more. Nobody needs to know which home is the right one, and no clocks are compared.
+// Each instance accrues credit, an equal share of the time during which every rate flows. It
+// transfers its credit to the home of the organisation, an instance that all choose by the same
+// rule, and the home converts the credit into tokens in a bucket. Transferred credit is deducted
+// from the sender, so at any moment the shares add up to one rate: homes that the two sides of a
+// partition choose differently divide the rate as the sides do, and a home that crashes loses
+// what it held and no more. Instances need not agree on which home is the right one, and no
+// clocks are compared.
 //
-//   - Handed on time is told as a total for each receiver's run; lost, repeated and late
-//     messages change nothing.
-//   - A giver holds little (Hold): what flowed while it reached nobody is lost.
-//   - A bucket takes in no more than one rate, however many give, since parts add up to more
-//     while instances know too few of one another.
-//   - A bucket holds no more of the burst than the part of the rate that flows into it. One
-//     that others have turned away from does not keep a burst for the time when they return.
-//   - A home that knows that another has taken its place hands over what it has left, as a
-//     total as well.
+//   - Transferred credit is reported as a cumulative total for each run of the receiver, so that
+//     lost, duplicated and late messages change nothing.
+//   - A sender retains little credit (MaxCredit): what accrues beyond that while it can reach no
+//     home is lost.
+//   - A bucket accepts no more than one rate, however many instances send to it, because shares
+//     add up to more than one rate while instances know too few of one another.
+//   - A bucket keeps no larger fraction of the burst than its share of the rate. One that
+//     senders have moved away from does not keep a burst for the time when they return.
+//   - A home that learns that another has replaced it hands over what is left in its buckets,
+//     also as a cumulative total.
 //
-// Organisations are gathered in shards, by which time is handed on: the size of a message does
-// not depend on how many there are.
+// Credit is transferred by shard, a group of organisations, so that the size of a message does
+// not depend on the number of organisations.
 package escrow
 
 import "time"
 
-// Shards is the number of groups of organisations. All instances must use the same.
+// Shards is the number of groups of organisations. It must be the same on all instances.
 const Shards = 32
 
-// ShardOf is the shard of an organisation by the hash of its name.
+// ShardOf returns the shard of an organisation, given the hash of its name.
 func ShardOf(hash uint64) int { return int(hash % Shards) }
 
 // Run identifies one run of one instance.
 type Run uint32
 
-// MaxCredit is the most time that an instance keeps which it could not hand on, and the most that a
-// home takes in at once. It is longer than the time between two reports to one hub.
+// MaxCredit is the most credit that the whole fleet retains while it cannot be transferred, each
+// instance an equal share of it, and the most that a home accepts at once. It is longer than the
+// interval between two reports to one hub.
 const MaxCredit = 600 * time.Millisecond
 
-// CreditSource is an instance's part of all rates. It is not safe for concurrent use. Times are of a
-// clock that counts through suspensions.
+// CreditSource accrues an instance's share of all rates. It is not safe for concurrent use. Times
+// are readings of a clock that keeps running while the machine is suspended.
 type CreditSource struct {
-	at   time.Duration
-	held [Shards]time.Duration
-	// given is the total that was handed to each run.
-	given map[Run]*[Shards]time.Duration
+	updated time.Duration
+	credit  [Shards]time.Duration
+	// sent is the total credit transferred to each run.
+	sent map[Run]*[Shards]time.Duration
 }
 
-// NewCreditSource returns the part of an instance that starts now. It holds nothing.
+// NewCreditSource returns the source of an instance that starts now, without any credit.
 func NewCreditSource(now time.Duration) *CreditSource {
-	return &CreditSource{at: now, given: make(map[Run]*[Shards]time.Duration)}
+	return &CreditSource{updated: now, sent: make(map[Run]*[Shards]time.Duration)}
 }
 
-// Skip lets time pass in which nothing flows here, since the size of the fleet is not known.
-func (g *CreditSource) Skip(now time.Duration) { g.at = max(g.at, now) }
+// Skip advances the time without accruing credit. It is for times when the fleet size is unknown.
+func (c *CreditSource) Skip(now time.Duration) { c.updated = max(c.updated, now) }
 
-// Accrue adds this instance's part of the time that has passed in a fleet of a size.
-func (g *CreditSource) Accrue(now time.Duration, instances int) {
-	elapsed := now - g.at
+// Accrue adds this instance's share of the elapsed time, given the number of instances.
+func (c *CreditSource) Accrue(now time.Duration, instances int) {
+	elapsed := now - c.updated
 	if elapsed <= 0 {
 		return
 	}
-	g.at = now
+	c.updated = now
 	size := time.Duration(max(instances, 1))
-	for s := range g.held {
-		g.held[s] = min(g.held[s]+elapsed/size, MaxCredit/size)
+	for s := range c.credit {
+		c.credit[s] = min(c.credit[s]+elapsed/size, MaxCredit/size)
 	}
 }
 
-// Transfer hands what is held of some shards to a run and returns the totals handed to it.
-func (g *CreditSource) Transfer(to Run, shards []int) map[int]time.Duration {
-	totals, known := g.given[to]
+// Transfer moves the credit of the given shards to a run and returns the totals transferred to
+// that run so far.
+func (c *CreditSource) Transfer(to Run, shards []int) map[int]time.Duration {
+	totals, known := c.sent[to]
 	if !known {
 		totals = new([Shards]time.Duration)
-		g.given[to] = totals
+		c.sent[to] = totals
 	}
 	out := make(map[int]time.Duration, len(shards))
 	for _, s := range shards {
-		totals[s] += g.held[s]
-		g.held[s] = 0
+		totals[s] += c.credit[s]
+		c.credit[s] = 0
 		out[s] = totals[s]
 	}
 	return out
 }
 
 // Forget drops the totals of runs that have ended.
-func (g *CreditSource) Forget(ended func(Run) bool) {
-	for run := range g.given {
+func (c *CreditSource) Forget(ended func(Run) bool) {
+	for run := range c.sent {
 		if ended(run) {
-			delete(g.given, run)
+			delete(c.sent, run)
 		}
 	}
 }
--- a/decision/escrow/home.go
+++ b/decision/escrow/home.go
@@ -7,42 +7,43 @@
 
 // Limit is an organisation's quota. A Rate of 0 means no limit.
 type Limit struct {
-	// Rate in tokens a second, Burst in tokens.
+	// Rate is in tokens per second, Burst in tokens.
 	Rate, Burst float64
 }
 
-// Figures of buckets.
 const (
-	// partTime is over what time the part of the rate that flows in is taken.
-	partTime = 2 * time.Second
-	// fadeTime is over what time a bucket loses what is above the part of the burst that it
-	// may hold: twice what the part takes to follow a change of homes.
-	fadeTime = 2 * partTime
-	// evenness allows for parts that arrive unevenly: a bucket that all give to would lose a
-	// part of its burst with each lost report.
-	evenness = 1.15
-	// mostDebt bounds what a bucket falls below nothing by what is spent without asking, in
-	// seconds of the rate. Callers would be refused for longer than they wait.
-	mostDebt = 4.0
+	// inflowWindow is the time constant over which a shard's share of the rate is averaged.
+	inflowWindow = 2 * time.Second
+	// decayTime is the time constant with which a bucket loses tokens above its share of the
+	// burst: twice the time that the share takes to follow a change of homes.
+	decayTime = 2 * inflowWindow
+	// inflowTolerance allows for credit that arrives unevenly. Without it, a bucket that
+	// receives the whole rate would lose some of its burst with each lost report.
+	inflowTolerance = 1.15
+	// maxDebtSeconds bounds how far tokens spent without asking can take a bucket below zero,
+	// in seconds of the rate. With a larger debt, callers would be refused for longer than they
+	// wait.
+	maxDebtSeconds = 4.0
 )
 
-// Home holds the buckets of the organisations that others hand their parts to. It is not safe
-// for concurrent use.
+// Home holds the token buckets that credit from all instances flows into. It is not safe for
+// concurrent use.
 type Home struct {
-	shards  [Shards]intake
+	shards  [Shards]shardInflow
 	buckets map[uint64]*bucket
-	// seen is what each run has handed on, and bills what it has spent here by itself.
-	seen  map[Run]*[Shards]time.Duration
-	bills map[Run]map[uint64]int64
+	// received is the total credit that each run has transferred, and charges the total tokens
+	// that it has spent without asking.
+	received map[Run]*[Shards]time.Duration
+	charges  map[Run]map[uint64]int64
 }
 
-// intake is what flows into the buckets of a shard.
-type intake struct {
-	at time.Duration
-	// room is how much time the shard may still take in.
-	room time.Duration
-	// inflow is the part of the rate that flowed in lately.
-	inflow float64
+// shardInflow tracks the credit that flows into the buckets of a shard.
+type shardInflow struct {
+	updated time.Duration
+	// allowance is how much credit the shard may still accept.
+	allowance time.Duration
+	// recent is the moving average of the share of the rate that flows in.
+	recent float64
 }
 
 type bucket struct {
@@ -52,15 +53,19 @@
 
 // NewHome returns a home without buckets.
 func NewHome(now time.Duration) *Home {
-	h := &Home{buckets: make(map[uint64]*bucket), seen: make(map[Run]*[Shards]time.Duration), bills: make(map[Run]map[uint64]int64)}
+	h := &Home{
+		buckets:  make(map[uint64]*bucket),
+		received: make(map[Run]*[Shards]time.Duration),
+		charges:  make(map[Run]map[uint64]int64),
+	}
 	for s := range h.shards {
-		h.shards[s].at = now
+		h.shards[s].updated = now
 	}
 	return h
 }
 
-// SetLimits replaces the limits of all organisations, by the hashes of their names. What is
-// left in a bucket stays, cut to the new burst.
+// SetLimits replaces the limits of all organisations, keyed by the hashes of their names. A
+// bucket keeps its level, capped at the new burst.
 func (h *Home) SetLimits(limits map[uint64]Limit) {
 	for org := range h.buckets {
 		if _, kept := limits[org]; !kept {
@@ -78,54 +83,55 @@
 	}
 }
 
-// Receive takes in what a run has handed on in total.
+// Receive adds the credit that a run has transferred, given as cumulative totals by shard.
 func (h *Home) Receive(now time.Duration, from Run, totals map[int]time.Duration) {
-	seen, known := h.seen[from]
+	received, known := h.received[from]
 	if !known {
-		seen = new([Shards]time.Duration)
-		h.seen[from] = seen
+		received = new([Shards]time.Duration)
+		h.received[from] = received
 	}
 	for s, total := range totals {
-		if s < 0 || s >= Shards || total <= seen[s] {
+		if s < 0 || s >= Shards || total <= received[s] {
 			continue
 		}
-		given := total - seen[s]
-		seen[s] = total
-		h.flow(now, s, min(given, MaxCredit))
+		credit := total - received[s]
+		received[s] = total
+		h.refill(now, s, min(credit, MaxCredit))
 	}
 }
 
-// flow lets some time of the rates flow into a shard's buckets.
-func (h *Home) flow(now time.Duration, shard int, given time.Duration) {
+// refill advances a shard to now and adds credit to its buckets.
+func (h *Home) refill(now time.Duration, shard int, credit time.Duration) {
 	in := &h.shards[shard]
-	elapsed := max(now-in.at, 0)
-	in.at = now
-	in.room = min(in.room+elapsed, MaxCredit)
-	given = min(given, in.room)
-	in.room -= given
-	in.inflow = in.inflow*math.Exp(-elapsed.Seconds()/partTime.Seconds()) + given.Seconds()/partTime.Seconds()
+	elapsed := max(now-in.updated, 0)
+	in.updated = now
+	in.allowance = min(in.allowance+elapsed, MaxCredit)
+	credit = min(credit, in.allowance)
+	in.allowance -= credit
+	in.recent = in.recent*math.Exp(-elapsed.Seconds()/inflowWindow.Seconds()) + credit.Seconds()/inflowWindow.Seconds()
 	for org, b := range h.buckets {
 		if ShardOf(org) == shard {
-			b.flow(given.Seconds(), in.part(), elapsed)
+			b.refill(credit.Seconds(), in.share(), elapsed)
 		}
 	}
 }
 
-// part is the part of the rate that flows in, 0 to 1.
-func (in *intake) part() float64 { return min(in.inflow*evenness, 1) }
+// share is the share of the rate that flows in, 0 to 1.
+func (in *shardInflow) share() float64 { return min(in.recent*inflowTolerance, 1) }
 
-// flow lets time of the rate flow in, up to the part of the burst that the part of the rate
-// allows. What is above that, since others have turned away or it was handed over, fades.
-func (b *bucket) flow(seconds, part float64, elapsed time.Duration) {
-	most := b.limit.Burst * part
-	if above := b.level - most; above > 0 {
-		b.level -= above * (1 - math.Exp(-elapsed.Seconds()/fadeTime.Seconds()))
+// refill adds tokens for some seconds of the rate, up to the given share of the burst. Tokens
+// above that, left when senders moved away or handed over by another home, decay exponentially.
+func (b *bucket) refill(seconds, share float64, elapsed time.Duration) {
+	most := b.limit.Burst * share
+	if excess := b.level - most; excess > 0 {
+		b.level -= excess * (1 - math.Exp(-elapsed.Seconds()/decayTime.Seconds()))
 		return
 	}
 	b.level = min(b.level+seconds*b.limit.Rate, most)
 }
 
-// HandOver empties the buckets of a shard and returns what was in them. Debts go along.
+// HandOver empties the buckets of a shard and returns their levels. A debt is returned as a
+// negative level.
 func (h *Home) HandOver(shard int) map[uint64]int64 {
 	out := make(map[uint64]int64)
 	for org, b := range h.buckets {
@@ -140,91 +146,91 @@
 // Decision is the answer to a request for tokens.
 type Decision struct {
 	Granted bool
-	// Unknown tells that the organisation is not known.
+	// Unknown reports that the organisation has no bucket here.
 	Unknown bool
-	// Retry is the time until there are enough tokens, if nobody else takes them. Callers who
-	// are told to wait behind others come late, and an answer in time takes no more tokens
-	// than a late one.
+	// Retry is the time until there are enough tokens if nobody else takes any. It does not
+	// queue callers behind one another: those told to wait longer would be answered late, and
+	// an answer in time takes no more tokens than a late one.
 	Retry time.Duration
-	// Level is what is left in the bucket, Part the part of the rate that flows in.
+	// Level is the bucket's level after the request, Part the share of the rate that flows in.
 	Level, Part float64
 }
 
-// Take takes tokens out of an organisation's bucket, all or none.
+// Take removes tokens from an organisation's bucket, all or none.
 func (h *Home) Take(now time.Duration, org uint64, tokens int64) Decision {
 	b, known := h.buckets[org]
 	if !known {
-		return Decision{Unknown: true, Retry: unknownRetry}
+		return Decision{Unknown: true, Retry: unknownRetryAfter}
 	}
 	if b.limit.Rate <= 0 {
 		return Decision{Granted: true, Part: 1}
 	}
-	h.flow(now, ShardOf(org), 0)
-	part := h.shards[ShardOf(org)].part()
+	h.refill(now, ShardOf(org), 0)
+	share := h.shards[ShardOf(org)].share()
 	need := float64(tokens)
-	// A request larger than the whole burst passes when the bucket is full, since it could
-	// never pass otherwise. A bucket that only a part flows into is not full with that part of
-	// the burst: each of many would let such a request pass.
-	enough := max(min(need, fullEnough*b.limit.Burst), 1)
+	// A request larger than the whole burst is granted when the bucket is full, since it could
+	// never be granted otherwise. Full means the whole burst, not the bucket's share of it:
+	// otherwise each of many homes with a small share would grant such a request.
+	enough := max(min(need, fullThreshold*b.limit.Burst), 1)
 	if b.level < enough {
-		wait := (enough - b.level) / (b.limit.Rate * max(part, leastPart))
-		return Decision{Retry: time.Duration(wait * float64(time.Second)), Level: b.level, Part: part}
+		wait := (enough - b.level) / (b.limit.Rate * max(share, minShare))
+		return Decision{Retry: time.Duration(wait * float64(time.Second)), Level: b.level, Part: share}
 	}
 	b.level -= need
-	return Decision{Granted: true, Level: b.level, Part: part}
+	return Decision{Granted: true, Level: b.level, Part: share}
 }
 
 const (
-	// unknownRetry is when to ask again for an organisation that is not known yet.
-	unknownRetry = 300 * time.Millisecond
-	// fullEnough is the level, as a part of the burst, from which a bucket counts as full.
-	fullEnough = 0.95
-	// leastPart bounds the time to come back where little flows in: that soon others are the
-	// home, or the rate flows again.
-	leastPart = 0.25
+	// unknownRetryAfter is the retry time for an organisation that is not known yet.
+	unknownRetryAfter = 300 * time.Millisecond
+	// fullThreshold is the fraction of the burst from which a bucket counts as full.
+	fullThreshold = 0.95
+	// minShare bounds the retry time when little credit flows in. By then another home has
+	// taken over or the rate flows in again. Buckets with a smaller share do not count as in use.
+	minShare = 0.25
 )
 
-// Charge takes in the total of what a run has spent of an organisation without asking. A
-// bucket may so fall below nothing.
+// Charge applies the total that a run has spent of an organisation's tokens without asking. The
+// level of the bucket may become negative.
 func (h *Home) Charge(from Run, org uint64, total int64) {
 	b, known := h.buckets[org]
-	bills, seen := h.bills[from]
+	charges, seen := h.charges[from]
 	if !seen {
-		bills = make(map[uint64]int64)
-		h.bills[from] = bills
+		charges = make(map[uint64]int64)
+		h.charges[from] = charges
 	}
-	spent := total - bills[org]
-	bills[org] = total
+	spent := total - charges[org]
+	charges[org] = total
 	if known && b.limit.Rate > 0 {
-		b.level = min(max(b.level-float64(spent), -mostDebt*b.limit.Rate), b.limit.Burst)
+		b.level = min(max(b.level-float64(spent), -maxDebtSeconds*b.limit.Rate), b.limit.Burst)
 	}
 }
 
-// Exhausted lists organisations whose buckets here are the ones in use, and empty.
+// Exhausted returns the organisations whose buckets here are in use and empty.
 func (h *Home) Exhausted() []uint64 {
 	var out []uint64
 	for org, b := range h.buckets {
-		if b.limit.Rate > 0 && b.level <= 0 && h.shards[ShardOf(org)].part() >= leastPart {
+		if b.limit.Rate > 0 && b.level <= 0 && h.shards[ShardOf(org)].share() >= minShare {
 			out = append(out, org)
 		}
 	}
 	return out
 }
 
-// RunCount is the number of runs of which something is known.
-func (h *Home) RunCount() int { return max(len(h.seen), len(h.bills)) }
+// RunCount is the number of runs for which totals are kept.
+func (h *Home) RunCount() int { return max(len(h.received), len(h.charges)) }
 
-// Forget drops what is known of runs that have ended. One that has not would be charged its
-// total again, up to the bound on debts.
+// Forget drops the totals of runs that have ended. A run that is forgotten while it still
+// reports is charged its total again, up to the bound on debts.
 func (h *Home) Forget(ended func(Run) bool) {
-	for run := range h.seen {
+	for run := range h.received {
 		if ended(run) {
-			delete(h.seen, run)
+			delete(h.received, run)
 		}
 	}
-	for run := range h.bills {
+	for run := range h.charges {
 		if ended(run) {
-			delete(h.bills, run)
+			delete(h.charges, run)
 		}
 	}
 }
--- a/decision/escrow/network_test.go
+++ b/decision/escrow/network_test.go
@@ -17,50 +17,51 @@
 
 const (
 	step = 10 * time.Millisecond
-	// interval is the time between two reports to one hub, silence the time after which one
-	// that is not heard is left.
-	interval = 500 * time.Millisecond
-	silence  = 1300 * time.Millisecond
-	window   = 8 * time.Second
-	request  = 14_000
-	org      = uint64(5)
+	// reportInterval is the time between two reports to one hub, and hubTimeout the time after
+	// which a hub that does not answer is abandoned.
+	reportInterval = 500 * time.Millisecond
+	hubTimeout     = 1300 * time.Millisecond
+	window         = 8 * time.Second
+	request        = 14_000
+	org            = uint64(5)
 )
 
-var busy = Limit{Rate: 100_000, Burst: 100_000}
+var busyLimit = Limit{Rate: 100_000, Burst: 100_000}
 
-// allowed is what a limit allows in a window.
+// allowed returns the tokens that a limit allows in one window.
 func allowed(l Limit) int64 { return int64(l.Rate*window.Seconds() + l.Burst) }
 
-// network is a fleet whose instances report to hubs over links that are cut and lose reports.
+// network simulates a fleet whose instances report to hubs over links that can be blocked and
+// lose messages.
 type network struct {
 	now    time.Duration
 	rng    *rand.Rand
 	limit  Limit
 	nodes  []*node
 	byName map[string]*node
-	// cut links carry nothing from the first to the second.
-	cut    map[[2]int]bool
-	loss   float64
-	spends []spend
-	// reports counts what was sent.
+	// blocked holds links, as sender and receiver, that drop every message.
+	blocked map[[2]int]bool
+	loss    float64
+	spends  []spend
+	// reports is the number of reports sent.
 	reports int
-	// all are the hubs while none is silent.
-	all []string
+	// commonHubs are the hubs chosen by instances to which no hub is silent.
+	commonHubs []string
 }
 
 type node struct {
-	index int
-	name  string
-	dc    string
-	power int
-	run   Run
-	giver *CreditSource
-	home  *Home
-	// heard is when each hub that was asked was last heard, asked since when it was not.
-	asked  map[int]time.Duration
-	frozen time.Duration
-	// bills are what it has charged to each run, in total.
-	bills map[Run]int64
+	index      int
+	name       string
+	dataCentre string
+	millicores int
+	run        Run
+	source     *CreditSource
+	home       *Home
+	// unanswered is the time of the first report to each hub that it has not answered.
+	unanswered  map[int]time.Duration
+	frozenUntil time.Duration
+	// charges is the total that it has charged to each run.
+	charges map[Run]int64
 }
 
 type spend struct {
@@ -69,45 +70,44 @@
 }
 
 func newNetwork(n int, limit Limit, seed uint64) *network {
-	w := &network{now: time.Second, rng: rand.New(rand.NewPCG(seed, 9)), limit: limit, byName: make(map[string]*node), cut: make(map[[2]int]bool)}
+	w := &network{now: time.Second, rng: rand.New(rand.NewPCG(seed, 9)), limit: limit, byName: make(map[string]*node), blocked: make(map[[2]int]bool)}
 	for i := range n {
-		power := 192
+		millicores := 192
 		if i%20 == 0 {
-			power = 800
+			millicores = 800
 		}
-		d := &node{index: i, name: fmt.Sprint("i", i), dc: fmt.Sprint("dc", i%5), power: power}
+		d := &node{index: i, name: fmt.Sprint("i", i), dataCentre: fmt.Sprint("dc", i%5), millicores: millicores}
 		w.nodes = append(w.nodes, d)
 		w.byName[d.name] = d
-		w.start(d)
+		w.restart(d)
 	}
 	return w
 }
 
-// start begins a run of an instance.
-func (w *network) start(d *node) {
+// restart begins a new run of an instance.
+func (w *network) restart(d *node) {
 	d.run++
 	d.run += Run(d.index << 8)
-	d.giver, d.home = NewCreditSource(w.now), NewHome(w.now)
+	d.source, d.home = NewCreditSource(w.now), NewHome(w.now)
 	d.home.SetLimits(map[uint64]Limit{org: w.limit})
-	d.asked = make(map[int]time.Duration)
-	d.bills = make(map[Run]int64)
+	d.unanswered = make(map[int]time.Duration)
+	d.charges = make(map[Run]int64)
 }
 
-// hubs are the hubs that an instance chooses: of all but those that have left its reports
-// unanswered.
+// hubs returns the hubs that an instance chooses among the instances that are not silent to it.
 func (w *network) hubs(d *node) []string {
 	silent := make(map[int]bool)
-	for other, since := range d.asked {
-		if w.now-since > silence {
+	for other, since := range d.unanswered {
+		if w.now-since > hubTimeout {
 			silent[other] = true
 		}
 	}
-	if len(silent) == 0 && w.all != nil {
-		return w.all
+	if len(silent) == 0 && w.commonHubs != nil {
+		return w.commonHubs
 	}
 	chosen := w.choose(silent)
 	if len(silent) == 0 {
-		w.all = chosen
+		w.commonHubs = chosen
 	}
 	return chosen
 }
@@ -118,7 +118,7 @@
 		if silent[other.index] {
 			continue
 		}
-		candidates = append(candidates, hub.Candidate{Name: other.name, Hash: xxhash.Sum64String(other.name), DataCentre: other.dc, Millicores: other.power, Settled: true})
+		candidates = append(candidates, hub.Candidate{Name: other.name, Hash: xxhash.Sum64String(other.name), DataCentre: other.dataCentre, Millicores: other.millicores, Settled: true})
 	}
 	return hub.Choose(candidates, len(w.nodes), hub.Hubs)
 }
@@ -132,73 +132,75 @@
 	return w.byName[hubs[hub.HomeOf(ShardOf(org), hashes)]]
 }
 
-// passes reports whether a message gets through.
-func (w *network) passes(from, to *node) bool {
-	return !w.cut[[2]int{from.index, to.index}] && w.now >= to.frozen && w.now >= from.frozen && w.rng.Float64() >= w.loss
+// delivers reports whether a message sent now arrives.
+func (w *network) delivers(from, to *node) bool {
+	return !w.blocked[[2]int{from.index, to.index}] && w.now >= to.frozenUntil && w.now >= from.frozenUntil && w.rng.Float64() >= w.loss
 }
 
-// report hands an instance's part on to the home, and what it has left if another has taken its
-// place.
+// report transfers an instance's credit to the home, and the levels of its own buckets if
+// another instance is the home.
 func (w *network) report(d *node) {
 	home := w.homeOf(d)
 	if home != d {
 		for _, tokens := range d.home.HandOver(ShardOf(org)) {
-			d.bills[home.run] -= tokens
+			d.charges[home.run] -= tokens
 		}
 	}
-	d.giver.Accrue(w.now, len(w.nodes))
-	totals := d.giver.Transfer(home.run, []int{ShardOf(org)})
+	d.source.Accrue(w.now, len(w.nodes))
+	totals := d.source.Transfer(home.run, []int{ShardOf(org)})
 	if home == d {
 		d.home.Receive(w.now, d.run, totals)
 		return
 	}
 	w.reports++
-	if _, waiting := d.asked[home.index]; !waiting {
-		d.asked[home.index] = w.now
+	if _, pending := d.unanswered[home.index]; !pending {
+		d.unanswered[home.index] = w.now
 	}
-	if !w.passes(d, home) {
+	if !w.delivers(d, home) {
 		return
 	}
 	home.home.Receive(w.now, d.run, totals)
-	home.home.Charge(d.run, org, d.bills[home.run])
-	if w.passes(home, d) {
-		delete(d.asked, home.index)
+	home.home.Charge(d.run, org, d.charges[home.run])
+	if w.delivers(home, d) {
+		delete(d.unanswered, home.index)
 	}
 }
 
-// run lets time pass. ask is called for every instance that is not frozen.
-func (w *network) run(d time.Duration, ask func(i int) int64) {
-	for end := w.now + d; w.now < end; w.now += step {
+// run advances the simulation. In each step ask returns the tokens requested at an instance; it
+// is called for each one that is not frozen.
+func (w *network) run(duration time.Duration, ask func(i int) int64) {
+	for end := w.now + duration; w.now < end; w.now += step {
 		for i, d := range w.nodes {
-			if w.now < d.frozen {
+			if w.now < d.frozenUntil {
 				continue
 			}
-			if w.now%interval == time.Duration(i)*step%interval {
+			if w.now%reportInterval == time.Duration(i)*step%reportInterval {
 				w.report(d)
 			}
 			if tokens := ask(i); tokens > 0 {
 				w.admit(d, tokens)
 			}
 		}
-		w.probe()
+		w.retrySilentHubs()
 	}
 }
 
-// probe lets silent hubs be tried again, as others that hear them name them.
-func (w *network) probe() {
+// retrySilentHubs makes silent hubs eligible again after a while, as reports from instances that
+// hear them would.
+func (w *network) retrySilentHubs() {
 	for _, d := range w.nodes {
-		for other, since := range d.asked {
-			if w.now-since > silence+3*time.Second {
-				delete(d.asked, other)
+		for other, since := range d.unanswered {
+			if w.now-since > hubTimeout+3*time.Second {
+				delete(d.unanswered, other)
 			}
 		}
 	}
 }
 
-// admit asks the home for tokens, and reports whether it gave them.
+// admit asks the home for tokens and reports whether they were granted.
 func (w *network) admit(d *node, tokens int64) bool {
 	home := w.homeOf(d)
-	if home != d && !(w.passes(d, home) && w.passes(home, d)) {
+	if home != d && !(w.delivers(d, home) && w.delivers(home, d)) {
 		return false
 	}
 	if home == d {
@@ -211,8 +213,8 @@
 	return true
 }
 
-// most is the most that was spent in any window.
-func (w *network) most() int64 {
+// maxWindowSpend returns the most tokens spent in any window.
+func (w *network) maxWindowSpend() int64 {
 	var sum, most int64
 	first := 0
 	for _, s := range w.spends {
@@ -226,6 +228,7 @@
 	return most
 }
 
+// spent returns the tokens spent since a time.
 func (w *network) spent(from time.Duration) int64 {
 	sum := int64(0)
 	for _, s := range w.spends {
@@ -236,11 +239,12 @@
 	return sum
 }
 
-func nobody(int) int64 { return 0 }
+// noDemand is a load without requests.
+func noDemand(int) int64 { return 0 }
 
-// hot asks for a number of times the rate, spread over all instances.
-func (w *network) hot(times float64) func(int) int64 {
-	chance := times * w.limit.Rate * step.Seconds() / request / float64(len(w.nodes))
+// demand returns a load of a multiple of the rate, spread evenly over all instances.
+func (w *network) demand(multiple float64) func(int) int64 {
+	chance := multiple * w.limit.Rate * step.Seconds() / request / float64(len(w.nodes))
 	return func(int) int64 {
 		if w.rng.Float64() < chance {
 			return request
