--- a/decision/hub/hub.go
+++ b/decision/hub/hub.go
@@ -1,21 +1,22 @@
-// Package hub chooses which instances of a fleet the others report to, and which of them is
-// the home of what.
+// Package hub chooses which instances of a fleet the others report to, and which of these hubs
+// is the home of each subject.
 //
-// Load pattern: hundreds of instances, each with few requests, need to know what all have
-// placed and learnt. A few of the machines can do several times what the rest can.
+// Load pattern: hundreds of instances, each with few requests, need to know what all others have
+// placed and learnt. A few of the machines have several times the processor time of the rest.
 //
-// Without it: reports from each to each grow with the fleet's square. At 295 instances one
-// round of one instance takes a quarter of a second of its link, in which answers wait.
+// Without it: all-to-all reports grow with the square of the fleet size. At 295 instances one
+// round of reports of one instance occupies its link for a quarter of a second, during which
+// answers are delayed.
 //
 // Rules:
 //   - In a small fleet every instance is a hub, so that each reports to all.
-//   - In a large one the hubs are spread over the data centres, and in each the machines that
-//     can do most come first.
-//   - Among hubs, a subject's home is the one that comes first in an order that depends on the
-//     subject: when a hub is lost, only what it was the home of moves.
+//   - In a larger one the hubs are spread over the data centres, and within each the machines
+//     with the most processor time are preferred.
+//   - The home of a subject is chosen among the hubs by rendezvous hashing: when a hub is lost,
+//     only the subjects that it was the home of move.
 //
-// Nothing depends on all choosing the same. Instances that know different ones report to
-// different hubs until they have heard of the better ones.
+// Instances need not agree. Those that know different instances report to different hubs until
+// they learn of better ones.
 package hub
 
 import (
@@ -24,44 +25,43 @@
 	"slices"
 )
 
-// Figures of fleets.
 const (
-	// MaxFullMesh is the number of instances up to which each reports to all.
+	// MaxFullMesh is the largest fleet size at which every instance reports to all others.
 	MaxFullMesh = 16
-	// Hubs is the number of hubs of a larger fleet. Losing one moves an eighth of the homes;
-	// each instance reports to every one.
+	// Hubs is the number of hubs of a larger fleet. Each instance reports to all of them, and
+	// losing one moves an eighth of the homes.
 	Hubs = 8
 )
 
-// Candidate is an instance that may be a hub.
+// Candidate is an instance that may become a hub.
 type Candidate struct {
 	Name, DataCentre string
-	// Hash of the name orders machines that can do the same.
+	// Hash is the hash of the name. It orders otherwise equal machines.
 	Hash uint64
-	// Millicores is the processor time that it may use, in thousandths of a core.
+	// Millicores is its CPU limit in thousandths of a core.
 	Millicores int
-	// Settled tells that it has run for a while. Were one that has started again to take its
-	// place back, every restart would move what hubs are the homes of twice.
+	// Settled reports that it has been running for a while. If a restarted instance became a
+	// hub again at once, every restart would move its subjects twice.
 	Settled bool
 }
 
-// class puts machines that can do about the same together, so that which of them are chosen
-// is left to chance.
-func (c Candidate) class() int { return bits.Len(uint(max(c.Millicores, 0))) }
+// sizeClass groups machines of similar processor time, among which the hash decides.
+func (c Candidate) sizeClass() int { return bits.Len(uint(max(c.Millicores, 0))) }
 
-// Choose picks a number of hubs for a fleet of a size, the best first.
+// Choose returns the names of count hubs, or of all candidates in a fleet small enough for a full
+// mesh, with the preferred hubs first. instances is the size of the fleet.
 func Choose(candidates []Candidate, instances, count int) []string {
 	ordered := slices.Clone(candidates)
 	if instances <= MaxFullMesh {
 		count = len(ordered)
 	}
 	slices.SortFunc(ordered, compare)
-	return spread(ordered, count)
+	return spreadByDataCentre(ordered, count)
 }
 
 func compare(a, b Candidate) int {
 	return cmp.Or(
-		cmp.Compare(b.class(), a.class()),
+		cmp.Compare(b.sizeClass(), a.sizeClass()),
 		compareSettled(a, b),
 		cmp.Compare(a.Hash, b.Hash),
 		cmp.Compare(a.Name, b.Name),
@@ -79,16 +79,17 @@
 	}
 }
 
-// spread takes the best of each data centre in turn. A data centre whose best is of a lower
-// class than what others still have waits, as its machine would be the one to fall behind.
-func spread(ordered []Candidate, count int) []string {
+// spreadByDataCentre takes the best candidate of each data centre in turn. It passes over a data
+// centre while another still has machines of a higher size class, because a weaker machine would
+// fall behind.
+func spreadByDataCentre(ordered []Candidate, count int) []string {
 	var chosen []string
 	for len(chosen) < count && len(ordered) > 0 {
 		used := make(map[string]bool)
 		first := ordered[0]
 		var rest []Candidate
 		for _, c := range ordered {
-			same := c.Settled == first.Settled && c.class() == first.class()
+			same := c.Settled == first.Settled && c.sizeClass() == first.sizeClass()
 			if len(chosen) < count && same && !used[c.DataCentre] {
 				used[c.DataCentre] = true
 				chosen = append(chosen, c.Name)
@@ -101,22 +102,24 @@
 	return chosen
 }
 
-// HomeOf returns which of some hubs is the home of a numbered subject, by the place of its hash
-// in the list. The list must not be empty.
+// HomeOf returns the index of the hub that is the home of a subject, by rendezvous hashing over
+// the hashes of the hubs. The list must not be empty.
 func HomeOf(subject int, hubs []uint64) int {
 	home, highest := 0, uint64(0)
 	for i, hash := range hubs {
-		if weight := mix(hash + uint64(subject)*golden); weight > highest {
+		if weight := mix(hash + uint64(subject)*goldenGamma); weight > highest {
 			home, highest = i, weight
 		}
 	}
 	return home
 }
 
-// golden is 2^64 divided by the golden ratio, which spreads consecutive numbers.
-const golden = 0x9e3779b97f4a7c15
+// goldenGamma is 2^64 divided by the golden ratio. Multiples of it are spread evenly over the
+// 64-bit range.
+const goldenGamma = 0x9e3779b97f4a7c15
 
-// mix is the finalizer of SplitMix64 (Steele, Lea, Flood 2014): each bit depends on all.
+// mix is the finalizer of SplitMix64 (Steele, Lea, Flood 2014): every output bit depends on every
+// input bit.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/decision/hub/hub_test.go
+++ b/decision/hub/hub_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// machines returns n candidates in five data centres.
 func machines(n int, strong func(i int) bool) []Candidate {
 	var out []Candidate
 	for i := range n {
@@ -22,7 +23,7 @@
 	return out
 }
 
-// Guards against hubs that all stand in one data centre, or on machines that fall behind.
+// Guards against hubs that are all in one data centre or on machines too weak for the load.
 func TestHubsAreStrongAndSpread(t *testing.T) {
 	all := machines(295, func(i int) bool { return i < 15 })
 	chosen := Choose(all, len(all), Hubs)
@@ -39,7 +40,8 @@
 	}
 }
 
-// Guards against a strong machine that is passed over for a weak one of another data centre.
+// Guards against a weak machine that is preferred to a strong one because it is in another data
+// centre.
 func TestStrongMachinesComeFirst(t *testing.T) {
 	all := machines(100, func(i int) bool { return i%5 == 0 && i < 30 })
 	for _, name := range Choose(all, len(all), 6) {
@@ -48,8 +50,8 @@
 	}
 }
 
-// Guards against a hub that has just started and is in the middle of planned work.
-func TestFreshInstancesComeLast(t *testing.T) {
+// Guards against hubs that have just started, as during a rolling restart.
+func TestNewInstancesComeLast(t *testing.T) {
 	all := machines(30, func(int) bool { return true })
 	for i := range 25 {
 		all[i].Settled = false
@@ -61,23 +63,23 @@
 	}
 }
 
-// Guards against most organisations changing their home when one hub is lost.
+// Guards against the loss of one hub changing the home of most organisations.
 func TestLossOfAHubMovesItsHomesOnly(t *testing.T) {
 	var hubs []uint64
 	for i := range 8 {
 		hubs = append(hubs, xxhash.Sum64String(fmt.Sprint("hub", i)))
 	}
-	held := make([]int, len(hubs))
+	subjects := make([]int, len(hubs))
 	for subject := range 800 {
 		home := HomeOf(subject, hubs)
-		held[home]++
+		subjects[home]++
 		if home == 3 {
 			continue
 		}
-		less := slices.Delete(slices.Clone(hubs), 3, 4)
-		assert.Equal(t, less[HomeOf(subject, less)], hubs[home])
+		remaining := slices.Delete(slices.Clone(hubs), 3, 4)
+		assert.Equal(t, remaining[HomeOf(subject, remaining)], hubs[home])
 	}
-	for _, n := range held {
-		assert.Assert(t, n > 50 && n < 150, "%v", held)
+	for _, n := range subjects {
+		assert.Assert(t, n > 50 && n < 150, "%v", subjects)
 	}
 }
