--- a/decision/bucket/bucket.go
+++ b/decision/bucket/bucket.go
@@ -1,29 +1,29 @@
-// Package bucket is a token bucket whose refunds are exact: after any mix of
-// charges, refunds and limit changes its level is the most that can be spent
-// without any window of length w holding more than rate*w + burst of true spend.
+// Package bucket implements a token bucket with exact refunds: after any sequence of
+// charges, refunds and limit changes its level is the most that can be spent without
+// the true spend in any window of length w exceeding rate*w + burst.
 //
-// Load pattern: requests are charged their upper bound (prompt and longest
-// answer) when they are admitted and settled seconds later, when most turn out
-// to have used a fraction of it. Without a refund an organisation would get that
-// fraction of its rate. With the usual refund ("add what was not used, capped at
-// the burst") it would get too much: a bucket of 100 is charged 100 at second 0,
-// refills to 50, is charged 50 which are all used, and then gets the first 100
-// back; 150 tokens are spent at once where the burst is 100. The refund brings
-// back tokens that, had they never been taken, would have overflowed.
+// Load pattern: a request is charged its upper bound (prompt and longest answer) when
+// it is admitted and settled seconds later, when it usually turns out to have used a
+// fraction of it. Without a refund an organisation would get only that fraction of
+// its rate. With the usual refund ("add what was not used, capped at the burst") it
+// would get too much: a bucket of 100 is charged 100 at second 0, refills to 50, is
+// charged 50 that are all used, and then receives the first 100 back; 150 tokens are
+// spent at once although the burst is 100. The refund restores tokens that would have
+// overflowed the bucket had they never been taken.
 //
-// The level of a token bucket is min over s <= t of burst + rate*(t-s) -
-// spent(s, t]. A refund of r for a charge at time a lowers spent(s, t] for the
-// windows with s < a only. So for each open charge the bucket keeps a mark: the
-// minimum over the windows that begin at or after the charge, which is the level
-// of a bucket that was full right after it. A refund sets the level to
-// min(level + r, mark), and the older marks likewise. By induction over events
-// the level is the minimum above over the true spend, an unsettled charge counting
-// as its upper bound; the differential test compares it with that definition.
+// The level of a token bucket is the minimum over s <= t of burst + rate*(t-s) -
+// spent(s, t]. A refund of r for a charge at time a lowers spent(s, t] only for the
+// windows with s < a. So for each open charge the bucket keeps a refund cap: the
+// minimum over the windows that begin at or after the charge, which is the level of
+// a bucket that was full right after it. A refund sets the level to
+// min(level + r, cap), and the older caps likewise. By induction over events the
+// level equals the minimum above over the true spend, where an unsettled charge
+// counts as its upper bound; a differential test compares it with that definition.
 //
-// Marks never decrease from an older to a newer charge; two that have become
-// equal stay equal (a later refund raises the older at most to the newer), so
-// they are merged. Above maxMarks neighbours are merged at the lower value, which
-// can only make a refund smaller.
+// Caps never decrease from an older to a newer charge. Two that have become equal
+// stay equal (a later refund raises the older at most to the newer), so they are
+// merged. Beyond maxRefundCaps, neighbours are merged at the lower value, which can
+// only make a refund smaller.
 package bucket
 
 import (
@@ -32,109 +32,110 @@
 	"time"
 )
 
-// maxMarks bounds memory and time per bucket. 256 marks are 4 KiB, and one charge
-// walks them in about 0.3 microseconds.
-const maxMarks = 256
+// maxRefundCaps bounds the memory and time per bucket. 256 caps take 4 KiB, and one
+// charge updates them in about 0.3 microseconds.
+const maxRefundCaps = 256
 
-// Limit is the rate and the burst of a bucket in thousandths of a token.
+// Limit is the rate and burst of a bucket in thousandths of a token.
 type Limit struct {
 	MilliPerSecond int64
 	BurstMilli     int64
 }
 
-// ChargeID names a charge of one bucket, for its refund. The zero value names none.
+// ChargeID identifies a charge of one bucket for its refund. Zero identifies none.
 type ChargeID uint64
 
-// mark is the level that the windows since a charge allow. It stands for every
-// charge after the previous mark's last one, up to and including last.
-type mark struct {
+// refundCap is the level allowed by the windows that begin at or after a charge. It
+// applies to every charge after the last one of the preceding cap, up to and including
+// last.
+type refundCap struct {
 	last  ChargeID
 	level int64
 }
 
-// Bucket is a token bucket. Time is a monotonic clock's reading; a reading below
+// Bucket is a token bucket. Times are readings of a monotonic clock; a reading below
 // an earlier one counts as the earlier one. It is not safe for concurrent use.
 type Bucket struct {
-	limit Limit
-	at    time.Duration
-	// rest is what the last fill left below one thousandth of a token, in
+	limit   Limit
+	updated time.Duration
+	// remainder is the part of the last fill below one thousandth of a token, in
 	// thousandths times nanoseconds per second.
-	rest  uint64
-	level int64
-	marks []mark
-	last  ChargeID
+	remainder uint64
+	level     int64
+	caps      []refundCap
+	last      ChargeID
 }
 
-// New returns a bucket that holds level thousandths at time now. A level above the
-// burst is cut to it; a negative level is a debt.
+// New returns a bucket that holds level thousandths at time now. The level is capped
+// at the burst; a negative level is a debt.
 func New(limit Limit, level int64, now time.Duration) *Bucket {
-	return &Bucket{limit: limit, level: min(level, limit.BurstMilli), at: now}
+	return &Bucket{limit: limit, level: min(level, limit.BurstMilli), updated: now}
 }
 
-// Charge takes exactly milli thousandths or nothing. The id names the charge in a
-// refund.
+// Charge takes exactly milli thousandths or nothing. The id identifies the charge in
+// a refund.
 func (b *Bucket) Charge(now time.Duration, milli int64) (ChargeID, bool) {
 	b.fill(now)
 	if milli <= 0 || milli > b.level {
 		return 0, false
 	}
-	b.take(milli)
+	b.deduct(milli)
 	b.last++
-	b.marks = append(b.marks, mark{last: b.last, level: b.limit.BurstMilli})
-	if len(b.marks) > maxMarks {
-		b.halveMarks()
+	b.caps = append(b.caps, refundCap{last: b.last, level: b.limit.BurstMilli})
+	if len(b.caps) > maxRefundCaps {
+		b.halveCaps()
 	}
 	return b.last, true
 }
 
-// Overdraw takes milli thousandths even if the level becomes negative. It pays
+// Overdraw takes milli thousandths even if the level becomes negative. It accounts
 // for a request that used more than it was charged.
 func (b *Bucket) Overdraw(now time.Duration, milli int64) {
 	b.fill(now)
 	if milli > 0 {
-		b.take(milli)
+		b.deduct(milli)
 	}
 }
 
-// Refund gives back what a charge did not use. A charge must be refunded at most
-// once and by no more than it took. An unknown charge is ignored.
+// Refund returns the unused part of a charge. A charge must be refunded at most once
+// and by no more than it took. Unknown charges are ignored.
 func (b *Bucket) Refund(now time.Duration, id ChargeID, milli int64) {
 	b.fill(now)
 	if id == 0 || id > b.last || milli <= 0 {
 		return
 	}
 	i := 0
-	for i < len(b.marks) && b.marks[i].last < id {
+	for i < len(b.caps) && b.caps[i].last < id {
 		i++
 	}
 	bound := b.limit.BurstMilli
-	if i < len(b.marks) {
-		bound = b.marks[i].level
+	if i < len(b.caps) {
+		bound = b.caps[i].level
 	}
 	b.level = min(b.level+milli, bound)
-	for j := range b.marks[:i] {
-		b.marks[j].level = min(b.marks[j].level+milli, bound)
+	for j := range b.caps[:i] {
+		b.caps[j].level = min(b.caps[j].level+milli, bound)
 	}
-	b.mergeEqual()
+	b.mergeEqualCaps()
 }
 
-// SetLimit changes rate and burst. What is in the bucket stays, cut to the new
-// burst: a change creates no tokens.
+// SetLimit changes the rate and burst. The level is kept, capped at the new burst, so
+// that a change creates no tokens.
 func (b *Bucket) SetLimit(now time.Duration, limit Limit) {
 	if limit == b.limit {
 		return
 	}
 	b.fill(now)
 	b.limit = limit
-	b.rest = 0
+	b.remainder = 0
 	b.level = min(b.level, limit.BurstMilli)
-	for i := range b.marks {
-		b.marks[i].level = min(b.marks[i].level, limit.BurstMilli)
+	for i := range b.caps {
+		b.caps[i].level = min(b.caps[i].level, limit.BurstMilli)
 	}
-	b.mergeEqual()
+	b.mergeEqualCaps()
 }
 
-// Level returns the thousandths that can be spent at time now.
+// Level returns the thousandths of a token that can be spent at time now.
 func (b *Bucket) Level(now time.Duration) int64 {
 	b.fill(now)
 	return b.level
@@ -145,67 +146,67 @@
 	return b.Level(now) >= b.limit.BurstMilli
 }
 
-// Filled returns what a bucket that was empty holds after it has filled for d.
+// Filled returns the level of an initially empty bucket after it has filled for d.
 func Filled(limit Limit, d time.Duration) int64 {
 	gained, _ := gain(limit.MilliPerSecond, d, 0)
 	return min(gained, limit.BurstMilli)
 }
 
-func (b *Bucket) take(milli int64) {
+func (b *Bucket) deduct(milli int64) {
 	b.level -= milli
-	for i := range b.marks {
-		b.marks[i].level -= milli
+	for i := range b.caps {
+		b.caps[i].level -= milli
 	}
 }
 
 func (b *Bucket) fill(now time.Duration) {
-	if now <= b.at {
+	if now <= b.updated {
 		return
 	}
 	var gained int64
-	gained, b.rest = gain(b.limit.MilliPerSecond, now-b.at, b.rest)
-	b.at = now
+	gained, b.remainder = gain(b.limit.MilliPerSecond, now-b.updated, b.remainder)
+	b.updated = now
 	b.level = addCapped(b.level, gained, b.limit.BurstMilli)
-	for i := range b.marks {
-		b.marks[i].level = addCapped(b.marks[i].level, gained, b.limit.BurstMilli)
+	for i := range b.caps {
+		b.caps[i].level = addCapped(b.caps[i].level, gained, b.limit.BurstMilli)
 	}
-	b.mergeEqual()
+	b.mergeEqualCaps()
 }
 
-// mergeEqual joins neighbouring marks of one level.
-func (b *Bucket) mergeEqual() {
-	kept := b.marks[:0]
-	for _, m := range b.marks {
-		if n := len(kept); n > 0 && kept[n-1].level == m.level {
-			kept[n-1].last = m.last
+// mergeEqualCaps merges neighbouring caps of equal level.
+func (b *Bucket) mergeEqualCaps() {
+	kept := b.caps[:0]
+	for _, c := range b.caps {
+		if n := len(kept); n > 0 && kept[n-1].level == c.level {
+			kept[n-1].last = c.last
 			continue
 		}
-		kept = append(kept, m)
+		kept = append(kept, c)
 	}
-	b.marks = kept
+	b.caps = kept
 }
 
-// halveMarks merges neighbours in pairs at the lower level.
-func (b *Bucket) halveMarks() {
-	kept := b.marks[:0]
-	for i := 0; i < len(b.marks); i += 2 {
-		m := b.marks[i]
-		if i+1 < len(b.marks) {
-			m.last = b.marks[i+1].last
+// halveCaps merges neighbouring caps in pairs at the lower level, which is the older one.
+func (b *Bucket) halveCaps() {
+	kept := b.caps[:0]
+	for i := 0; i < len(b.caps); i += 2 {
+		c := b.caps[i]
+		if i+1 < len(b.caps) {
+			c.last = b.caps[i+1].last
 		}
-		kept = append(kept, m)
+		kept = append(kept, c)
 	}
-	b.marks = kept
+	b.caps = kept
 }
 
-// gain returns the thousandths that a rate yields in d, and the remainder to
-// carry to the next call.
-func gain(milliPerSecond int64, d time.Duration, rest uint64) (int64, uint64) {
+// gain returns the thousandths that a rate yields in d, and the remainder to carry
+// over to the next call.
+func gain(milliPerSecond int64, d time.Duration, carried uint64) (int64, uint64) {
 	if milliPerSecond <= 0 || d <= 0 {
-		return 0, rest
+		return 0, carried
 	}
 	hi, lo := bits.Mul64(uint64(milliPerSecond), uint64(d))
-	lo, carry := bits.Add64(lo, rest, 0)
+	lo, carry := bits.Add64(lo, carried, 0)
 	hi += carry
 	if hi >= uint64(time.Second)/2 {
 		return math.MaxInt64, 0
@@ -214,10 +215,10 @@
 	return int64(quotient), remainder
 }
 
-// addCapped adds without overflow up to a cap.
-func addCapped(level, gained, limit int64) int64 {
-	if gained >= limit-level {
-		return limit
+// addCapped adds without overflow, up to a maximum.
+func addCapped(level, gained, maximum int64) int64 {
+	if gained >= maximum-level {
+		return maximum
 	}
 	return level + gained
 }
