--- a/decision/split/split.go
+++ b/decision/split/split.go
@@ -1,23 +1,23 @@
-// Package split decides how a service's engines are divided between prefill and
+// Package split decides how the engines of a service are divided between prefill and
 // decode.
 //
-// Load pattern: operators start a third of the engines as prefill engines. Reading a
-// prompt takes a tenth of a second of an engine, generating its answer some seconds
-// of a tenth to a sixth of another's memory, so that decode engines are full in every
-// burst while prefill engines stand idle, or the other way round for long prompts
+// Load pattern: operators start a third of the engines as prefill engines. Prefilling a
+// prompt takes a tenth of a second of an engine. Decoding its answer takes some seconds
+// of a tenth to a sixth of another engine's memory, so that decode engines are full in
+// every burst while prefill engines are idle, or the other way round for long prompts
 // with short answers.
 //
-// Without it: what one pool cannot take is refused beside idle engines of the other
-// (TestSplitFollowsWork measures what is served).
+// Without it: requests that one pool cannot take are refused while engines of the other
+// pool are idle (TestSplitFollowsWork measures what is served).
 //
-// The work of a request at each pool is known from finished requests: the time that
-// its prompt takes at the speed that prefill engines show when they are free, and the
-// share of a decode engine's memory or slots times how long it was claimed. The best
-// division depends on their ratio only and not on how much is asked, so that it is
-// known after a few requests and does not follow each burst. What all instances have
-// seen counts: where sixty share the requests, one alone has seen enough only after 20 s,
-// until which ten idle prefill engines stood beside full decode engines
-// (TestFleetKnowsSooner).
+// The work of a request in each pool is estimated from finished requests: the time that
+// its prompt takes at the speed of an otherwise idle prefill engine, and the share of a
+// decode engine's memory or slots times how long it was claimed. The best division
+// depends only on the ratio of the two and not on the request rate, so it is known after
+// a few requests and does not follow each burst. The observations of all instances are
+// pooled: where sixty instances share the requests, a single one has seen enough only
+// after 20 s, and until then ten idle prefill engines stood beside full decode engines
+// (TestPeerStatsSpeedUpDecision).
 package split
 
 import (
@@ -27,76 +27,80 @@
 	"time"
 )
 
-// Config holds the figures of the package.
+// Config holds the parameters of an Advisor.
 type Config struct {
-	PrefillUse float64
+	// PrefillUtilisation is the utilisation that prefill engines are planned for.
+	PrefillUtilisation float64
+	// MinSamples is the number of observations required for an estimate.
 	MinSamples float64
-	Memory     float64
-	// EarlyRuns is how many times as many requests as run at once must have finished.
-	EarlyRuns float64
-	// Margin is by how many engines the best division must be off before it is changed.
+	// MaxSampleWeight bounds the weight of past requests in the running means.
+	MaxSampleWeight float64
+	// MinFinishedRatio is the required ratio of finished to running requests.
+	MinFinishedRatio float64
+	// Margin is the deviation from the best division, in engines, that is tolerated.
 	Margin float64
 }
 
-// DefaultConfig returns the default figures.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
-	return Config{PrefillUse: 0.85, MinSamples: 6, Memory: 100, EarlyRuns: 2, Margin: 0.3}
+	return Config{PrefillUtilisation: 0.85, MinSamples: 6, MaxSampleWeight: 100, MinFinishedRatio: 2, Margin: 0.3}
 }
 
-// Advisor learns the work of one service's requests. It is not safe for concurrent
+// Advisor estimates the work of one service's requests. It is not safe for concurrent
 // use.
 type Advisor struct {
 	cfg Config
-	// n is the weight of the samples, prompt the mean prompt in tokens, decode the mean
-	// work at decode engines in seconds of one whole engine.
-	n, prompt, decode float64
-	// speeds are those of the last prompts, alone of those that were alone at their engine.
-	speeds, alone speeds
-	// peers is what other instances have seen, by name.
+	// samples is the weight of the samples, meanPrompt the mean prompt in tokens, and
+	// meanDecodeWork the mean work on decode engines in seconds of a whole engine.
+	samples, meanPrompt, meanDecodeWork float64
+	// speeds are the prefill speeds of the last prompts, uncontended of those that were
+	// the only prompt on their engine.
+	speeds, uncontended speeds
+	// peers holds the statistics of other instances by name.
 	peers map[string]Stats
 }
 
-// New returns an advisor that has seen nothing.
+// New returns an advisor without observations.
 func New(cfg Config) *Advisor { return &Advisor{cfg: cfg, peers: make(map[string]Stats)} }
 
-// Figures of the speed at which engines read prompts.
 const (
-	// speedMemory is how many prompts it is taken from.
-	speedMemory = 32
-	// speedQuantile is the part of them that were read no faster. Most wait behind
-	// others, so that the middle is too slow; the fastest may be one whose prompt was
-	// kept already, or an answer that belongs to none, and a single one of these made
+	// speedWindow is the number of prompts from which the prefill speed is estimated.
+	speedWindow = 32
+	// speedQuantile is the quantile of their speeds that is used. Most prompts wait behind
+	// others, so that the median is too slow. The fastest may be one whose prompt was
+	// already cached, or a response that matches no prompt; a single one of these made
 	// prefill engines look thirty times as fast as they are.
 	speedQuantile = 0.75
 )
 
-// ObservePrefill takes in how long the prompt of a request took. alone tells that no other prompt
-// was known to be at the engine, so that the time has no wait in it.
-func (a *Advisor) ObservePrefill(tokens int, took time.Duration, alone bool) {
+// ObservePrefill records how long a prompt took. uncontended reports that no other prompt
+// was known to be on the engine, so that the time includes no waiting.
+func (a *Advisor) ObservePrefill(tokens int, took time.Duration, uncontended bool) {
 	if took <= 0 || tokens <= 0 {
 		return
 	}
 	speed := float64(tokens) / took.Seconds()
 	a.speeds.add(speed)
-	if alone {
-		a.alone.add(speed)
+	if uncontended {
+		a.uncontended.add(speed)
 	}
 }
 
-// speed is at how many tokens a second an engine reads a prompt when it is free, 0 if
-// none was read. Prompts that were alone tell it; while they are few, all do.
+// speed returns the tokens per second at which an idle engine prefills a prompt, or 0
+// without observations. It is estimated from uncontended prompts or, while there are too
+// few of them, from all prompts.
 func (a *Advisor) speed() float64 {
-	if float64(len(a.alone)) >= a.cfg.MinSamples {
-		return a.alone.quantile()
+	if float64(len(a.uncontended)) >= a.cfg.MinSamples {
+		return a.uncontended.quantile()
 	}
 	return a.speeds.quantile()
 }
 
-// speeds are the last speeds at which prompts were read, oldest first.
+// speeds holds the prefill speeds of the last prompts, oldest first.
 type speeds []float64
 
 func (s *speeds) add(speed float64) {
-	if len(*s) == speedMemory {
+	if len(*s) == speedWindow {
 		*s = (*s)[:copy(*s, (*s)[1:])]
 	}
 	*s = append(*s, speed)
@@ -110,116 +114,130 @@
 	return sorted[int(speedQuantile*float64(len(sorted)-1))]
 }
 
-// ObserveRequest takes in a request: its prompt and the share of a decode engine that it
-// claimed for some time.
+// ObserveRequest records a finished request: its prompt length, and the share of a decode
+// engine that it claimed and for how long.
 func (a *Advisor) ObserveRequest(prompt int, share float64, took time.Duration) {
-	a.n = min(a.n+1, a.cfg.Memory)
-	a.prompt += (float64(prompt) - a.prompt) / a.n
-	a.decode += (share*took.Seconds() - a.decode) / a.n
+	a.samples = min(a.samples+1, a.cfg.MaxSampleWeight)
+	a.meanPrompt += (float64(prompt) - a.meanPrompt) / a.samples
+	a.meanDecodeWork += (share*took.Seconds() - a.meanDecodeWork) / a.samples
 }
 
-// Stats is what one instance, or all together, have seen.
+// Stats summarises the observations of one instance or of all together.
 type Stats struct {
-	// Samples is the weight of finished requests, PromptCount the number of prompts read.
+	// Samples is the weight of the finished requests, PromptCount the number of prompts
+	// with a prefill speed.
 	Samples, PromptCount float64
-	// MeanPrompt is the mean prompt in tokens, PrefillSpeed in tokens a second, MeanDecodeWork the mean
-	// work of a request at decode engines in seconds of a whole engine.
+	// MeanPrompt is the mean prompt in tokens, PrefillSpeed is in tokens per second, and
+	// MeanDecodeWork is the mean work of a request on decode engines in seconds of a
+	// whole engine.
 	MeanPrompt, PrefillSpeed, MeanDecodeWork float64
 }
 
-// Stats returns what this instance has seen.
+// Stats returns the observations of this instance.
 func (a *Advisor) Stats() Stats {
-	return Stats{Samples: a.n, PromptCount: float64(len(a.speeds)), MeanPrompt: a.prompt, PrefillSpeed: a.speed(), MeanDecodeWork: a.decode}
+	return Stats{
+		Samples: a.samples, PromptCount: float64(len(a.speeds)),
+		MeanPrompt: a.meanPrompt, PrefillSpeed: a.speed(), MeanDecodeWork: a.meanDecodeWork,
+	}
 }
 
-// SetPeer replaces what another instance has seen. A view without samples forgets it.
-func (a *Advisor) SetPeer(name string, v Stats) {
-	if v.Samples <= 0 && v.PromptCount <= 0 {
+// SetPeer replaces the statistics of another instance. Empty statistics remove it.
+func (a *Advisor) SetPeer(name string, stats Stats) {
+	if stats.Samples <= 0 && stats.PromptCount <= 0 {
 		delete(a.peers, name)
 		return
 	}
-	a.peers[name] = v
+	a.peers[name] = stats
 }
 
-// Pooled returns what all have seen: means by their weights, and the speed that three
-// quarters of the prompts lie below, counted by instances' own quantiles.
+// Pooled returns the statistics of all instances together: weighted means, and a weighted
+// quantile of the instances' prefill speeds, with the number of prompts as weight.
 func (a *Advisor) Pooled() Stats {
-	views := []Stats{a.Stats()}
-	for _, v := range a.peers {
-		views = append(views, v)
+	all := []Stats{a.Stats()}
+	for _, stats := range a.peers {
+		all = append(all, stats)
 	}
-	var all Stats
-	for _, v := range views {
-		all.Samples += v.Samples
-		all.PromptCount += v.PromptCount
-		all.MeanPrompt += v.Samples * v.MeanPrompt
-		all.MeanDecodeWork += v.Samples * v.MeanDecodeWork
+	var pooled Stats
+	for _, stats := range all {
+		pooled.Samples += stats.Samples
+		pooled.PromptCount += stats.PromptCount
+		pooled.MeanPrompt += stats.Samples * stats.MeanPrompt
+		pooled.MeanDecodeWork += stats.Samples * stats.MeanDecodeWork
 	}
-	if all.Samples > 0 {
-		all.MeanPrompt /= all.Samples
-		all.MeanDecodeWork /= all.Samples
+	if pooled.Samples > 0 {
+		pooled.MeanPrompt /= pooled.Samples
+		pooled.MeanDecodeWork /= pooled.Samples
 	}
-	slices.SortFunc(views, func(x, y Stats) int { return cmp.Compare(x.PrefillSpeed, y.PrefillSpeed) })
-	below := 0.0
-	for _, v := range views {
-		if below += v.PromptCount; v.PromptCount > 0 && below >= speedQuantile*all.PromptCount {
-			all.PrefillSpeed = v.PrefillSpeed
+	slices.SortFunc(all, func(x, y Stats) int { return cmp.Compare(x.PrefillSpeed, y.PrefillSpeed) })
+	prompts := 0.0
+	for _, stats := range all {
+		if prompts += stats.PromptCount; stats.PromptCount > 0 && prompts >= speedQuantile*pooled.PromptCount {
+			pooled.PrefillSpeed = stats.PrefillSpeed
 			break
 		}
 	}
-	return all
+	return pooled
 }
 
-// leastPrefill is the fewest prefill engines, where there are more engines than that.
-// With one, its loss leaves every prompt to decode engines until another has changed,
-// and a few long prompts in a row make all others late.
-const leastPrefill = 2
+// minPrefill is the least number of prefill engines where there are more engines than
+// that. With a single one, its loss would leave every prompt to the decode engines until
+// another engine has changed its role, and a few long prompts in a row would delay all
+// others.
+const minPrefill = 2
 
-// TooFewFinished reports whether those that have finished tell too little of those that still run.
-// After all instances of a fleet lost power, the first thirteen answers to end were a third as
-// long as all: twelve of sixty engines were ordered to prefill by them, and back ten seconds
-// later, each of them away for six seconds in a burst.
+// TooFewFinished reports whether too few requests have finished to represent those still
+// running, since short ones finish first. After all instances of a fleet lost power, the
+// first thirteen answers to finish were a third as long as all on average: because of them
+// twelve of sixty engines were ordered to prefill and ten seconds later back again, each
+// unavailable for six seconds during a burst.
 func (a *Advisor) TooFewFinished(running int) bool {
-	return a.Pooled().Samples < min(a.cfg.EarlyRuns*float64(running), a.cfg.Memory)
+	return a.Pooled().Samples < min(a.cfg.MinFinishedRatio*float64(running), a.cfg.MaxSampleWeight)
 }
 
-// Recommend returns how many of a number of engines should prefill, between the least and
-// one less than all, where have do now. ok is false while too little is known.
-func (a *Advisor) Recommend(engines, have int) (prefill int, ok bool) {
-	seen := a.Pooled()
-	few := min(seen.Samples, seen.PromptCount) < a.cfg.MinSamples
-	if few || seen.PrefillSpeed <= 0 || seen.MeanDecodeWork <= 0 || engines < 2 {
+// Recommend returns how many of the engines should prefill, between minPrefill and all but
+// one, given the number that do now. ok is false while there are too few observations.
+func (a *Advisor) Recommend(engines, current int) (prefill int, ok bool) {
+	pooled := a.Pooled()
+	tooFew := min(pooled.Samples, pooled.PromptCount) < a.cfg.MinSamples
+	if tooFew || pooled.PrefillSpeed <= 0 || pooled.MeanDecodeWork <= 0 || engines < 2 {
 		return 0, false
 	}
-	l := load{engines: engines, reading: seen.MeanPrompt / seen.PrefillSpeed / a.cfg.PrefillUse, decode: seen.MeanDecodeWork}
-	exact := l.reading / (l.reading + l.decode) * float64(engines)
+	w := workload{
+		engines: engines,
+		prefill: pooled.MeanPrompt / pooled.PrefillSpeed / a.cfg.PrefillUtilisation,
+		decode:  pooled.MeanDecodeWork,
+	}
+	exact := w.prefill / (w.prefill + w.decode) * float64(engines)
 	switch {
-	case exact > float64(have)+a.cfg.Margin:
-		prefill = l.worthwhile(have, int(math.Ceil(exact-a.cfg.Margin)))
-	case exact < float64(have)-1-a.cfg.Margin:
+	case exact > float64(current)+a.cfg.Margin:
+		prefill = w.usefulPrefill(current, int(math.Ceil(exact-a.cfg.Margin)))
+	case exact < float64(current)-1-a.cfg.Margin:
 		prefill = int(math.Ceil(exact + a.cfg.Margin))
 	default:
-		prefill = have
+		prefill = current
 	}
-	return min(max(prefill, leastPrefill), engines-1), true
+	return min(max(prefill, minPrefill), engines-1), true
 }
 
-// load is the work of one request at each pool, in seconds of a whole engine.
-type load struct {
+// workload is the work of one request in each pool, in seconds of a whole engine, and the
+// number of engines that share it.
+type workload struct {
 	engines         int
-	reading, decode float64
+	prefill, decode float64
 }
 
-// served is how many requests a second a division can take: what its fuller pool can.
-func (l load) served(prefill int) float64 {
-	return min(float64(prefill)/l.reading, float64(l.engines-prefill)/l.decode)
+// throughput returns the requests per second that a division can serve, which the more
+// heavily loaded pool limits.
+func (w workload) throughput(prefill int) float64 {
+	return min(float64(prefill)/w.prefill, float64(w.engines-prefill)/w.decode)
 }
 
-// worthwhile is how many engines up to a number should prefill. The work gives a fraction of
-// an engine; rounded up, the last one may cost the decode engines more than it gives: of two
-// of them the second is half of what can be answered.
-func (l load) worthwhile(have, most int) int {
-	if most-1 >= have && l.served(most) <= l.served(most-1) {
+// usefulPrefill returns most, or one prefill engine less if the last one does not raise
+// the throughput. The exact division is fractional, and when it is rounded up, the last
+// engine may cost the decode pool more than it gains: with two decode engines, the second
+// is half of the capacity for answers.
+func (w workload) usefulPrefill(current, most int) int {
+	if most-1 >= current && w.throughput(most) <= w.throughput(most-1) {
 		return most - 1
 	}
 	return most
