--- a/decision/waiting/waiting.go
+++ b/decision/waiting/waiting.go
@@ -1,22 +1,22 @@
-// Package waiting decides which of the requests that wait for an engine goes next,
-// and how long a request waits.
+// Package waiting implements the queue of requests that wait for an engine: which one is
+// placed next, and how long each may wait.
 //
-// Load pattern: bursts bring two to four times what the decode engines hold. An
-// answer whose first event comes within the objective is worth five times a later
-// one, and both take the same memory.
+// Load pattern: bursts bring two to four times what the decode engines hold. An answer
+// whose first event arrives within the objective is worth five times a later one, and
+// both take the same memory.
 //
-// Without it: first come, first served with a long wait makes every request late
-// once a burst has filled the queue, also those that come after it; the engines are
-// as busy as before and what they do is worth a fifth (TestBurst measures it).
+// Without it: once a burst has filled a first-come, first-served queue with long waits,
+// every request is late, including those that arrive after the burst. The engines are as
+// busy as before, but their work is worth a fifth (TestBurstIsServedInTime measures it).
 //
 // Rules:
-//   - A request waits as long as it can still be on time. Then it is refused at
-//     once and told to come back.
-//   - Among those that can be on time the lower priority number goes first, then
-//     the organisation that has been given least lately, then the earlier.
-//   - A request that does not fit lets others pass, as engines differ in room, but
-//     only for a while: after that nothing smaller passes it, so that large requests
-//     are served as well.
+//   - A request waits as long as it can still meet its objective. Then it is refused at
+//     once with a time to retry after.
+//   - Among those that can meet it, the lower priority number is placed first, then the
+//     organisation that was served the fewest tokens lately, then the earlier arrival.
+//   - A request that does not fit may be overtaken, since engines differ in free memory,
+//     but only for a limited time. After that no later request overtakes it, so that
+//     large requests are not starved.
 package waiting
 
 import (
@@ -25,57 +25,58 @@
 	"time"
 )
 
-// Config holds the figures of the package.
+// Config holds the parameters of a Queue.
 type Config struct {
-	// Lead is how long before the objective a request must have its place.
+	// Lead is how long before its objective a request must be placed.
 	Lead time.Duration
-	// MinWait is the least wait, where the objective leaves none.
+	// MinWait is the wait of requests whose objective leaves less time, or that have no
+	// objective.
 	MinWait time.Duration
-	// Overtaken is how long a request is passed by others that fit.
-	Overtaken time.Duration
-	// Retry and RetrySpread are when refused callers come back: Retry at the earliest,
-	// spread evenly over RetrySpread.
-	Retry, RetrySpread time.Duration
-	// Fairness is how fast what an organisation was given is forgotten.
-	Fairness time.Duration
+	// MaxOvertaken is how long a request may be overtaken by others that fit.
+	MaxOvertaken time.Duration
+	// MinRetry is the shortest time after which refused callers retry. RetryJitter is the
+	// interval over which their retries are spread evenly.
+	MinRetry, RetryJitter time.Duration
+	// FairnessWindow is the time over which the tokens that an organisation was served decay.
+	FairnessWindow time.Duration
 }
 
-// DefaultConfig returns the default figures.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{
-		Lead: 300 * time.Millisecond, MinWait: 100 * time.Millisecond, Overtaken: 250 * time.Millisecond,
-		Retry: 1500 * time.Millisecond, RetrySpread: 2 * time.Second, Fairness: 2 * time.Second,
+		Lead: 300 * time.Millisecond, MinWait: 100 * time.Millisecond, MaxOvertaken: 250 * time.Millisecond,
+		MinRetry: 1500 * time.Millisecond, RetryJitter: 2 * time.Second, FairnessWindow: 2 * time.Second,
 	}
 }
 
-// Item is one waiting request.
+// Item is a waiting request.
 type Item struct {
 	Organisation string
-	// Priority 0 goes first.
+	// Priority is the priority number; 0 is placed first.
 	Priority int
-	// Tokens is the engine memory that it needs, Output the part of it that comes while it
-	// runs.
+	// Tokens is the engine memory that it needs, Output the part of it that is generated
+	// while it runs.
 	Tokens, Output int
 	Arrived        time.Time
-	// Objective is the time within which the first event is on time; 0 means none.
+	// Objective is the time within which the first event must arrive; 0 means none.
 	Objective time.Duration
-	// Deadline is when the wait ends in any case.
+	// Deadline is when the wait ends regardless of the objective.
 	Deadline time.Time
-	// RetrySeed spreads the times to come back, any number.
+	// RetrySeed is an arbitrary number that selects the retry time within RetryJitter.
 	RetrySeed uint64
 }
 
-// until is when a request has waited enough.
-func (c Config) until(i *Item) time.Time {
+// waitEnd returns the time at which a request is refused unless it has been placed.
+func (c Config) waitEnd(i *Item) time.Time {
 	wait := c.MinWait
 	if i.Objective > 0 {
 		wait = max(i.Objective-c.Lead, c.MinWait)
 	}
-	at := i.Arrived.Add(wait)
-	if at.After(i.Deadline) {
+	end := i.Arrived.Add(wait)
+	if end.After(i.Deadline) {
 		return i.Deadline
 	}
-	return at
+	return end
 }
 
 // Queue holds the waiting requests of one service. It is not safe for concurrent
@@ -83,44 +84,44 @@
 type Queue struct {
 	cfg   Config
 	items []*Item
-	// given is what each organisation was given lately, in tokens.
-	given map[string]float64
-	at    time.Time
+	// served is the decaying sum of tokens that each organisation was served.
+	served  map[string]float64
+	decayed time.Time
 }
 
 // New returns an empty queue.
-func New(cfg Config) *Queue { return &Queue{cfg: cfg, given: make(map[string]float64)} }
+func New(cfg Config) *Queue { return &Queue{cfg: cfg, served: make(map[string]float64)} }
 
-// Len is the number of waiting requests.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return len(q.items) }
 
-// Add lets a request wait.
+// Add appends a request to the queue.
 func (q *Queue) Add(i *Item) { q.items = append(q.items, i) }
 
-// Remove ends a request's wait.
+// Remove removes a request from the queue, if it is there.
 func (q *Queue) Remove(i *Item) {
 	if at := slices.Index(q.items, i); at >= 0 {
 		q.items = slices.Delete(q.items, at, at+1)
 	}
 }
 
-// Dispatch gives places in order. claim tries to place a request and reports whether it
-// did; refuse ends the wait of a request that can no longer be on time, with the time
-// after which its caller is to come back.
+// Dispatch places waiting requests in order. claim tries to place a request and reports
+// whether it did. refuse ends the wait of a request that can no longer meet its objective;
+// retry is the time after which its caller is to retry.
 func (q *Queue) Dispatch(now time.Time, claim func(i *Item) bool, refuse func(i *Item, retry time.Duration)) {
-	q.forget(now)
+	q.decayServed(now)
 	q.sort()
 	kept := q.items[:0]
 	blocked := false
 	for _, i := range q.items {
 		switch {
 		case !blocked && claim(i):
-			q.given[i.Organisation] += float64(i.Tokens)
-		case !now.Before(q.cfg.until(i)):
-			refuse(i, q.retry(i))
+			q.served[i.Organisation] += float64(i.Tokens)
+		case !now.Before(q.cfg.waitEnd(i)):
+			refuse(i, q.retryAfter(i))
 		default:
 			kept = append(kept, i)
-			if now.Sub(i.Arrived) > q.cfg.Overtaken {
+			if now.Sub(i.Arrived) > q.cfg.MaxOvertaken {
 				blocked = true
 			}
 		}
@@ -129,16 +130,16 @@
 	q.items = kept
 }
 
-// forget lets what was given fade.
-func (q *Queue) forget(now time.Time) {
-	elapsed := now.Sub(q.at)
-	q.at = now
-	keep := 1 - min(elapsed.Seconds()/q.cfg.Fairness.Seconds(), 1)
-	for organisation, tokens := range q.given {
+// decayServed reduces the served tokens by the elapsed share of the fairness window.
+func (q *Queue) decayServed(now time.Time) {
+	elapsed := now.Sub(q.decayed)
+	q.decayed = now
+	keep := 1 - min(elapsed.Seconds()/q.cfg.FairnessWindow.Seconds(), 1)
+	for organisation, tokens := range q.served {
 		if tokens *= keep; tokens < 1 {
-			delete(q.given, organisation)
+			delete(q.served, organisation)
 		} else {
-			q.given[organisation] = tokens
+			q.served[organisation] = tokens
 		}
 	}
 }
@@ -147,15 +148,15 @@
 	slices.SortStableFunc(q.items, func(a, b *Item) int {
 		return cmp.Or(
 			cmp.Compare(a.Priority, b.Priority),
-			cmp.Compare(q.given[a.Organisation], q.given[b.Organisation]),
+			cmp.Compare(q.served[a.Organisation], q.served[b.Organisation]),
 			a.Arrived.Compare(b.Arrived),
 		)
 	})
 }
 
-// retrySteps is into how many times the spread is divided.
+// retrySteps is the number of distinct retry times within RetryJitter.
 const retrySteps = 1000
 
-func (q *Queue) retry(i *Item) time.Duration {
-	return q.cfg.Retry + q.cfg.RetrySpread*time.Duration(i.RetrySeed%retrySteps)/retrySteps
+func (q *Queue) retryAfter(i *Item) time.Duration {
+	return q.cfg.MinRetry + q.cfg.RetryJitter*time.Duration(i.RetrySeed%retrySteps)/retrySteps
 }
--- a/decision/waiting/waiting_test.go
+++ b/decision/waiting/waiting_test.go
@@ -16,7 +16,7 @@
 	return &Item{Organisation: "a", Tokens: 10, Arrived: start.Add(at), Objective: objective, Deadline: start.Add(at + 14*time.Second), RetrySeed: uint64(i * 37)}
 }
 
-// pool is an engine pool whose places are taken for three seconds each.
+// pool is an engine pool in which each request occupies a slot for three seconds.
 type pool struct {
 	size int
 	ends []time.Duration
@@ -37,9 +37,10 @@
 	return true
 }
 
-// burst sends four times what a pool can do for four seconds, then a fifth of it, and
-// returns how many got a place in time and how many late.
-func burst(cfg Config) (onTime, late int) {
+// simulateBurst sends four times the capacity of a pool for four seconds and returns how many
+// requests were placed in time and how many late. At the lower rate set for the time after
+// the burst, no further request is due before the simulation ends.
+func simulateBurst(cfg Config) (onTime, late int) {
 	q := New(cfg)
 	p := &pool{size: 60}
 	n := 0
@@ -70,21 +71,21 @@
 	return onTime, late
 }
 
-// A burst brings four times what the engines can do. If everybody waits as long as
-// its deadline allows, the queue is seconds long when the burst is over, and all that
-// is served is late, what comes after the burst as well.
-func TestBurst(t *testing.T) {
+// Guards against requests that wait as long as their deadlines allow during a burst of four
+// times the capacity. The queue is then seconds long when the burst ends, and all requests
+// are served late, including those that arrive after it.
+func TestBurstIsServedInTime(t *testing.T) {
 	cfg := DefaultConfig()
-	onTime, late := burst(cfg)
+	onTime, late := simulateBurst(cfg)
 	patient := cfg
 	patient.MinWait = 10 * time.Second
-	naiveOnTime, naiveLate := burst(patient)
+	naiveOnTime, naiveLate := simulateBurst(patient)
 	assert.Equal(t, late, 0)
 	assert.Assert(t, onTime >= 2*naiveOnTime, "on time %d, with long waits %d (late %d)", onTime, naiveOnTime, naiveLate)
 }
 
-// One organisation sends nine requests for each of the other's. In order of arrival
-// the other would wait behind all of them.
+// Guards against an organisation that sends nine times as many requests as another delaying
+// it: in order of arrival, the other would wait behind all of them.
 func TestOrganisationsTakeTurns(t *testing.T) {
 	q := New(DefaultConfig())
 	for i := range 90 {
@@ -111,9 +112,9 @@
 	assert.Equal(t, given["b"], 10, "%v", given)
 }
 
-// A large request does not fit where small ones do. If they may always pass it, it
-// never gets a place: its caller is refused again and again.
-func TestLargeRequestIsNotPassedForEver(t *testing.T) {
+// Guards against a large request that is never placed because smaller ones always overtake
+// it, so that its caller is refused every time.
+func TestLargeRequestIsNotStarved(t *testing.T) {
 	q := New(DefaultConfig())
 	large := item(0, 0)
 	large.Tokens = 100
@@ -136,11 +137,12 @@
 			return
 		}
 	}
-	t.Fatal("the large request got no place")
+	t.Fatal("the large request was not placed")
 }
 
-// Callers refused together that all come back at the same moment are the next burst.
-func TestRefusedCallersComeBackSpreadOut(t *testing.T) {
+// Guards against callers that are refused together and all retry at the same moment, which
+// would be the next burst.
+func TestRefusedCallersRetrySpreadOut(t *testing.T) {
 	q := New(DefaultConfig())
 	for i := range 50 {
 		q.Add(item(i, 0))
@@ -149,18 +151,18 @@
 	q.Dispatch(start.Add(objective), func(*Item) bool { return false }, func(_ *Item, retry time.Duration) {
 		times[retry]++
 		cfg := DefaultConfig()
-		assert.Assert(t, retry >= cfg.Retry && retry <= cfg.Retry+cfg.RetrySpread, fmt.Sprint(retry))
+		assert.Assert(t, retry >= cfg.MinRetry && retry <= cfg.MinRetry+cfg.RetryJitter, fmt.Sprint(retry))
 	})
-	assert.Assert(t, len(times) > 40, "%d different times", len(times))
+	assert.Assert(t, len(times) > 40, "%d different retry times", len(times))
 	assert.Equal(t, q.Len(), 0)
 }
 
-// A caller leaves while its request waits: nothing may be given to it.
-func TestRemovedRequestGetsNothing(t *testing.T) {
+// Guards against placing a request whose caller has left while it waited.
+func TestRemovedRequestIsNotPlaced(t *testing.T) {
 	q := New(DefaultConfig())
 	i := item(0, 0)
 	q.Add(i)
 	q.Remove(i)
 	q.Remove(i)
-	q.Dispatch(start, func(*Item) bool { t.Fatal("given"); return true }, nil)
+	q.Dispatch(start, func(*Item) bool { t.Fatal("placed"); return true }, nil)
 }
