--- a/decision/transfer/transfer.go
+++ b/decision/transfer/transfer.go
@@ -1,14 +1,14 @@
-// Package transfer books KV transfers on links of limited rate.
+// Package transfer schedules KV transfers on links of limited rate.
 //
-// Load pattern: many prefills end close together and their results leave through
-// the same link or enter the same decode upstream. Without bookings the transfers
-// share the rate, all of them slow down, and results expire (they live under a
-// second) after their prefill was paid for. One notices by transfer failures that
-// rise with load while every engine is healthy.
+// Load pattern: many prefills finish close together, and their results leave through the
+// same link or enter the same decode upstream. Without bookings the transfers share the
+// rate, all of them slow down, and results expire (they live for less than a second)
+// after their prefill was paid for. The symptom is transfer failures that rise with load
+// while every engine is healthy.
 //
-// Each link has a calendar of bookings. A transfer is booked before its prefill
-// starts, at the first time after the prefill's expected end when both links are
-// free; a placement whose result would wait too long is not made.
+// Each link has a schedule of bookings. A transfer is booked before its prefill starts, at
+// the first time after the expected end of the prefill when both links are free. A
+// placement whose result would wait too long is not made.
 package transfer
 
 import (
@@ -16,10 +16,10 @@
 	"time"
 )
 
-// Link is the calendar of one upstream's link. The zero value is a link of
-// unlimited rate without bookings.
+// Link is the schedule of one upstream's link. The zero value is a link of unlimited
+// rate without bookings.
 type Link struct {
-	// BytesPerSecond is the rate; 0 means unlimited.
+	// BytesPerSecond is the rate of the link; 0 means unlimited.
 	BytesPerSecond int64
 	bookings       []booking
 }
@@ -29,8 +29,8 @@
 	start, end time.Time
 }
 
-// Duration is the time that bytes take on the slower of two links, which is the
-// length of their booking.
+// Duration returns the time that a transfer takes on the slower of two links, which is
+// the length of its booking.
 func Duration(a, b *Link, bytes int64) time.Duration {
 	rate := a.BytesPerSecond
 	if rate == 0 || (b.BytesPerSecond > 0 && b.BytesPerSecond < rate) {
@@ -42,24 +42,26 @@
 	return time.Duration(float64(bytes) / float64(rate) * float64(time.Second))
 }
 
-// Earliest is the first time from after on when both links are free for length.
+// Earliest returns the first time, not before after, from which both links are free for
+// length.
 func Earliest(a, b *Link, after time.Time, length time.Duration) time.Time {
 	if length == 0 {
 		return after
 	}
 	for {
-		start := b.free(a.free(after, length), length)
+		start := b.earliest(a.earliest(after, length), length)
 		if start.Equal(after) {
 			return start
 		}
-		// Both calendars are finite, so that the start moves past their last
-		// bookings at the latest.
+		// This terminates because both schedules are finite: at the latest the start
+		// moves past their last bookings.
 		after = start
 	}
 }
 
-// free is the first time from after on when the link is free for length.
-func (l *Link) free(after time.Time, length time.Duration) time.Time {
+// earliest returns the first time, not before after, from which the link is free for
+// length.
+func (l *Link) earliest(after time.Time, length time.Duration) time.Time {
 	if l.BytesPerSecond == 0 {
 		return after
 	}
@@ -74,10 +76,10 @@
 	return after
 }
 
-// FreeSince is the end of the last booking before start on either link; zero
-// without one. From then on a transfer booked for start may use the links: a
-// prefill that ends sooner than expected need not wait, and its result expire,
-// while they are idle.
+// FreeSince returns the end of the last booking before start on either link, or zero
+// without one. From then on a transfer booked for start may use the links, so that the
+// result of a prefill that ends earlier than expected does not wait and expire while
+// they are idle.
 func FreeSince(a, b *Link, start time.Time) time.Time {
 	since := a.freeSince(start)
 	if other := b.freeSince(start); other.After(since) {
@@ -96,7 +98,7 @@
 	return since
 }
 
-// Book enters a grant's transfer. The time must come from Earliest.
+// Book adds the transfer of a grant. start must have been returned by Earliest.
 func (l *Link) Book(grant uint64, start time.Time, length time.Duration) {
 	if l.BytesPerSecond == 0 || length == 0 {
 		return
@@ -107,12 +109,12 @@
 	l.bookings = slices.Insert(l.bookings, at, booking{grant: grant, start: start, end: start.Add(length)})
 }
 
-// Cancel takes a grant's booking out. Unknown grants are ignored.
+// Cancel removes the booking of a grant. Unknown grants are ignored.
 func (l *Link) Cancel(grant uint64) {
 	l.bookings = slices.DeleteFunc(l.bookings, func(b booking) bool { return b.grant == grant })
 }
 
-// Expire drops bookings that have ended.
+// Expire removes the bookings that have ended.
 func (l *Link) Expire(now time.Time) {
 	keep := 0
 	for keep < len(l.bookings) && !l.bookings[keep].end.After(now) {
@@ -121,5 +123,5 @@
 	l.bookings = slices.Delete(l.bookings, 0, keep)
 }
 
-// Bookings is the number of transfers booked.
+// Bookings returns the number of booked transfers.
 func (l *Link) Bookings() int { return len(l.bookings) }
