--- a/rate/admit.go
+++ b/rate/admit.go
@@ -114,7 +114,7 @@
 // draw takes what is missing from one share, as far as it has it.
 func (g *gather) draw(ctx context.Context, i uint32, again bool) {
 	sh := &g.shares[i]
-	if g.got >= g.cost || share.Portion(g.limit, i).BurstMilli == 0 {
+	if g.got >= g.cost || share.LimitOf(g.limit, i).BurstMilli == 0 {
 		return
 	}
 	if !again && g.s.doubts.isDoubtful(sh.shard) {
@@ -158,7 +158,7 @@
 	sum := uint64(0)
 	for i := range g.shares {
 		if match(&g.shares[i]) {
-			sum += uint64(share.Portion(g.limit, uint32(i)).BurstMilli / 1000)
+			sum += uint64(share.LimitOf(g.limit, uint32(i)).BurstMilli / 1000)
 		}
 	}
 	return sum
--- a/rate/home.go
+++ b/rate/home.go
@@ -226,7 +226,7 @@
 	if !ok {
 		return bucket.Limit{}, false
 	}
-	return share.Portion(limit, key.Share), true
+	return share.LimitOf(limit, key.Share), true
 }
 
 // Holders returns the instances that hold shards by what this one has read of the log.
--- a/rate/refuse.go
+++ b/rate/refuse.go
@@ -66,7 +66,7 @@
 		for _, p := range sh.parts {
 			level += p.Tokens
 		}
-		sum += share.TokensAfter(share.Portion(g.limit, uint32(i)), level, d)
+		sum += share.TokensAfter(share.LimitOf(g.limit, uint32(i)), level, d)
 	}
 	return sum
 }
--- a/rate/share/share.go
+++ b/rate/share/share.go
@@ -1,5 +1,5 @@
-// Package share holds the buckets of one shard under one term, and splits an
-// organisation's limit into shares. It does no I/O; time is passed in.
+// Package share splits an organisation's limit into shares and implements the token
+// buckets of one shard for one term. It does no I/O; callers pass in the time.
 package share
 
 import (
@@ -10,27 +10,28 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// Count is the number of shares of each organisation's limit. With three, the loss of
-// one home leaves two thirds of the rate; more shares would mean more calls for a
-// request that needs several of them, and smaller ones.
+// Count is the number of shares of each organisation's limit. With three shares, the
+// loss of one home leaves two thirds of the rate. More shares would be smaller, and a
+// request that needs several of them would take more calls.
 const Count = 3
 
-// milli is the number of bucket units in a token.
-const milli = 1000
+// milliPerToken is the number of bucket units, thousandths of a token, in a token.
+const milliPerToken = 1000
 
-// driftInverse scales rates down by 1/1000, the stated bound on a clock's error, so
-// that a home whose clock runs fast does not pass the rate.
+// driftInverse is the inverse of the assumed bound on clock drift. Rates are scaled down
+// by 1/1000 so that a home whose clock runs fast does not exceed the rate.
 const driftInverse = 1000
 
-// pruneAfter is how long a full bucket is kept. A dropped bucket is rebuilt full.
+// pruneAfter is how long an unused full bucket is kept. A bucket that was dropped is
+// rebuilt full.
 const pruneAfter = 10 * time.Minute
 
-// Portion returns one share of a limit. Bursts are split in whole tokens, so that
-// the sum of what the shares can grant is the burst; rates in thousandths.
-func Portion(limit object.Limit, share uint32) bucket.Limit {
+// LimitOf returns the limit of one share. Bursts are split into whole tokens, so that the
+// shares can together grant the whole burst; rates are split into thousandths of a token.
+func LimitOf(limit object.Limit, share uint32) bucket.Limit {
 	return bucket.Limit{
-		MilliPerSecond: split(limit.TokensPerSecond*(milli-milli/driftInverse), share),
-		BurstMilli:     split(limit.Burst, share) * milli,
+		MilliPerSecond: split(limit.TokensPerSecond*(milliPerToken-milliPerToken/driftInverse), share),
+		BurstMilli:     split(limit.Burst, share) * milliPerToken,
 	}
 }
 
@@ -42,13 +43,13 @@
 	return part
 }
 
-// Key names one share of one organisation.
+// Key identifies one share of one organisation.
 type Key struct {
 	Organisation string
 	Share        uint32
 }
 
-// Level is a bucket's content in thousandths of a token.
+// Level is the level of a bucket in thousandths of a token.
 type Level struct {
 	Key   Key
 	Milli int64
@@ -56,130 +57,132 @@
 
 // Buckets are the buckets of one shard under one term.
 type Buckets struct {
-	// empty is when a bucket that is not in held was empty.
-	empty time.Duration
-	held  map[Key]*heldBucket
+	// emptyAt is the time at which buckets without an entry were empty.
+	emptyAt time.Duration
+	entries map[Key]*entry
 }
 
-type heldBucket struct {
-	bucket *bucket.Bucket
-	used   time.Duration
+type entry struct {
+	bucket   *bucket.Bucket
+	lastUsed time.Duration
 }
 
-// NewEmpty returns buckets that are all empty at time now.
+// NewEmpty returns buckets that are all empty at now.
 func NewEmpty(now time.Duration) *Buckets {
-	return &Buckets{empty: now, held: make(map[Key]*heldBucket)}
+	return &Buckets{emptyAt: now, entries: make(map[Key]*entry)}
 }
 
-// NewFromLevels returns buckets with the levels that an earlier holder handed over.
-// Those it does not name had been filling from empty for filling.
-func NewFromLevels(now, filling time.Duration, levels []Level, limit func(Key) (bucket.Limit, bool)) *Buckets {
+// NewFromLevels returns buckets with the levels handed over by an earlier holder. Buckets
+// that are not in levels have been filling from empty for the duration filling.
+func NewFromLevels(now, filling time.Duration, levels []Level, limitOf func(Key) (bucket.Limit, bool)) *Buckets {
 	b := NewEmpty(now - filling)
 	for _, l := range levels {
-		portion, ok := limit(l.Key)
+		limit, ok := limitOf(l.Key)
 		if !ok {
 			continue
 		}
-		b.held[l.Key] = &heldBucket{bucket: bucket.New(portion, l.Milli, now), used: now}
+		b.entries[l.Key] = &entry{bucket: bucket.New(limit, l.Milli, now), lastUsed: now}
 	}
 	return b
 }
 
-// Grant is the answer to a take.
+// Grant is the result of Take.
 type Grant struct {
 	Tokens uint64
-	// Charge names the grant in a refund; zero if nothing was granted.
+	// Charge identifies the grant in a refund. It is zero if nothing was granted.
 	Charge bucket.ChargeID
-	// Wait is the time until the tokens that were not granted will be there, as far as
-	// this share can ever hold them.
+	// Wait is the time until the tokens that were not granted become available, capped
+	// at the time to fill the share's burst.
 	Wait time.Duration
 }
 
-// Take takes tokens from a share; with partial set, as many whole tokens as are there.
-func (b *Buckets) Take(now time.Duration, key Key, portion bucket.Limit, tokens uint64, partial bool) Grant {
-	held := b.get(now, key, portion)
-	wanted := int64(min(tokens, math.MaxInt64/milli)) * milli
-	level := held.Level(now)
-	give := wanted
+// Take takes tokens from a share. If there are too few it takes nothing or, with partial
+// set, as many whole tokens as are available.
+func (b *Buckets) Take(now time.Duration, key Key, limit bucket.Limit, tokens uint64, partial bool) Grant {
+	tokenBucket := b.get(now, key, limit)
+	wanted := int64(min(tokens, math.MaxInt64/milliPerToken)) * milliPerToken
+	level := tokenBucket.Level(now)
+	granted := wanted
 	if level < wanted {
-		give = 0
+		granted = 0
 		if partial {
-			give = max(level, 0) / milli * milli
+			granted = max(level, 0) / milliPerToken * milliPerToken
 		}
 	}
-	g := Grant{Wait: waitFor(portion, level, wanted)}
-	if id, ok := held.Charge(now, give); ok {
-		g.Tokens = uint64(give / milli)
+	g := Grant{Wait: timeToReach(limit, level, wanted)}
+	if id, ok := tokenBucket.Charge(now, granted); ok {
+		g.Tokens = uint64(granted / milliPerToken)
 		g.Charge = id
 	}
 	return g
 }
 
-// Refund settles a charge: tokens were not used, or overdraft more were used than
-// charged.
+// Refund corrects a charge: it returns tokens that were not used and deducts overdraft
+// tokens that were used beyond the charge.
 func (b *Buckets) Refund(now time.Duration, key Key, charge bucket.ChargeID, tokens, overdraft uint64) {
-	held, ok := b.held[key]
+	e, ok := b.entries[key]
 	if !ok {
 		return
 	}
-	held.bucket.Refund(now, charge, int64(min(tokens, math.MaxInt64/milli))*milli)
-	held.bucket.Overdraw(now, int64(min(overdraft, math.MaxInt64/milli))*milli)
+	e.bucket.Refund(now, charge, int64(min(tokens, math.MaxInt64/milliPerToken))*milliPerToken)
+	e.bucket.Overdraw(now, int64(min(overdraft, math.MaxInt64/milliPerToken))*milliPerToken)
 }
 
-// Snapshot returns the levels to hand over and how long buckets not among them have
-// been filling.
+// Snapshot returns the levels to hand over, and for how long the buckets that are not
+// among them have been filling from empty.
 func (b *Buckets) Snapshot(now time.Duration) (levels []Level, filling time.Duration) {
-	for key, held := range b.held {
-		levels = append(levels, Level{Key: key, Milli: held.bucket.Level(now)})
+	for key, e := range b.entries {
+		levels = append(levels, Level{Key: key, Milli: e.bucket.Level(now)})
 	}
-	return levels, now - b.empty
+	return levels, now - b.emptyAt
 }
 
-// Prune drops buckets that are full, have long been unused and would be rebuilt full.
-func (b *Buckets) Prune(now time.Duration, limit func(Key) (bucket.Limit, bool)) {
-	for key, held := range b.held {
-		portion, ok := limit(key)
-		idle := now >= held.used+pruneAfter
-		if idle && (!ok || held.bucket.Full(now) && bucket.Filled(portion, now-b.empty) >= portion.BurstMilli) {
-			delete(b.held, key)
+// Prune drops buckets that have been unused for pruneAfter, are full and would be rebuilt
+// full, and unused buckets of organisations without a limit.
+func (b *Buckets) Prune(now time.Duration, limitOf func(Key) (bucket.Limit, bool)) {
+	for key, e := range b.entries {
+		limit, ok := limitOf(key)
+		idle := now >= e.lastUsed+pruneAfter
+		if idle && (!ok || e.bucket.Full(now) && bucket.Filled(limit, now-b.emptyAt) >= limit.BurstMilli) {
+			delete(b.entries, key)
 		}
 	}
 }
 
-// Len returns the number of buckets held.
-func (b *Buckets) Len() int { return len(b.held) }
+// Len returns the number of buckets in memory.
+func (b *Buckets) Len() int { return len(b.entries) }
 
-func (b *Buckets) get(now time.Duration, key Key, portion bucket.Limit) *bucket.Bucket {
-	held, ok := b.held[key]
+func (b *Buckets) get(now time.Duration, key Key, limit bucket.Limit) *bucket.Bucket {
+	e, ok := b.entries[key]
 	if !ok {
-		held = &heldBucket{bucket: bucket.New(portion, bucket.Filled(portion, now-b.empty), now)}
-		b.held[key] = held
+		e = &entry{bucket: bucket.New(limit, bucket.Filled(limit, now-b.emptyAt), now)}
+		b.entries[key] = e
 	}
-	held.used = now
-	held.bucket.SetLimit(now, portion)
-	return held.bucket
+	e.lastUsed = now
+	e.bucket.SetLimit(now, limit)
+	return e.bucket
 }
 
-// waitFor returns how long a level takes to reach wanted, or the burst if that is less.
-func waitFor(portion bucket.Limit, level, wanted int64) time.Duration {
-	missing := min(wanted, portion.BurstMilli) - level
+// timeToReach returns how long level takes to reach the smaller of wanted and the burst.
+func timeToReach(limit bucket.Limit, level, wanted int64) time.Duration {
+	missing := min(wanted, limit.BurstMilli) - level
 	if missing <= 0 {
 		return 0
 	}
-	if portion.MilliPerSecond <= 0 {
+	if limit.MilliPerSecond <= 0 {
 		return math.MaxInt64
 	}
-	seconds := float64(missing) / float64(portion.MilliPerSecond)
+	seconds := float64(missing) / float64(limit.MilliPerSecond)
 	if seconds > float64(math.MaxInt64/int64(time.Second)) {
 		return math.MaxInt64
 	}
 	return time.Duration(seconds*float64(time.Second)) + 1
 }
 
-// TokensAfter returns the whole tokens in a share that holds tokens now, after d
-// without a charge.
-func TokensAfter(portion bucket.Limit, tokens uint64, d time.Duration) uint64 {
-	gained := bucket.Filled(portion, d)
-	level := min(int64(min(tokens, math.MaxInt64/milli))*milli, portion.BurstMilli)
-	return uint64(min(level+gained, portion.BurstMilli) / milli)
+// TokensAfter returns the number of whole tokens in a share that now holds tokens, after a
+// time d without charges.
+func TokensAfter(limit bucket.Limit, tokens uint64, d time.Duration) uint64 {
+	gained := bucket.Filled(limit, d)
+	level := min(int64(min(tokens, math.MaxInt64/milliPerToken))*milliPerToken, limit.BurstMilli)
+	return uint64(min(level+gained, limit.BurstMilli) / milliPerToken)
 }
