--- a/rate/home.go
+++ b/rate/home.go
@@ -50,7 +50,7 @@
 	case refund:
 		h.refund(m)
 	case page:
-		h.apply(h.node.Follow(m.t0, h.s.now(), m.page))
+		h.apply(h.node.ApplyPage(m.t0, h.s.now(), m.page))
 		m.next <- h.progress()
 	case tick:
 		h.tick(m)
@@ -60,10 +60,10 @@
 		m.reply <- h.node.Fence(m.member, m.shard, m.term)
 	case extended:
 		for _, ask := range m.asks {
-			h.node.Extended(ask)
+			h.node.HandleExtended(ask)
 		}
 	case fenced:
-		h.apply(h.node.Fenced(h.s.now(), m.ask))
+		h.apply(h.node.HandleFenced(h.s.now(), m.ask))
 	case handOver:
 		m.reply <- h.handOver(m)
 	case statusQuery:
--- a/rate/lease/contest.go
+++ b/rate/lease/contest.go
@@ -7,67 +7,68 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// Instances that reach the log and not one another each take the others for dead.
-// If each claimed at once what the others hold, every shard would change hands every
-// few seconds, nobody would spend for long, and callers on all sides would be refused
-// for as long as the cut lasts. So a run that is not among the members is only taken
-// for dead at once by a side that is at least half of the fleet which the log names.
-// A smaller side waits until the run has been silent in the log for longer than any
-// live holder is, since holders restate their terms there. Sides of equal size share
-// by pauses that grow.
+// During a network partition, instances that reach the log but not one another consider
+// each other dead. If every side claimed the shards of the others at once, each shard
+// would change its holder every few seconds, hardly any holder would get to spend, and
+// callers on all sides would be refused until the partition ends. Therefore a side claims
+// from a run that is not a member at once only if it has at least half as many members as
+// there are holders in the log. A smaller side waits until the run has written no record
+// for longer than any live holder would, since holders restate their terms in the log.
+// Sides of equal size alternate, with an exponential backoff between claims.
 
 const (
-	// contestPause is the first pause before a shard is claimed back from a run that
-	// is not among the members; it doubles up to maxContestPause. A change of hands
-	// takes about five seconds in which nobody spends.
-	contestPause    = 5 * time.Second
-	maxContestPause = 5 * time.Minute
-	// contestOver is how long a shard must stay with its holder for its past
-	// contests to be forgotten.
-	contestOver = 2 * maxContestPause
+	// contestBackoff is the first delay before a shard is claimed back from a run that
+	// is not a member. It doubles with each contested loss, up to maxContestBackoff. A
+	// change of the holder takes about five seconds in which nobody spends.
+	contestBackoff    = 5 * time.Second
+	maxContestBackoff = 5 * time.Minute
+	// contestResetAfter is the time without a contested loss after which earlier ones
+	// no longer count.
+	contestResetAfter = 2 * maxContestBackoff
 )
 
-// hearing is when a record of a run was last read.
-type hearing struct {
-	run request.Holder
-	at  time.Duration
+// runActivity is the time at which a record of a run was last read.
+type runActivity struct {
+	run    request.Holder
+	seenAt time.Duration
 }
 
-// hear notes whose records a page holds.
-func (n *Node) hear(p Page, now time.Duration) {
+// recordActivity updates the last activity of the runs that wrote the records of a page.
+func (n *Node) recordActivity(p Page, now time.Duration) {
 	if len(p.Entries) == 0 {
 		return
 	}
-	heard := slices.Clone(n.heard)
+	activity := slices.Clone(n.activity)
 	for _, e := range p.Entries {
 		run := e.Record.Holder
-		i := slices.IndexFunc(heard, func(h hearing) bool { return h.run.Instance == run.Instance })
+		i := slices.IndexFunc(activity, func(a runActivity) bool { return a.run.Instance == run.Instance })
 		if i < 0 {
-			heard = append(heard, hearing{run, now})
+			activity = append(activity, runActivity{run, now})
 			continue
 		}
-		heard[i] = hearing{run, now}
+		activity[i] = runActivity{run, now}
 	}
-	n.heard = heard
+	n.activity = activity
 }
 
-// silent reports whether a holder has written nothing for longer than a live one
-// would. What was read in one go at the start counts from then on.
-func (n *Node) silent(holder request.Holder, now time.Duration) bool {
+// isInactive reports whether a holder has written no record for longer than a live holder
+// would. Records read while catching up with the log count from the time of that read, and
+// a run without any record counts from the first full read.
+func (n *Node) isInactive(holder request.Holder, now time.Duration) bool {
 	last := n.firstRead
-	for _, h := range n.heard {
-		if SameRun(h.run, holder) {
-			last = h.at
+	for _, a := range n.activity {
+		if SameRun(a.run, holder) {
+			last = a.seenAt
 		}
 	}
 	return now > last+n.timing.Restate+n.timing.Restate/5
 }
 
-// isMinority reports whether fewer members are in sight than half of the instances
-// that hold shards by the log.
+// isMinority reports whether there are fewer members than half of the instances that hold
+// shards according to the log.
 func (n *Node) isMinority(members []request.Holder) bool {
 	holders := make(map[string]bool)
-	for shard := range n.own {
+	for shard := range n.held {
 		if cur, ok := n.log.current(uint32(shard)); ok {
 			holders[cur.Holder.Instance] = true
 		}
@@ -75,45 +76,45 @@
 	return 2*len(members) < len(holders)
 }
 
-// mayClaimFromStranger reports whether a shard may be claimed from a run that is not
-// among the members. An operator's word that the run has ended settles it.
-func (n *Node) mayClaimFromStranger(shard uint32, now time.Duration, cur Holding, members []request.Holder) bool {
-	if n.log.vouched(cur) {
+// mayClaimFromNonMember reports whether a shard may be claimed from a run that is not a
+// member. If an operator declared the run stopped, it may be claimed at once.
+func (n *Node) mayClaimFromNonMember(shard uint32, now time.Duration, cur ClaimedTerm, members []request.Holder) bool {
+	if n.log.declaredStopped(cur) {
 		return true
 	}
-	if n.isMinority(members) && !n.silent(cur.Holder, now) {
+	if n.isMinority(members) && !n.isInactive(cur.Holder, now) {
 		return false
 	}
-	return n.claims[shard].pauseOver(now)
+	return n.claims[shard].backoffElapsed(now)
 }
 
-// begun is the state of claims when a term of the own begins: what is known of
-// contests stays, the rest starts anew.
-func (c claimState) begun() claimState {
-	return claimState{contests: c.contests, lostAt: c.lostAt}
+// resetForTerm returns the state when this instance begins a term: the contested losses are
+// kept and the rest is reset.
+func (c claimState) resetForTerm() claimState {
+	return claimState{contestedLosses: c.contestedLosses, lostAt: c.lostAt}
 }
 
-// lose notes that the shard went to another run.
-func (c *claimState) lose() { c.wasLost = true }
+// markLost records that the shard was lost to another run.
+func (c *claimState) markLost() { c.hasNewLoss = true }
 
-// judgeLoss counts a loss to a run that is not among the members as a contest.
-func (c *claimState) judgeLoss(now time.Duration, holder request.Holder, members []request.Holder) {
-	if !c.wasLost {
+// countLoss counts a loss to a run that is not a member as contested.
+func (c *claimState) countLoss(now time.Duration, holder request.Holder, members []request.Holder) {
+	if !c.hasNewLoss {
 		return
 	}
-	c.wasLost = false
-	if now > c.lostAt+contestOver {
-		c.contests = 0
+	c.hasNewLoss = false
+	if now > c.lostAt+contestResetAfter {
+		c.contestedLosses = 0
 	}
 	if !containsRun(members, holder) {
-		c.contests++
+		c.contestedLosses++
 		c.lostAt = now
 	}
 }
 
-func (c *claimState) pauseOver(now time.Duration) bool {
-	if c.contests == 0 {
+func (c *claimState) backoffElapsed(now time.Duration) bool {
+	if c.contestedLosses == 0 {
 		return true
 	}
-	return now >= c.lostAt+min(contestPause<<min(c.contests-1, 10), maxContestPause)
+	return now >= c.lostAt+min(contestBackoff<<min(c.contestedLosses-1, 10), maxContestBackoff)
 }
--- a/rate/lease/explorer_test.go
+++ b/rate/lease/explorer_test.go
@@ -10,52 +10,52 @@
 	"gotest.tools/v3/assert"
 )
 
-// next calls yield with every state that one step leads to.
-func (w *world) next(s scope, yield func(*world)) {
-	w.passing(s, yield)
-	for i := range w.nodes {
-		if !s.passive || i < len(w.nodes)-1 {
-			w.ticking(i, yield)
-			w.reading(i, s, yield)
+// successors calls yield with every state that is reachable in one step.
+func (md *model) successors(s scope, yield func(*model)) {
+	md.advance(s, yield)
+	for i := range md.nodes {
+		if !s.passive || i < len(md.nodes)-1 {
+			md.tick(i, yield)
+			md.read(i, s, yield)
 		}
-		w.crashing(i, s, yield)
+		md.crash(i, s, yield)
 	}
-	if w.expires > 0 && w.first <= len(w.log) {
-		c := w.clone()
+	if md.expires > 0 && md.first <= len(md.log) {
+		c := md.clone()
 		c.first++
 		c.expires--
 		yield(c)
 	}
-	for j, r := range w.appends {
-		c := w.clone()
+	for j, r := range md.appends {
+		c := md.clone()
 		c.appends = slices.Delete(c.appends, j, j+1)
 		c.log = append(c.log, Entry{Offset: uint64(len(c.log) + 1), Record: r})
 		yield(c)
 	}
-	for j := range w.wires {
-		w.delivering(j, s, yield)
+	for j := range md.inFlight {
+		md.deliver(j, s, yield)
 	}
 }
 
-// passing advances time for all clocks, or for all but one: the drift of one tick that
-// LeaseWait and OutageWait allow for.
-func (w *world) passing(s scope, yield func(*world)) {
-	for i := -1; i < len(w.nodes) && (i < 0 || w.lags > 0); i++ {
-		c := w.clone()
-		c.tick++
+// advance advances all clocks, or all but one, by a tick. A clock that falls behind models
+// the drift of one tick that LeaseWait and OutageWait tolerate.
+func (md *model) advance(s scope, yield func(*model)) {
+	for i := -1; i < len(md.nodes) && (i < 0 || md.lags > 0); i++ {
+		c := md.clone()
+		c.ticks++
 		if i >= 0 {
 			c.lags--
 			c.lag[i]++
 		}
-		c.forget(s)
+		c.dropLapsed(s)
 		yield(c)
 	}
 }
 
-func (w *world) ticking(i int, yield func(*world)) {
-	for _, v := range []View{{}, w.claimView(i)} {
-		c := w.clone()
-		e := c.own(i).Tick(c.now(i), v)
+func (md *model) tick(i int, yield func(*model)) {
+	for _, v := range []View{{}, md.claimView(i)} {
+		c := md.clone()
+		e := c.mutableNode(i).Tick(c.now(i), v)
 		if slices.ContainsFunc(e.Append, func(r Record) bool { return len(r.Claims) > 0 }) {
 			if c.claims == 0 {
 				continue
@@ -67,12 +67,12 @@
 	}
 }
 
-// reading begins a read, which sees the log as it is then, or ends one.
-func (w *world) reading(i int, s scope, yield func(*world)) {
-	c := w.clone()
+// read begins a read, which returns the log as of that time, or completes one.
+func (md *model) read(i int, s scope, yield func(*model)) {
+	c := md.clone()
 	r := &c.reads[i]
-	if r.begun == 0 {
-		*r = flyingRead{begun: c.now(i), end: len(c.log)}
+	if r.begunAt == 0 {
+		*r = pendingRead{begunAt: c.now(i), end: len(c.log)}
 		if s.delayed {
 			if c.readsLeft--; c.readsLeft >= 0 {
 				yield(c)
@@ -80,111 +80,111 @@
 			return
 		}
 	}
-	t0 := r.begun
-	if s.broken == lateRead {
+	t0 := r.begunAt
+	if s.disabled == lateRead {
 		t0 = c.now(i)
 	}
-	n := c.own(i)
+	n := c.mutableNode(i)
 	from := min(max(int(n.Next()), c.first)-1, r.end)
 	p := Page{First: uint64(c.first), Next: uint64(r.end + 1), Entries: c.log[from:r.end]}
-	*r = flyingRead{}
-	c.apply(i, n.Follow(t0, c.now(i), p))
+	*r = pendingRead{}
+	c.apply(i, n.ApplyPage(t0, c.now(i), p))
 	yield(c)
 }
 
-func (w *world) crashing(i int, s scope, yield func(*world)) {
-	if w.crashes == 0 {
+func (md *model) crash(i int, s scope, yield func(*model)) {
+	if md.crashes == 0 {
 		return
 	}
-	c := w.clone()
+	c := md.clone()
 	c.crashes--
-	c.reads[i] = flyingRead{}
-	c.nodes[i] = NewNode(runOf(i, c.nodes[i].self.Incarnation+1), 1, coarseTiming(s.broken))
+	c.reads[i] = pendingRead{}
+	c.nodes[i] = NewNode(runOf(i, c.nodes[i].self.Incarnation+1), 1, coarseTiming(s.disabled))
 	yield(c)
 }
 
-func (w *world) delivering(j int, s scope, yield func(*world)) {
-	c := w.clone()
-	m := c.wires[j]
-	c.wires = slices.Delete(c.wires, j, j+1)
-	n := c.own(m.to)
+func (md *model) deliver(j int, s scope, yield func(*model)) {
+	c := md.clone()
+	m := c.inFlight[j]
+	c.inFlight = slices.Delete(c.inFlight, j, j+1)
+	n := c.mutableNode(m.to)
 	switch m.kind {
 	case "extend":
-		if s.broken == anyRun {
-			m.ask.Member = n.self
+		if s.disabled == anyRun {
+			m.request.Member = n.self
 		}
-		ignore := s.broken == noFence && SameRun(m.ask.Member, n.self)
-		if n.Extend(m.ask.Member, 0, m.ask.Term) || ignore {
-			m.ask.Member = w.wires[j].ask.Member
-			c.reply(s, wire{kind: "extended", to: c.index(m.from), from: m.from, ask: m.ask})
+		ignore := s.disabled == noFence && SameRun(m.request.Member, n.self)
+		if n.Extend(m.request.Member, 0, m.request.Term) || ignore {
+			m.request.Member = md.inFlight[j].request.Member
+			c.reply(s, message{kind: "extended", to: c.nodeIndex(m.from), from: m.from, request: m.request})
 		}
 	case "fence":
-		if n.Fence(m.ask.Member, 0, m.ask.Term) {
-			c.reply(s, wire{kind: "fenced", to: c.index(m.from), from: m.from, ask: m.ask})
+		if n.Fence(m.request.Member, 0, m.request.Term) {
+			c.reply(s, message{kind: "fenced", to: c.nodeIndex(m.from), from: m.from, request: m.request})
 		}
 	case "extended", "fenced":
 		c.acknowledge(s, m)
 	case "hand over":
-		e, _ := n.HandOver(c.now(m.to), 0, m.ask.Term, m.from, m.spending)
+		e, _ := n.HandOver(c.now(m.to), 0, m.request.Term, m.from, m.spending)
 		c.apply(m.to, e)
 	}
 	yield(c)
 }
 
-// reply delivers an acknowledgement at once, or puts it on its way.
-func (w *world) reply(s scope, m wire) {
+// reply delivers an acknowledgement at once or, with delayed set, puts it in flight.
+func (md *model) reply(s scope, m message) {
 	if s.delayed {
-		w.send(m)
+		md.send(m)
 		return
 	}
-	w.acknowledge(s, m)
+	md.acknowledge(s, m)
 }
 
-func (w *world) acknowledge(s scope, m wire) {
-	n := w.own(m.to)
-	if s.broken == lateExtend {
-		m.ask.SentAt = w.now(m.to)
+func (md *model) acknowledge(s scope, m message) {
+	n := md.mutableNode(m.to)
+	if s.disabled == lateExtend {
+		m.request.SentAt = md.now(m.to)
 	}
 	switch {
 	case !SameRun(n.self, m.from):
 	case m.kind == "fenced":
-		w.apply(m.to, n.Fenced(w.now(m.to), m.ask))
+		md.apply(m.to, n.HandleFenced(md.now(m.to), m.request))
 	default:
-		n.Extended(m.ask)
+		n.HandleExtended(m.request)
 	}
 }
 
-// explore visits every state within the scope, up to limit, and returns how many there
-// are and the first one with two spenders. Steps are taken in a seeded random order,
-// since a fault is often found sooner that way.
-func explore(s scope, limit int) (states int, bad *world) {
+// explore visits the states within the scope, at most limit of them. It returns the number
+// of states and the first state with two spenders. Steps are taken in a seeded random
+// order, which often finds a fault sooner.
+func explore(s scope, limit int) (states int, bad *model) {
 	rng := rand.New(rand.NewPCG(s.seed, 2))
-	start := newWorld(s)
+	start := newModel(s)
 	seen := map[uint64]struct{}{start.key(s): {}}
-	stack := []*world{start}
+	stack := []*model{start}
 	for len(stack) > 0 && len(seen) < limit {
-		w := stack[len(stack)-1]
+		md := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		if w.spenders() > 1 {
-			return len(seen), w
+		if md.spenders() > 1 {
+			return len(seen), md
 		}
 		from := len(stack)
-		w.next(s, func(c *world) {
+		md.successors(s, func(c *model) {
 			k := c.key(s)
 			if _, ok := seen[k]; !ok {
 				seen[k] = struct{}{}
 				stack = append(stack, c)
 			}
 		})
-		fresh := stack[from:]
-		rng.Shuffle(len(fresh), func(i, j int) { fresh[i], fresh[j] = fresh[j], fresh[i] })
+		added := stack[from:]
+		rng.Shuffle(len(added), func(i, j int) { added[i], added[j] = added[j], added[i] })
 	}
 	return len(seen), nil
 }
 
-// Messages are lost and reordered, an instance is paused, restarted or cut off, the
-// log is down for a while or drops old records, clocks drift. Nobody may find two homes
-// spending from one shard: an organisation would get its rate twice.
+// Guards against two homes that spend from one shard, which would give an organisation its
+// rate twice. Messages are lost and reordered, an instance is paused, restarted or cut
+// off, the log is unavailable or drops old records, and clocks drift.
 func TestNeverTwoSpenders(t *testing.T) {
 	t.Parallel()
 	for _, s := range []scope{
@@ -203,7 +203,7 @@
 	}
 }
 
-// BenchmarkExplore searches scopes that take too long for the tests.
+// BenchmarkExplore searches scopes that take too long for a test run.
 func BenchmarkExplore(b *testing.B) {
 	for _, s := range []scope{
 		{nodes: 2, claims: 2},
@@ -221,20 +221,20 @@
 	}
 }
 
-// Each safeguard is switched off in turn. The search must then find two spenders;
-// otherwise the safeguard is not needed or the search does not see its failure.
+// Disables each safeguard in turn. The search must then find two spenders; otherwise the
+// safeguard is unnecessary or the search cannot detect its absence.
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	t.Parallel()
 	for _, s := range []scope{
-		{nodes: 2, claims: 1, broken: noWait, seed: 9},
-		{nodes: 2, claims: 1, broken: noFence, seed: 6},
-		{nodes: 2, claims: 1, reads: 3, delayed: true, broken: lateRead, seed: 3},
-		{nodes: 2, claims: 1, reads: 2, delayed: true, broken: lateExtend, seed: 11},
-		{nodes: 3, passive: true, claims: 1, crashes: 1, broken: anyRun, seed: 8},
-		{nodes: 2, claims: 1, lags: 1, broken: noDrift, seed: 9},
-		{nodes: 3, passive: true, claims: 1, broken: noOutageEnd, seed: 9},
+		{nodes: 2, claims: 1, disabled: noWait, seed: 9},
+		{nodes: 2, claims: 1, disabled: noFence, seed: 6},
+		{nodes: 2, claims: 1, reads: 3, delayed: true, disabled: lateRead, seed: 3},
+		{nodes: 2, claims: 1, reads: 2, delayed: true, disabled: lateExtend, seed: 11},
+		{nodes: 3, passive: true, claims: 1, crashes: 1, disabled: anyRun, seed: 8},
+		{nodes: 2, claims: 1, lags: 1, disabled: noDrift, seed: 9},
+		{nodes: 3, passive: true, claims: 1, disabled: noOutageEnd, seed: 9},
 	} {
-		t.Run(s.broken, func(t *testing.T) {
+		t.Run(s.disabled, func(t *testing.T) {
 			t.Parallel()
 			states, bad := explore(s, 400_000)
 			assert.Assert(t, bad != nil, "no fault in %d states", states)
--- a/rate/lease/fence.go
+++ b/rate/lease/fence.go
@@ -6,62 +6,64 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// Extend answers a holder's Extend of a term that names member as fence member.
+// Extend handles an Extend sent to member as a fence member of the term. It returns whether
+// the member acknowledges it.
 func (n *Node) Extend(member request.Holder, shard uint32, term Term) bool {
-	if shard >= uint32(len(n.own)) || !SameRun(member, n.self) || n.fencedUpTo[shard] >= term {
+	if shard >= uint32(len(n.held)) || !SameRun(member, n.self) || n.fencedUpTo[shard] >= term {
 		return false
 	}
 	cur, ok := n.log.current(shard)
 	return !ok || cur.Term <= term
 }
 
-// Fence promises never to extend a term again, or any before it.
+// Fence handles a Fence sent to member as a fence member of the term. If it returns true,
+// the member acknowledges no further Extend of this term or of an earlier one.
 func (n *Node) Fence(member request.Holder, shard uint32, term Term) bool {
-	if shard >= uint32(len(n.own)) {
+	if shard >= uint32(len(n.held)) {
 		return false
 	}
 	if SameRun(member, n.self) {
 		n.fencedUpTo[shard] = max(n.fencedUpTo[shard], term)
 		return true
 	}
-	// This process listens where that run listened, so that run can receive no Extend
-	// any more. The promise is kept without it.
+	// This process listens on the address of the earlier run, which can therefore
+	// receive no further Extend, so its Fence holds without any stored state.
 	return member.Instance == n.self.Instance && member.Address == n.self.Address &&
 		member.Incarnation < n.self.Incarnation
 }
 
-// Extended takes in an acknowledgement of an Extend.
-func (n *Node) Extended(a Ask) {
-	t := n.ownByTerm(a.Shard, a.Term)
+// HandleExtended handles the acknowledgement of an Extend.
+func (n *Node) HandleExtended(a MemberRequest) {
+	t := n.heldByTerm(a.Shard, a.Term)
 	if t == nil {
 		return
 	}
-	for i, m := range t.Holding.Fence {
+	for i, m := range t.ClaimedTerm.Fence {
 		if SameRun(m, a.Member) {
-			t.extended[i] = max(t.extended[i], a.SentAt)
+			t.extendSentAt[i] = max(t.extendSentAt[i], a.SentAt)
 		}
 	}
 }
 
-// Fenced takes in an acknowledgement, arrived at now, of a Fence.
-func (n *Node) Fenced(now time.Duration, a Ask) Effects {
+// HandleFenced handles the acknowledgement of a Fence, received at now.
+func (n *Node) HandleFenced(now time.Duration, a MemberRequest) Effects {
 	var out Effects
-	if a.Shard >= uint32(len(n.own)) || n.own[a.Shard] == nil {
+	if a.Shard >= uint32(len(n.held)) || n.held[a.Shard] == nil {
 		return out
 	}
-	t := n.own[a.Shard]
-	for i := range t.before {
-		if t.before[i].Term == a.Term {
-			t.before[i].acked(a.Member, now)
+	t := n.held[a.Shard]
+	for i := range t.predecessors {
+		if t.predecessors[i].Term == a.Term {
+			t.predecessors[i].recordFenced(a.Member, now)
 		}
 	}
 	n.tryStart(a.Shard, now, &out)
 	return out
 }
 
-func (n *Node) ownByTerm(shard uint32, term Term) *ownTerm {
-	if shard >= uint32(len(n.own)) || n.own[shard] == nil || n.own[shard].Term != term {
+func (n *Node) heldByTerm(shard uint32, term Term) *heldTerm {
+	if shard >= uint32(len(n.held)) || n.held[shard] == nil || n.held[shard].Term != term {
 		return nil
 	}
-	return n.own[shard]
+	return n.held[shard]
 }
--- a/rate/lease/node.go
+++ b/rate/lease/node.go
@@ -6,45 +6,46 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// Node is one instance's part in the protocol for all shards: holder, successor and
-// fence member. Times are readings of the instance's monotonic clock and must be
-// above zero. It is not safe for concurrent use.
+// Node is the state of one instance in the protocol for all shards, as holder, successor
+// and fence member. Times are readings of the instance's monotonic clock and must be
+// greater than zero. It is not safe for concurrent use.
 type Node struct {
 	self   request.Holder
 	timing Timing
-	log    ledger
-	own    []*ownTerm
-	// fencedUpTo is, for each shard, the highest term this instance must not extend.
+	log    logState
+	held   []*heldTerm
+	// fencedUpTo is, for each shard, the highest term that this instance must not extend.
 	fencedUpTo []Term
-	// handovers are the last hand over received for each shard.
+	// handovers holds the last handover received for each shard.
 	handovers []handOver
-	// firstRead is when the log was first read to its end, lastRead when the last
+	// firstRead is when the log was first read to its end, lastRead when the latest
 	// such read began.
 	firstRead, lastRead time.Duration
 	hasRead             bool
 	claims              []claimState
-	// heard is when each instance last wrote to the stream. It is replaced, never
-	// changed in place.
-	heard       []hearing
+	// activity holds, for each instance, when its latest record was read. It is replaced
+	// and never modified in place.
+	activity    []runActivity
 	lastMove    time.Duration
 	lastRefresh time.Duration
 }
 
-// claimState is what a node knows of its wish for a shard.
+// claimState is the state of a node's claims to one shard.
 type claimState struct {
-	// seen is the end of the stream at the last claim, sent at since; zero if none was
-	// sent since the shard last began.
-	seen  uint64
-	since time.Duration
-	// wanted is since when the shard's place is here though another holds it.
-	isWanted bool
-	wanted   time.Duration
-	// contests counts how often in a row the shard was lost to a run that is not
-	// among the members; lostAt is the last time.
-	contests int
-	lostAt   time.Duration
-	// wasLost marks a loss that has not been judged yet.
-	wasLost bool
+	// seen is the end of the stream at the last claim, which was sent at sentAt. It is
+	// zero if no claim was sent since this instance last began a term of the shard.
+	seen   uint64
+	sentAt time.Duration
+	// assignedAt is when the shard was assigned to this instance while another live
+	// instance holds it; valid if isAssigned is set.
+	isAssigned bool
+	assignedAt time.Duration
+	// contestedLosses counts how often in a row the shard was lost to a run that is not
+	// a member; lostAt is the time of the latest loss.
+	contestedLosses int
+	lostAt          time.Duration
+	// hasNewLoss marks a loss that countLoss has not processed yet.
+	hasNewLoss bool
 }
 
 type handOver struct {
@@ -53,64 +54,63 @@
 	spending bool
 }
 
-// Effects are what a call asks the caller to do. Started and Stopped come first, in
-// this order: a shard that moves from one term to the next of the same instance is
-// only in Started.
+// Effects are the actions that the caller must carry out: first those of Stopped, then
+// those of Started. A shard that goes on spending under the next term of the same
+// instance is only in Started.
 type Effects struct {
 	Stopped []Stop
 	Started []Start
-	// Append are records for the log stream, to be sent once, in one call.
+	// Append are records to append to the log stream, once and in one call.
 	Append  []Record
-	Extends []Ask
-	Fences  []Ask
+	Extends []MemberRequest
+	Fences  []MemberRequest
 }
 
-// Stop says that the instance has stopped for good under a term.
+// Stop reports that the instance has stopped for good under a term.
 type Stop struct {
 	Shard    uint32
 	Term     Term
 	Spending bool
-	// Successor holds the next term; its Instance is empty if it is not known.
+	// Successor holds the next term. Its Instance is empty if the successor is unknown.
 	Successor request.Holder
 }
 
-// Start says that the instance begins to spend under a term.
+// Start reports that the instance begins to spend under a term.
 type Start struct {
 	Shard uint32
 	Term  Term
-	// Levels tells where the bucket's contents come from.
+	// Levels is the source of the initial bucket levels.
 	Levels LevelSource
-	// Previous is the term whose levels are carried on, for LevelsKept and
-	// LevelsHandedOver.
+	// Previous is the term whose levels are used, for LevelsKept and LevelsHandedOver.
 	Previous Term
 }
 
-// LevelSource is where the levels of a fresh term come from.
+// LevelSource is the source of the bucket levels of a new term.
 type LevelSource uint8
 
 const (
-	// LevelsEmpty begins with empty buckets.
+	// LevelsEmpty starts with empty buckets.
 	LevelsEmpty LevelSource = iota
-	// LevelsKept carries on with the instance's own buckets of the previous term.
+	// LevelsKept keeps the instance's own buckets of the previous term.
 	LevelsKept
-	// LevelsHandedOver uses the levels that the previous holder sent.
+	// LevelsHandedOver starts with the levels that the previous holder sent.
 	LevelsHandedOver
 )
 
-// Ask is an Extend or Fence to one fence member.
-type Ask struct {
+// MemberRequest is an Extend or Fence request to one fence member.
+type MemberRequest struct {
 	Member request.Holder
 	Shard  uint32
 	Term   Term
-	// SentAt is the clock reading that an acknowledgement is counted from.
+	// SentAt is the clock reading from which an acknowledged Extend is valid.
 	SentAt time.Duration
 }
 
-// View is what the instance believes about the fleet.
+// View is the instance's view of the fleet.
 type View struct {
-	// Members are the runs that are alive and not draining, possibly with this one.
+	// Members are the runs that are alive and not draining; this run may be among them.
 	Members []request.Holder
-	// Homes is the place of each shard among the members.
+	// Homes is the member that each shard is assigned to.
 	Homes []request.Holder
 	// Fence is the fence set for terms that this instance claims: one, three or five
 	// other members, or none.
@@ -122,33 +122,33 @@
 	return &Node{
 		self:       self,
 		timing:     timing,
-		log:        newLedger(shards),
-		own:        make([]*ownTerm, shards),
+		log:        newLogState(shards),
+		held:       make([]*heldTerm, shards),
 		fencedUpTo: make([]Term, shards),
 		handovers:  make([]handOver, shards),
 		claims:     make([]claimState, shards),
 	}
 }
 
-// Next returns the offset that the next read of the stream begins at.
+// Next returns the offset at which the next read of the stream begins.
 func (n *Node) Next() uint64 { return n.log.next }
 
-// Current returns the shard's current term as the log last said.
-func (n *Node) Current(shard uint32) (Holding, bool) { return n.log.current(shard) }
+// Current returns the shard's current term according to the latest read of the log.
+func (n *Node) Current(shard uint32) (ClaimedTerm, bool) { return n.log.current(shard) }
 
-// MaySpend returns the term under which the instance may spend from the shard at a
-// clock reading.
+// MaySpend returns the term under which the instance may spend from the shard at clock
+// reading now, false if it may not spend.
 func (n *Node) MaySpend(shard uint32, now time.Duration) (Term, bool) {
-	t := n.own[shard]
-	if t == nil || !t.spending || now >= n.rightEnds(t) {
+	t := n.held[shard]
+	if t == nil || !t.spending || now >= n.spendDeadline(t) {
 		return 0, false
 	}
 	return t.Term, true
 }
 
-// rightEnds returns the clock reading at which the right to spend under t ends
-// unless it is proved again.
-func (n *Node) rightEnds(t *ownTerm) time.Duration {
+// spendDeadline returns the clock reading at which the instance must stop spending under t
+// unless there is a new proof by then.
+func (n *Node) spendDeadline(t *heldTerm) time.Duration {
 	ends := n.lastRead + n.timing.Lease
 	if at, ok := t.extendedAt(); ok {
 		byFence := min(at+n.timing.Lease, n.lastRead+n.timing.Outage)
@@ -157,8 +157,8 @@
 	return ends
 }
 
-// LogAge returns the time since the last read to the log's end began, or zero before
-// the first one.
+// LogAge returns the time since the latest read to the end of the log began, or zero before
+// the first such read.
 func (n *Node) LogAge(now time.Duration) time.Duration {
 	if !n.hasRead {
 		return 0
@@ -166,17 +166,18 @@
 	return now - n.lastRead
 }
 
-// Phase is how far a held term has come.
+// Phase is the phase of a held term.
 type Phase string
 
 const (
-	// PhaseWaiting terms wait until earlier terms are out.
+	// PhaseWaiting terms wait until all earlier terms have ended.
 	PhaseWaiting Phase = "waiting"
-	// PhaseSpending terms have a right to spend that was proved by the log.
+	// PhaseSpending terms may spend because of a recent read of the log.
 	PhaseSpending Phase = "spending"
-	// PhaseExtended terms spend on their fence set's word because the log is silent.
+	// PhaseExtended terms may spend because a majority of their fence set acknowledged
+	// an Extend while the log could not be read.
 	PhaseExtended Phase = "extended"
-	// PhaseLapsed terms have no proof of their right at the moment.
+	// PhaseLapsed terms may not spend because they have no current proof.
 	PhaseLapsed Phase = "lapsed"
 )
 
@@ -185,58 +186,59 @@
 	Shard uint32
 	Term  Term
 	Phase Phase
-	// Since is the age of the term, LogAge the age of the last read of the log.
-	Since, LogAge time.Duration
+	// Age is the time since the claim was confirmed, LogAge the age of the latest full
+	// read of the log.
+	Age, LogAge time.Duration
 	// Open are the earlier terms that a waiting term still waits for.
-	Open []Holding
-	// WaitsAtMost bounds the rest of the wait.
-	WaitsAtMost time.Duration
+	Open []ClaimedTerm
+	// MaxWait is an upper bound on the remaining wait.
+	MaxWait time.Duration
 }
 
 // Held lists the terms that the instance holds.
 func (n *Node) Held(now time.Duration) []HeldStatus {
 	var held []HeldStatus
-	for shard, t := range n.own {
+	for shard, t := range n.held {
 		if t == nil {
 			continue
 		}
 		s := HeldStatus{
 			Shard: uint32(shard), Term: t.Term, Phase: n.phase(t, now),
-			Since: now - t.confirmed, LogAge: n.LogAge(now),
+			Age: now - t.confirmedAt, LogAge: n.LogAge(now),
 		}
 		if s.Phase == PhaseWaiting {
-			s.Open = t.openBefore()
-			s.WaitsAtMost = t.confirmed + n.timing.OutageWait - now
+			s.Open = t.openPredecessors()
+			s.MaxWait = t.confirmedAt + n.timing.OutageWait - now
 		}
 		held = append(held, s)
 	}
 	return held
 }
 
-func (n *Node) phase(t *ownTerm, now time.Duration) Phase {
+func (n *Node) phase(t *heldTerm, now time.Duration) Phase {
 	switch {
 	case !t.spending:
 		return PhaseWaiting
 	case now < n.lastRead+n.timing.Lease:
 		return PhaseSpending
-	case now < n.rightEnds(t):
+	case now < n.spendDeadline(t):
 		return PhaseExtended
 	default:
 		return PhaseLapsed
 	}
 }
 
-func (t *ownTerm) openBefore() []Holding {
-	var open []Holding
-	for _, p := range t.before {
-		if !p.out {
-			open = append(open, p.Holding)
+func (t *heldTerm) openPredecessors() []ClaimedTerm {
+	var open []ClaimedTerm
+	for _, p := range t.predecessors {
+		if !p.ended {
+			open = append(open, p.ClaimedTerm)
 		}
 	}
 	return open
 }
 
-// String returns the word used in logs.
+// String returns the value used in logs.
 func (s LevelSource) String() string {
 	switch s {
 	case LevelsKept:
--- a/rate/lease/record.go
+++ b/rate/lease/record.go
@@ -8,36 +8,37 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// Term is the offset of the claim that began it. Zero names no term.
+// Term identifies a term by the offset of its claim in the log. Zero is no term.
 type Term uint64
 
 // Record is one entry of the log stream "rate".
 type Record struct {
-	// Holder wrote the record.
+	// Holder is the run that wrote the record.
 	Holder request.Holder `json:"h"`
 	// Fence is the fence set of every term in the record.
 	Fence []request.Holder `json:"f,omitempty"`
-	// Seen is the end of the stream up to which the holder had read.
+	// Seen is the offset up to which, exclusively, the holder had read the stream.
 	Seen uint64 `json:"n"`
-	// Claims are shards whose next term the holder wants.
+	// Claims are the shards whose next term the holder claims.
 	Claims []uint32 `json:"c,omitempty"`
 	// Restated are terms that the holder still holds.
 	Restated []Restated `json:"r,omitempty"`
-	// Stopped are runs that an operator vouches to have ended.
+	// Stopped are runs that an operator declared stopped.
 	Stopped []request.Holder `json:"s,omitempty"`
-	// AllStopped vouches that every run which claimed before this record has ended.
+	// AllStopped declares that every run that claimed a shard before this record has
+	// stopped.
 	AllStopped bool `json:"a,omitempty"`
 }
 
-// Restated repeats a held term, so that it outlives the log's retention.
+// Restated repeats a held term, so that it remains in the log beyond the log's retention.
 type Restated struct {
 	Shard uint32 `json:"s"`
 	Term  Term   `json:"t"`
-	// Settled says that no earlier term of the shard can spend.
+	// Settled reports that no earlier term of the shard can spend.
 	Settled bool `json:"k,omitempty"`
 }
 
-// Encode returns the record as it stands in the log.
+// Encode returns the record in the encoding of the log.
 func (r Record) Encode() ([]byte, error) {
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -46,7 +47,7 @@
 	return data, nil
 }
 
-// Decode reads a record from the log.
+// Decode decodes a record that was read from the log.
 func Decode(data []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(data, &r); err != nil {
--- a/rate/lease/term.go
+++ b/rate/lease/term.go
@@ -7,94 +7,95 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// ownTerm is a term that this instance holds.
-type ownTerm struct {
-	Holding
-	// confirmed is when the claim was read back.
-	confirmed time.Duration
-	// before are the terms that must be out before this one spends.
-	before []predecessor
-	// unknown says that other terms may be open which the log does not show.
-	unknown bool
-	// spending is set once and stays until the term is lost.
+// heldTerm is a term that this instance holds.
+type heldTerm struct {
+	ClaimedTerm
+	// confirmedAt is when the claim was read back.
+	confirmedAt time.Duration
+	// predecessors are the terms that must end before this term may spend.
+	predecessors []predecessor
+	// hasUnknown reports that open terms may exist that the log no longer contains.
+	hasUnknown bool
+	// spending is set once and remains set until the term is lost.
 	spending bool
-	// extended holds, for each fence member, when the last Extend that it
-	// acknowledged was sent; zero for none.
-	extended []time.Duration
-	// asked is when Extend or Fence was last sent.
-	asked time.Duration
-	// restated is when the term was last repeated in the log, settled whether that
-	// repetition said so.
-	restated time.Duration
-	settled  bool
+	// extendSentAt holds, for each fence member, when the latest Extend that it
+	// acknowledged was sent; zero if there is none.
+	extendSentAt []time.Duration
+	// requestedAt is when Extend or Fence requests were last sent.
+	requestedAt time.Duration
+	// restatedAt is when the term was last repeated in the log; settled is whether that
+	// record marked it as settled.
+	restatedAt time.Duration
+	settled    bool
 }
 
-// predecessor is an earlier term as its successor sees it.
+// predecessor is an earlier term as tracked by its successor.
 type predecessor struct {
-	Holding
-	// fenced tells which members of the fence set acknowledged Fence; majority is when
-	// most of them had.
+	ClaimedTerm
+	// fenced holds which members of the fence set acknowledged Fence; majorityAt is when
+	// a majority of them had.
 	fenced      []bool
 	hasMajority bool
-	majority    time.Duration
-	out         bool
+	majorityAt  time.Duration
+	ended       bool
 }
 
-func newOwnTerm(h Holding, before []Holding, complete bool, now time.Duration) *ownTerm {
-	t := &ownTerm{Holding: h, confirmed: now, unknown: !complete, restated: now}
-	t.extended = make([]time.Duration, len(h.Fence))
-	for _, b := range before {
-		p := predecessor{Holding: b, fenced: make([]bool, len(b.Fence))}
-		// A run holds one term of a shard at a time: it stopped under its older ones.
-		p.out = SameRun(b.Holder, h.Holder)
-		t.before = append(t.before, p)
+func newHeldTerm(h ClaimedTerm, earlier []ClaimedTerm, complete bool, now time.Duration) *heldTerm {
+	t := &heldTerm{ClaimedTerm: h, confirmedAt: now, hasUnknown: !complete, restatedAt: now}
+	t.extendSentAt = make([]time.Duration, len(h.Fence))
+	for _, b := range earlier {
+		p := predecessor{ClaimedTerm: b, fenced: make([]bool, len(b.Fence))}
+		// A run holds at most one term of a shard, so it has stopped under its earlier
+		// terms.
+		p.ended = SameRun(b.Holder, h.Holder)
+		t.predecessors = append(t.predecessors, p)
 	}
 	return t
 }
 
-// extendedAt returns the latest time at which an Extend was sent that a majority of
-// the fence set acknowledged, or one after.
-func (t *ownTerm) extendedAt() (time.Duration, bool) {
-	if len(t.extended) == 0 {
+// extendedAt returns the latest time t such that a majority of the fence set acknowledged
+// an Extend sent at or after t.
+func (t *heldTerm) extendedAt() (time.Duration, bool) {
+	if len(t.extendSentAt) == 0 {
 		return 0, false
 	}
-	sent := slices.Clone(t.extended)
+	sent := slices.Clone(t.extendSentAt)
 	slices.Sort(sent)
 	at := sent[len(sent)-majorityOf(len(sent))]
 	return at, at > 0
 }
 
-// ready reports whether all predecessors are out.
-func (t *ownTerm) ready(l *ledger, timing Timing, now time.Duration) bool {
-	if now >= t.confirmed+timing.OutageWait {
+// ready reports whether all predecessors have ended.
+func (t *heldTerm) ready(l *logState, timing Timing, now time.Duration) bool {
+	if now >= t.confirmedAt+timing.OutageWait {
 		return true
 	}
-	if t.unknown && l.allStopped == 0 {
+	if t.hasUnknown && l.allStopped == 0 {
 		return false
 	}
-	for i := range t.before {
-		if !t.before[i].isOut(t.confirmed, l, timing, now) {
+	for i := range t.predecessors {
+		if !t.predecessors[i].hasEnded(t.confirmedAt, l, timing, now) {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *predecessor) isOut(confirmed time.Duration, l *ledger, timing Timing, now time.Duration) bool {
+func (p *predecessor) hasEnded(confirmedAt time.Duration, l *logState, timing Timing, now time.Duration) bool {
 	switch {
-	case p.out:
-	case l.vouched(p.Holding):
-		p.out = true
+	case p.ended:
+	case l.declaredStopped(p.ClaimedTerm):
+		p.ended = true
 	case len(p.Fence) == 0:
-		// Without a fence set the holder cannot extend its right without the log.
-		p.out = now >= confirmed+timing.LeaseWait
+		// Without a fence set the holder may spend only after reads of the log.
+		p.ended = now >= confirmedAt+timing.LeaseWait
 	case p.hasMajority:
-		p.out = now >= max(confirmed, p.majority)+timing.LeaseWait
+		p.ended = now >= max(confirmedAt, p.majorityAt)+timing.LeaseWait
 	}
-	return p.out
+	return p.ended
 }
 
-func (p *predecessor) acked(member request.Holder, now time.Duration) {
+func (p *predecessor) recordFenced(member request.Holder, now time.Duration) {
 	count := 0
 	for i, m := range p.Fence {
 		if SameRun(m, member) {
@@ -106,25 +107,26 @@
 	}
 	if !p.hasMajority && count >= majorityOf(len(p.Fence)) {
 		p.hasMajority = true
-		p.majority = now
+		p.majorityAt = now
 	}
 }
 
-// handedOver takes in that holder has stopped for good under term and all before it.
-func (t *ownTerm) handedOver(term Term, holder request.Holder, spending bool) {
+// handleHandOver records that holder has stopped for good under term and under all of its
+// earlier terms.
+func (t *heldTerm) handleHandOver(term Term, holder request.Holder, spending bool) {
 	settled := false
-	for i := len(t.before) - 1; i >= 0; i-- {
-		p := &t.before[i]
+	for i := len(t.predecessors) - 1; i >= 0; i-- {
+		p := &t.predecessors[i]
 		if SameRun(p.Holder, holder) && p.Term <= term {
-			p.out = true
+			p.ended = true
 			settled = settled || spending && p.Term == term
 		}
 		if settled {
-			p.out = true
+			p.ended = true
 		}
 	}
 	if settled {
-		t.unknown = false
+		t.hasUnknown = false
 	}
 }
 
--- a/rate/lease/walk_test.go
+++ b/rate/lease/walk_test.go
@@ -11,7 +11,7 @@
 	"github.com/cairnworks/cairnworks/rate/share"
 )
 
-// One tick is a nanosecond; a bucket gains one token a tick up to burst.
+// A tick is one nanosecond. A bucket gains one token per tick, up to burst.
 const (
 	tickRate = int64(time.Second) * 1000
 	burst    = 6
@@ -22,59 +22,60 @@
 	walkKey   = share.Key{Organisation: "jadran"}
 )
 
-// spentTokens is one charge with the tokens of it that turned out to be used.
+// spentTokens is one charge with the number of its tokens that were used.
 type spentTokens struct {
-	tick   int
+	at     int
 	term   Term
 	charge bucket.ChargeID
 	tokens int
 }
 
-// ledgerOfSpend gives each node its buckets and records all spend of a walk.
-type ledgerOfSpend struct {
+// spendRecorder holds the buckets of each term and records all spend of a walk.
+type spendRecorder struct {
 	buckets map[Term]*share.Buckets
 	spent   []spentTokens
-	// fullStart and refundAnyTerm switch safeguards off.
+	// fullStart and refundAnyTerm disable safeguards.
 	fullStart, refundAnyTerm bool
 }
 
-// begin gives the terms that have begun their buckets.
-func (l *ledgerOfSpend) begin(w *world) {
-	for _, st := range w.started {
-		now := w.now(st.node)
+// createBuckets creates the buckets of the terms that started in the last step.
+func (r *spendRecorder) createBuckets(md *model) {
+	for _, st := range md.started {
+		now := md.now(st.node)
 		switch {
-		case l.fullStart:
-			l.buckets[st.Term] = share.NewEmpty(now - 100)
+		case r.fullStart:
+			r.buckets[st.Term] = share.NewEmpty(now - 100)
 		case st.Levels == LevelsEmpty:
-			l.buckets[st.Term] = share.NewEmpty(now)
+			r.buckets[st.Term] = share.NewEmpty(now)
 		default:
-			levels, filling := l.buckets[st.Previous].Snapshot(now)
+			levels, filling := r.buckets[st.Previous].Snapshot(now)
 			limit := func(share.Key) (bucket.Limit, bool) { return walkLimit, true }
-			l.buckets[st.Term] = share.NewFromLevels(now, filling, levels, limit)
+			r.buckets[st.Term] = share.NewFromLevels(now, filling, levels, limit)
 		}
 	}
 }
 
-// use spends what one node has, or refunds part of an earlier charge.
-func (l *ledgerOfSpend) use(w *world, rng *rand.Rand) {
-	for i, n := range w.nodes {
-		term, ok := n.MaySpend(0, w.now(i))
+// spend takes tokens at each node that may spend, in half of the cases after a refund of
+// part of an earlier charge.
+func (r *spendRecorder) spend(md *model, rng *rand.Rand) {
+	for i, n := range md.nodes {
+		term, ok := n.MaySpend(0, md.now(i))
 		if !ok {
 			continue
 		}
-		if len(l.spent) > 0 && rng.IntN(2) == 0 {
-			l.refund(w, i, term, rng)
+		if len(r.spent) > 0 && rng.IntN(2) == 0 {
+			r.refund(md, i, term, rng)
 		}
 		wanted := uint64(1 + rng.IntN(burst))
-		if g := l.buckets[term].Take(w.now(i), walkKey, walkLimit, wanted, true); g.Tokens > 0 {
-			l.spent = append(l.spent, spentTokens{tick: w.tick, term: term, charge: g.Charge, tokens: int(g.Tokens)})
+		if g := r.buckets[term].Take(md.now(i), walkKey, walkLimit, wanted, true); g.Tokens > 0 {
+			r.spent = append(r.spent, spentTokens{at: md.ticks, term: term, charge: g.Charge, tokens: int(g.Tokens)})
 		}
 	}
 }
 
-func (l *ledgerOfSpend) refund(w *world, i int, term Term, rng *rand.Rand) {
-	s := &l.spent[rng.IntN(len(l.spent))]
-	if s.charge == 0 || s.term != term && !l.refundAnyTerm {
+func (r *spendRecorder) refund(md *model, i int, term Term, rng *rand.Rand) {
+	s := &r.spent[rng.IntN(len(r.spent))]
+	if s.charge == 0 || s.term != term && !r.refundAnyTerm {
 		return
 	}
 	back := rng.IntN(s.tokens + 1)
@@ -82,73 +83,74 @@
 	if s.term != term {
 		charge = 1
 	}
-	l.buckets[term].Refund(w.now(i), walkKey, charge, uint64(back), 0)
+	r.buckets[term].Refund(md.now(i), walkKey, charge, uint64(back), 0)
 	s.tokens -= back
 	s.charge = 0
 }
 
-// excess returns by how much the worst window passes rate*w + burst.
-func (l *ledgerOfSpend) excess() int {
+// excess returns by how many tokens the worst window exceeds rate*w + burst.
+func (r *spendRecorder) excess() int {
 	worst := 0
-	for from := range l.spent {
+	for from := range r.spent {
 		sum := 0
-		for _, s := range l.spent[from:] {
+		for _, s := range r.spent[from:] {
 			sum += s.tokens
-			worst = max(worst, sum-burst-(s.tick-l.spent[from].tick))
+			worst = max(worst, sum-burst-(s.at-r.spent[from].at))
 		}
 	}
 	return worst
 }
 
-// walk takes random steps from the start and returns the worst excess of spend.
-func walk(s scope, l ledgerOfSpend, seed uint64, steps int) (excess int, two bool) {
+// walk takes random steps from the initial state. It returns the largest excess of spend
+// and whether two nodes could spend at the same time.
+func walk(s scope, r spendRecorder, seed uint64, steps int) (excess int, twoSpenders bool) {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	w := newWorld(s)
-	l.buckets = map[Term]*share.Buckets{1: share.NewEmpty(w.now(0))}
+	md := newModel(s)
+	r.buckets = map[Term]*share.Buckets{1: share.NewEmpty(md.now(0))}
 	for range steps {
-		var choices []*world
-		w.next(s, func(c *world) { choices = append(choices, c) })
-		// Time passes in every other step, or the walk would dwell on messages.
+		var choices []*model
+		md.successors(s, func(c *model) { choices = append(choices, c) })
+		// At least half of the steps advance time; otherwise most would deliver messages.
 		pick := 0
 		if rng.IntN(2) == 0 {
 			pick = rng.IntN(len(choices))
 		}
-		w = choices[pick]
-		l.begin(w)
-		l.use(w, rng)
-		two = two || w.spenders() > 1
+		md = choices[pick]
+		r.createBuckets(md)
+		r.spend(md, rng)
+		twoSpenders = twoSpenders || md.spenders() > 1
 	}
-	return l.excess(), two
+	return r.excess(), twoSpenders
 }
 
-// Larger fleets than can be searched whole go through random faults. In every window
-// the organisation may have used at most its rate and burst.
+// Runs random faults on fleets that are too large for an exhaustive search. In no window
+// may the organisation use more than its rate and burst.
 func TestSpendStaysBounded(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
 		s := scope{nodes: 2 + int(seed%4), claims: 12, crashes: 4, expires: 3}
-		excess, two := walk(s, ledgerOfSpend{}, seed, 600)
-		assert.Assert(t, !two, "seed %d: two spenders", seed)
+		excess, twoSpenders := walk(s, spendRecorder{}, seed, 600)
+		assert.Assert(t, !twoSpenders, "seed %d: two spenders", seed)
 		assert.Equal(t, excess, 0, "seed %d", seed)
 	}
 }
 
-// Buckets that begin full after a takeover, or refunds that reach a later term, let an
-// organisation use more than its rate and burst. The walks must show it.
+// Buckets that start full after a takeover, or refunds applied to a later term, let an
+// organisation exceed its rate and burst. Some walk must detect each of these faults.
 func TestBucketSafeguardsAreNeeded(t *testing.T) {
-	for name, l := range map[string]ledgerOfSpend{
+	for name, r := range map[string]spendRecorder{
 		"full start":            {fullStart: true},
 		"refund to a late term": {refundAnyTerm: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(60) {
 				s := scope{nodes: 2 + int(seed%4), claims: 12, crashes: 4}
-				if excess, _ := walk(s, l, seed, 600); excess > 0 {
-					t.Logf("seed %d: %d tokens too many", seed, excess)
+				if excess, _ := walk(s, r, seed, 600); excess > 0 {
+					t.Logf("seed %d: %d tokens above the bound", seed, excess)
 					return
 				}
 			}
-			t.Fatal("no walk passes the bound")
+			t.Fatal("no walk exceeds the bound")
 		})
 	}
 }
--- a/rate/message.go
+++ b/rate/message.go
@@ -68,9 +68,9 @@
 	reply  chan bool
 }
 
-type extended struct{ asks []lease.Ask }
+type extended struct{ asks []lease.MemberRequest }
 
-type fenced struct{ ask lease.Ask }
+type fenced struct{ ask lease.MemberRequest }
 
 type handOver struct {
 	shard    uint32
--- a/rate/peer.go
+++ b/rate/peer.go
@@ -13,8 +13,8 @@
 )
 
 // askExtend asks each member once for all terms that name it.
-func (s *Service) askExtend(asks []lease.Ask) {
-	byMember := make(map[request.Holder][]lease.Ask)
+func (s *Service) askExtend(asks []lease.MemberRequest) {
+	byMember := make(map[request.Holder][]lease.MemberRequest)
 	for _, a := range asks {
 		byMember[a.Member] = append(byMember[a.Member], a)
 	}
@@ -24,7 +24,7 @@
 	}
 }
 
-func (s *Service) extendAt(ctx context.Context, member request.Holder, asks []lease.Ask) {
+func (s *Service) extendAt(ctx context.Context, member request.Holder, asks []lease.MemberRequest) {
 	req := &peerv1.ExtendRequest{Holder: toWire(s.cfg.Self), Member: toWire(member)}
 	for _, a := range asks {
 		req.Terms = append(req.Terms, &peerv1.TermRef{Shard: a.Shard, Term: uint64(a.Term)})
@@ -33,7 +33,7 @@
 	if err != nil {
 		return
 	}
-	var granted []lease.Ask
+	var granted []lease.MemberRequest
 	for i, ok := range res.Msg.GetExtended() {
 		if ok && i < len(asks) {
 			granted = append(granted, asks[i])
@@ -42,7 +42,7 @@
 	s.tell(extended{asks: granted})
 }
 
-func (s *Service) askFence(a lease.Ask) {
+func (s *Service) askFence(a lease.MemberRequest) {
 	s.count.fences.Inc(1)
 	s.inBackground(peerTimeout, func(ctx context.Context) {
 		res, err := s.client(a.Member).Fence(ctx, connect.NewRequest(&peerv1.FenceRequest{
