--- a/rate/admit.go
+++ b/rate/admit.go
@@ -17,37 +17,37 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// gather collects one request's cost from an organisation's shares.
-type gather struct {
+// admission collects the cost of one request from an organisation's shares.
+type admission struct {
 	s            *Service
 	organisation string
 	limit        object.Limit
 	cost, got    uint64
-	begun        time.Duration
-	shares       [share.Count]gatherShare
+	startedAt    time.Duration
+	shares       [share.Count]admissionShare
 }
 
-// gatherShare is what a gather knows of one share.
-type gatherShare struct {
+// admissionShare is the state of one share during an admission.
+type admissionShare struct {
 	shard uint32
-	// part is what was granted, in parts of several tries.
+	// parts are the grants of the share, one for each attempt that was granted tokens.
 	parts []route.ChargePart
-	// drawn says that the share gave all it had.
-	drawn bool
-	// doubtful says that the share's home did not grant or refuse.
-	doubtful bool
+	// exhausted reports that the share granted all the tokens it had.
+	exhausted bool
+	// unavailable reports that the share's home neither granted nor refused.
+	unavailable bool
 }
 
-// Admit implements route.RateLimiter. It refuses with verdict.ReasonRateLimited and
-// the time until the shares hold the cost, or with verdict.ReasonRateHomeUnavailable when
-// a share without a reachable home might hold what is missing. A cost above the burst
-// is refused without a time: it can never be admitted.
+// Admit implements route.RateLimiter. It refuses with verdict.ReasonRateLimited and the
+// time until the shares hold the cost, or with verdict.ReasonRateHomeUnavailable if a share
+// without a reachable home might hold the missing tokens. A cost above the burst can never
+// be admitted and is refused without a time.
 func (s *Service) Admit(ctx context.Context, organisation string, cost uint64) (route.Charge, error) {
 	charge := route.Charge{Organisation: organisation, Tokens: cost}
 	limit, ok := s.cfg.Limit(organisation)
 	if !ok {
 		return route.Charge{}, verdict.Refuse(verdict.ReasonNoConfiguration, time.Second,
-			"no limit is in force for the organisation")
+			"no rate limit is configured for the organisation")
 	}
 	if cost > uint64(max(limit.Burst, 0)) {
 		return route.Charge{}, verdict.Refuse(verdict.ReasonRateLimited, 0,
@@ -56,53 +56,54 @@
 	if cost == 0 {
 		return charge, nil
 	}
-	g := &gather{s: s, organisation: organisation, limit: limit, cost: cost, begun: s.now()}
-	g.collect(ctx)
-	if g.got < cost {
-		g.giveBack()
-		return route.Charge{}, g.refusal(ctx)
+	a := &admission{s: s, organisation: organisation, limit: limit, cost: cost, startedAt: s.now()}
+	a.collect(ctx)
+	if a.got < cost {
+		a.refundAll()
+		return route.Charge{}, a.refusal(ctx)
 	}
-	if s.now() > g.begun+maxGather {
-		g.giveBack()
+	if s.now() > a.startedAt+maxCollectTime {
+		a.refundAll()
 		return route.Charge{}, verdict.Refuse(verdict.ReasonRateHomeUnavailable, time.Second,
-			"gathering tokens took too long")
+			"collecting tokens from the shares took too long")
 	}
-	for i := range g.shares {
-		charge.Parts = append(charge.Parts, g.shares[i].parts...)
+	for i := range a.shares {
+		charge.Parts = append(charge.Parts, a.shares[i].parts...)
 	}
 	s.count.admitted.Inc(1)
 	return charge, nil
 }
 
-// collect asks the shares, then waits a short time for those whose home has just been
-// lost from sight.
-func (g *gather) collect(ctx context.Context) {
-	for _, i := range g.order() {
-		g.draw(ctx, i, false)
+// collect acquires tokens from the shares, and then waits a short time for shares whose home
+// became unreachable recently.
+func (a *admission) collect(ctx context.Context) {
+	for _, i := range a.shareOrder() {
+		a.acquireFrom(ctx, i, false)
 	}
 	waited := false
-	for g.worthWaiting() && ctx.Err() == nil {
+	for a.shouldWait() && ctx.Err() == nil {
 		if !waited {
 			waited = true
-			g.s.count.waited.Inc(1)
+			a.s.count.homeWaits.Inc(1)
 		}
-		pause(ctx, homeRetry)
-		for i := range g.shares {
-			if g.shares[i].doubtful {
-				g.draw(ctx, uint32(i), true)
+		sleep(ctx, homeRetryInterval)
+		for i := range a.shares {
+			if a.shares[i].unavailable {
+				a.acquireFrom(ctx, uint32(i), true)
 			}
 		}
 	}
 }
 
-// order puts shares that are at home here first; they cost no hop.
-func (g *gather) order() []uint32 {
-	routes := g.s.routes.Load()
+// shareOrder returns the shares in random order, those whose home is this instance first
+// since they need no network hop.
+func (a *admission) shareOrder() []uint32 {
+	routes := a.s.routes.Load()
 	var local, remote []uint32
 	for _, n := range rand.Perm(share.Count) {
 		i := uint32(n)
-		g.shares[i].shard = shardOf(g.organisation, i)
-		if lease.SameRun(routes.holders[g.shares[i].shard], g.s.cfg.Self) {
+		a.shares[i].shard = shardOf(a.organisation, i)
+		if lease.SameRun(routes.holders[a.shares[i].shard], a.s.cfg.Self) {
 			local = append(local, i)
 		} else {
 			remote = append(remote, i)
@@ -111,61 +112,63 @@
 	return append(local, remote...)
 }
 
-// draw takes what is missing from one share, as far as it has it.
-func (g *gather) draw(ctx context.Context, i uint32, again bool) {
-	sh := &g.shares[i]
-	if g.got >= g.cost || share.LimitOf(g.limit, i).BurstMilli == 0 {
+// acquireFrom acquires the missing tokens, or as many of them as are available, from one
+// share. It skips a share whose home failed recently unless retry is set.
+func (a *admission) acquireFrom(ctx context.Context, i uint32, retry bool) {
+	sh := &a.shares[i]
+	if a.got >= a.cost || share.LimitOf(a.limit, i).BurstMilli == 0 {
 		return
 	}
-	if !again && g.s.doubts.isDoubtful(sh.shard) {
-		sh.doubtful = true
-		g.s.count.passedOver.Inc(1)
+	if !retry && a.s.failures.shouldSkip(sh.shard) {
+		sh.unavailable = true
+		a.s.count.sharesSkipped.Inc(1)
 		return
 	}
-	wanted := g.cost - g.got
-	res, ok := g.s.take(ctx, sh.shard, share.Key{Organisation: g.organisation, Share: i}, wanted)
-	sh.doubtful = !ok
+	wanted := a.cost - a.got
+	res, ok := a.s.acquireFromHome(ctx, sh.shard, share.Key{Organisation: a.organisation, Share: i}, wanted)
+	sh.unavailable = !ok
 	if !ok && ctx.Err() == nil {
-		g.s.doubts.failed(sh.shard)
+		a.s.failures.recordFailure(sh.shard)
 	}
 	if !ok {
-		g.s.count.passedOver.Inc(1)
+		a.s.count.sharesSkipped.Inc(1)
 		return
 	}
-	g.s.doubts.answered(sh.shard)
-	sh.drawn = res.grant.Tokens < wanted
+	a.s.failures.recordSuccess(sh.shard)
+	sh.exhausted = res.grant.Tokens < wanted
 	if res.grant.Tokens == 0 {
 		return
 	}
-	g.got += res.grant.Tokens
+	a.got += res.grant.Tokens
 	sh.parts = append(sh.parts, route.ChargePart{
 		Share: i, Shard: sh.shard, Term: uint64(res.term), Charge: uint64(res.grant.Charge), Tokens: res.grant.Tokens,
 	})
 }
 
-// worthWaiting reports whether shares in fresh doubt could hold what is missing.
-func (g *gather) worthWaiting() bool {
-	if g.got >= g.cost || g.s.now() >= g.begun+homeWait {
+// shouldWait reports whether shares whose home failed recently could hold the missing tokens.
+func (a *admission) shouldWait() bool {
+	if a.got >= a.cost || a.s.now() >= a.startedAt+homeWait {
 		return false
 	}
-	return g.cost-g.got <= g.mayHold(func(sh *gatherShare) bool {
-		return sh.doubtful && g.s.doubts.isFresh(sh.shard)
+	return a.cost-a.got <= a.maxTokens(func(sh *admissionShare) bool {
+		return sh.unavailable && a.s.failures.isRecent(sh.shard)
 	})
 }
 
-// mayHold sums the bursts of the shares for which match holds, in tokens.
-func (g *gather) mayHold(match func(*gatherShare) bool) uint64 {
+// maxTokens returns the sum of the bursts of the matching shares, in tokens.
+func (a *admission) maxTokens(match func(*admissionShare) bool) uint64 {
 	sum := uint64(0)
-	for i := range g.shares {
-		if match(&g.shares[i]) {
-			sum += uint64(share.LimitOf(g.limit, uint32(i)).BurstMilli / 1000)
+	for i := range a.shares {
+		if match(&a.shares[i]) {
+			sum += uint64(share.LimitOf(a.limit, uint32(i)).BurstMilli / 1000)
 		}
 	}
 	return sum
 }
 
-// take asks a shard's home, without a hop if that is this instance.
-func (s *Service) take(ctx context.Context, shard uint32, key share.Key, tokens uint64) (acquired, bool) {
+// acquireFromHome acquires tokens from the home of a shard, without a network hop if that is
+// this instance. It returns false if the home did not decide.
+func (s *Service) acquireFromHome(ctx context.Context, shard uint32, key share.Key, tokens uint64) (acquired, bool) {
 	holder := s.routes.Load().holders[shard]
 	if holder.Instance == "" {
 		return acquired{}, false
@@ -178,10 +181,10 @@
 		})
 		return got, ok && !got.notHome
 	}
-	return s.takeFromPeer(ctx, holder, shard, key, tokens)
+	return s.acquireFromPeer(ctx, holder, shard, key, tokens)
 }
 
-func (s *Service) takeFromPeer(ctx context.Context, holder request.Holder, shard uint32, key share.Key, tokens uint64) (acquired, bool) {
+func (s *Service) acquireFromPeer(ctx context.Context, holder request.Holder, shard uint32, key share.Key, tokens uint64) (acquired, bool) {
 	res, err := s.client(holder).Acquire(ctx, connect.NewRequest(&peerv1.AcquireRequest{
 		Organisation: key.Organisation, Share: key.Share, Shard: shard, Tokens: tokens, Partial: true,
 	}))
--- a/rate/bench_test.go
+++ b/rate/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// BenchmarkAdmit admits and settles on the home itself and from a peer over HTTP/1.1 on
-// loopback.
+// BenchmarkAdmit measures Admit and Settle on the home itself and on a peer that reaches the
+// home over HTTP/1.1 on loopback.
 func BenchmarkAdmit(b *testing.B) {
 	log, home := newFakeLog(), request.Holder{Instance: "home", Incarnation: 1, Address: "127.0.0.1:1"}
 	var url string
--- a/rate/config.go
+++ b/rate/config.go
@@ -15,74 +15,78 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// Stream is the log stream that names the holders of shards.
+// Stream is the log stream that records the holders of the shards.
 const Stream = "rate"
 
 const (
-	// tickEvery advances waits and claims.
-	tickEvery = 200 * time.Millisecond
-	// homePoll and idlePoll are the long polls of the log for an instance that holds
-	// shards and for one that does not. Each read to the end proves the right to spend.
-	homePoll = 600 * time.Millisecond
-	idlePoll = 2 * time.Second
-	// readTimeout bounds a read beyond its long poll.
+	// tickInterval is the interval at which waits and claims advance.
+	tickInterval = 200 * time.Millisecond
+	// holderPoll and idlePoll are the long poll durations of the log for an instance that
+	// holds shards and for one that does not. Each read to the end of the log proves that
+	// the holder may spend.
+	holderPoll = 600 * time.Millisecond
+	idlePoll   = 2 * time.Second
+	// readTimeout is the timeout of a read, in addition to its long poll.
 	readTimeout = time.Second
-	// readBackoff is the pause after a failed read.
+	// readBackoff is the delay after a failed read.
 	readBackoff = 250 * time.Millisecond
-	// readPage is the most records in one read.
-	readPage = 1000
-	// appendTimeout bounds an append; its outcome is read back from the stream.
+	// maxReadRecords is the maximum number of records in one read.
+	maxReadRecords = 1000
+	// appendTimeout is the timeout of an append. Its outcome is read back from the stream.
 	appendTimeout = 3 * time.Second
-	// peerTimeout bounds Extend, Fence and HandOver.
+	// peerTimeout is the timeout of Extend, Fence and HandOver.
 	peerTimeout = time.Second
-	// handOverTries is how often levels are sent to a successor that does not answer.
-	handOverTries = 3
-	// acquireTimeout bounds one Acquire. Instances are about a millisecond apart; a
-	// home that does not answer within a hundred of them is passed over.
+	// maxHandOverAttempts is the maximum number of attempts to send the levels to a
+	// successor.
+	maxHandOverAttempts = 3
+	// acquireTimeout is the timeout of one Acquire. The latency between instances is about
+	// a millisecond; a home that does not respond within a hundred times that is skipped.
 	acquireTimeout = 100 * time.Millisecond
-	// homeWait is how long a request waits for a share whose home has just been lost
-	// from sight; a planned move takes a few milliseconds.
+	// homeWait is how long a request waits for a share whose home became unreachable
+	// recently. A planned move takes a few milliseconds.
 	homeWait = 300 * time.Millisecond
-	// homeRetry is the pause between two tries during homeWait.
-	homeRetry = 20 * time.Millisecond
-	// doubtFor is how long a share whose home failed to answer is passed over at once.
-	doubtFor = 500 * time.Millisecond
-	// freshDoubt is the age up to which a doubt is worth waiting for.
-	freshDoubt = time.Second
-	// maxGather is the age above which a gathered grant is given back: a paused asker
-	// would otherwise start work long after its tokens were counted.
-	maxGather = time.Second
-	// settleEvery is how long refunds of finished requests are gathered into one call to
-	// each home. It is short beside the seconds that a request runs.
-	settleEvery = 200 * time.Millisecond
-	// refundTimeout bounds a refund; a lost one costs tokens and creates none.
+	// homeRetryInterval is the delay between two attempts during homeWait.
+	homeRetryInterval = 20 * time.Millisecond
+	// skipFailedFor is how long requests skip a share after its home failed to respond.
+	skipFailedFor = 500 * time.Millisecond
+	// recentFailureWindow is how long after the first failure of a home requests still
+	// wait for it.
+	recentFailureWindow = time.Second
+	// maxCollectTime is the time limit for collecting tokens. After it the grants are
+	// refunded; otherwise an instance that was paused would start work long after its
+	// tokens were charged.
+	maxCollectTime = time.Second
+	// refundInterval is how long refunds of finished requests are batched into one call to
+	// each home. It is short compared to the seconds that a request runs.
+	refundInterval = 200 * time.Millisecond
+	// refundTimeout is the timeout of a refund. A lost refund costs tokens and creates none.
 	refundTimeout = time.Second
-	// gaugeEvery is how often gauges are brought up to date.
-	gaugeEvery = time.Second
-	// pruneEvery is how often unused buckets and clients are dropped.
-	pruneEvery = time.Minute
+	// gaugeInterval is the interval at which gauges are updated.
+	gaugeInterval = time.Second
+	// pruneInterval is the interval at which unused buckets and clients are dropped.
+	pruneInterval = time.Minute
 )
 
-// Config is what a Service needs.
+// Config configures a Service.
 type Config struct {
-	// Self names this run. Its Incarnation must be above that of every earlier run of
-	// the instance.
+	// Self identifies this run. Its Incarnation must be higher than that of every earlier
+	// run of the instance.
 	Self request.Holder
 	Log  port.Log
-	// Members returns the runs that are alive and not draining, this one included. A run
-	// that is missing from it loses its shards to others, so Run should begin once the
-	// list is complete.
+	// Members returns the runs that are alive and not draining, this run included. A run
+	// that is not in the list loses its shards to others, so Run should be called only once
+	// the list is complete.
 	Members func() []request.Holder
-	// Limit returns an organisation's limit in force, false if it has none.
+	// Limit returns the current limit of an organisation, false if it has none.
 	Limit func(organisation string) (object.Limit, bool)
-	// Dial returns the client for a peer's address (IP:port). It is called once for
-	// each address while that is in use.
+	// Dial returns the client for the address (IP:port) of a peer. It is called once for
+	// each address as long as the address is in use.
 	Dial func(address string) peerv1connect.RateServiceClient
-	// System runs the home's actor. Without it the service has one of its own.
+	// System runs the home actor. If it is nil, the service creates its own system.
 	System  *actor.ActorSystem
 	Logger  *zap.Logger
 	Metrics *observe.Metrics
-	// Clock defaults to time.Now; its readings must be monotonic.
+	// Clock defaults to time.Now. Its readings must be monotonic.
 	Clock func() time.Time
 	// Timing defaults to lease.DefaultTiming.
 	Timing lease.Timing
@@ -90,10 +94,10 @@
 
 func (c *Config) check() error {
 	if c.Self.Instance == "" || c.Self.Address == "" {
-		return oops.Errorf("rate: the instance needs a name and an address")
+		return oops.Errorf("rate: Self needs an instance name and an address")
 	}
 	if c.Log == nil || c.Members == nil || c.Limit == nil || c.Dial == nil {
-		return oops.Errorf("rate: log, members, limit and dial are needed")
+		return oops.Errorf("rate: Log, Members, Limit and Dial are required")
 	}
 	if c.Logger == nil {
 		c.Logger = zap.NewNop()
--- a/rate/drain.go
+++ b/rate/drain.go
@@ -8,25 +8,25 @@
 	"github.com/cairnworks/cairnworks/rate/lease"
 )
 
-// Drain gives up this instance's shards. Others claim them, because this instance no
-// longer counts itself a member and its membership entry says draining; each claim is
-// answered with the levels, and the successor goes on without a wait. Drain returns
-// when nothing is held or nobody else is there to take it, and with an error when ctx
-// ends first, as it does while the log is down: nobody can take over then, and ending
-// the instance would leave its shards without a home until the log is back.
+// Drain releases this instance's shards. Other instances claim them, because this instance
+// no longer treats itself as a member and its membership entry says draining. It sends the
+// levels to each successor, which then continues without a wait. Drain returns when no
+// shard is held or no other instance is alive to take over. It returns an error if ctx ends
+// first, as it does while the log is unavailable: no instance can take over then, and
+// terminating this one would leave its shards without a home until the log is back.
 func (s *Service) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	for {
-		status, ok := s.query(ctx)
+		status, ok := s.queryStatus(ctx)
 		if !ok {
-			return oops.Errorf("rate: drain ended early: %w", context.Cause(ctx))
+			return oops.Errorf("rate: drain interrupted: %w", context.Cause(ctx))
 		}
 		if len(status.Held) == 0 || !s.othersAlive() {
 			return nil
 		}
-		pause(ctx, homeRetry)
+		sleep(ctx, homeRetryInterval)
 		if ctx.Err() != nil {
-			return oops.Errorf("rate: drain ended with %d shards held: %w", len(status.Held), ctx.Err())
+			return oops.Errorf("rate: drain ended with %d shards still held: %w", len(status.Held), ctx.Err())
 		}
 	}
 }
--- a/rate/fault_test.go
+++ b/rate/fault_test.go
@@ -16,14 +16,14 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// The organisation of the tests and its limit.
+// The organisation used in the tests and its limit.
 const (
 	organisation = "jadran"
 	testRate     = 300
 	testBurst    = 3000
 )
 
-// meter records what was admitted and checks every window.
+// meter records the admitted requests and checks the bound over every window.
 type meter struct {
 	pending sync.WaitGroup
 	mu      sync.Mutex
@@ -32,168 +32,170 @@
 	refused map[verdict.Reason]int
 }
 
-// admit returns the verdict of a refused request, or nil.
-func (k *meter) admit(m *member, cost uint64) *verdict.Verdict {
+// admit sends a request. It returns the verdict if the request was refused, otherwise nil.
+func (mt *meter) admit(m *member, cost uint64) *verdict.Verdict {
 	_, err := m.service.Admit(context.Background(), organisation, cost)
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	mt.mu.Lock()
+	defer mt.mu.Unlock()
 	var v *verdict.Verdict
 	if errors.As(err, &v) {
-		k.refused[v.Reason]++
+		mt.refused[v.Reason]++
 		return v
 	}
-	k.at = append(k.at, time.Now())
-	k.cost = append(k.cost, float64(cost))
+	mt.at = append(mt.at, time.Now())
+	mt.cost = append(mt.cost, float64(cost))
 	return nil
 }
 
-// excess returns by how many tokens the worst window passes rate*w + burst, when all
-// answers are in. An answer may be up to maxGather later than its tokens were counted.
-func (k *meter) excess() float64 {
-	k.pending.Wait()
+// excess waits for all responses and returns by how many tokens the worst window exceeds
+// rate*w + burst. A response may be up to maxCollectTime later than the charge of its tokens.
+func (mt *meter) excess() float64 {
+	mt.pending.Wait()
 	worst, level := 0.0, 0.0
-	for i, at := range k.at {
+	for i, at := range mt.at {
 		if i > 0 {
-			level = max(0, level-testRate*at.Sub(k.at[i-1]).Seconds())
+			level = max(0, level-testRate*at.Sub(mt.at[i-1]).Seconds())
 		}
-		level += k.cost[i]
-		worst = max(worst, level-testBurst-testRate*maxGather.Seconds())
+		level += mt.cost[i]
+		worst = max(worst, level-testBurst-testRate*maxCollectTime.Seconds())
 	}
 	return worst
 }
 
-// load sends requests of cost from each instance in turn, or from all that live at the
-// moment, for a time. It does not wait for their answers: a paused instance gives them
-// only when it goes on.
-func (k *meter) load(f *fleet, from []*member, cost uint64, perSecond int, d time.Duration) {
+// load sends requests of cost to each of the instances in turn, or to the running ones if
+// from is nil, for a duration d. It does not wait for the responses, since a paused instance
+// responds only after it resumes.
+func (mt *meter) load(f *fleet, from []*member, cost uint64, perSecond int, d time.Duration) {
 	for i := range int(d.Seconds() * float64(perSecond)) {
 		turn := from
 		if turn == nil {
-			turn = f.living()
+			turn = f.running()
 		}
 		m := turn[i%len(turn)]
-		k.pending.Go(func() { k.admit(m, cost) })
+		mt.pending.Go(func() { mt.admit(m, cost) })
 		time.Sleep(time.Second / time.Duration(perSecond))
 	}
 }
 
-// Every instance admits a part of the burst; none of them alone knows what the others
-// admitted. Together they must admit the burst and not a token more, and the time named
-// in the refusal must be right.
+// Every instance admits part of the burst without knowing what the others admitted. Together
+// they must admit the burst and not a token more, and the retry delay in the refusal must be
+// correct.
 func TestBurstOverAllInstances(t *testing.T) {
 	t.Parallel()
-	inFleet(t, 9, func(f *fleet, k *meter) {
+	runFleet(t, 9, func(f *fleet, mt *meter) {
 		for i := range 30 {
-			assert.Assert(t, k.admit(f.living()[i%9], 100) == nil)
+			assert.Assert(t, mt.admit(f.running()[i%9], 100) == nil)
 		}
-		v := k.admit(f.living()[0], 150)
+		v := mt.admit(f.running()[0], 150)
 		assert.Equal(t, v.Reason, verdict.ReasonRateLimited)
 		time.Sleep(v.RetryAfter)
-		assert.Assert(t, k.admit(f.living()[1], 150) == nil)
+		assert.Assert(t, mt.admit(f.running()[1], 150) == nil)
 	})
 }
 
-// The home of one share dies while an organisation sends within its rate. Requests go
-// on from the other two shares, and the third is back after the lease has been waited
-// out; nothing above the bound is admitted.
+// The home of one share is killed while an organisation sends within its rate. Requests must
+// be served from the other two shares, the third share must be available again once the lease
+// has expired, and the bound must hold.
 func TestHomeKilled(t *testing.T) {
 	t.Parallel()
-	inFleet(t, 9, func(f *fleet, k *meter) {
-		home, from := f.homeOf(0), f.other()
+	runFleet(t, 9, func(f *fleet, mt *meter) {
+		home, from := f.homeOf(0), f.nonHome()
 		begun := time.Now()
 		f.kill(home)
 		for f.homeOf(0) == nil {
-			k.admit(from, 20)
+			mt.admit(from, 20)
 			time.Sleep(100 * time.Millisecond)
 		}
 		t.Logf("share without a home for %v", time.Since(begun))
 		assert.Assert(t, time.Since(begun) < 7*time.Second)
-		assert.Equal(t, len(k.refused), 0)
-		k.load(f, nil, 100, 20, 30*time.Second)
+		assert.Equal(t, len(mt.refused), 0)
+		mt.load(f, nil, 100, 20, 30*time.Second)
 	})
 }
 
-// A home is paused for a minute, its shards get another home, and it comes back still
-// believing in its lease. Requests that reach it then must not find tokens in it.
-func TestHomePausedAndBack(t *testing.T) {
+// A home is paused for a minute, its shards move to another home, and it resumes with an
+// expired lease that it still considers valid. It must not grant tokens then.
+func TestHomePausedAndResumed(t *testing.T) {
 	t.Parallel()
-	inFleet(t, 9, func(f *fleet, k *meter) {
-		home, from := f.homeOf(0), f.other()
+	runFleet(t, 9, func(f *fleet, mt *meter) {
+		home, from := f.homeOf(0), f.nonHome()
 		home.gate.pause()
-		k.load(f, []*member{from}, 100, 10, 2*time.Second)
+		mt.load(f, []*member{from}, 100, 10, 2*time.Second)
 		f.unlist(home)
-		k.load(f, []*member{from}, 100, 10, time.Minute)
+		mt.load(f, []*member{from}, 100, 10, time.Minute)
 		home.gate.resume()
 		f.list(home)
-		k.load(f, []*member{from, home}, 100, 10, time.Minute)
-		f.settle()
+		mt.load(f, []*member{from, home}, 100, 10, time.Minute)
+		f.waitForHomes()
 	})
 }
 
-// The log is down for an hour and nobody dies. Homes go on with their fence sets' word;
-// an organisation within its rate notices nothing.
+// The log is unavailable for an hour and no instance fails. Homes must continue with Extend
+// acknowledgements of their fence sets, and an organisation within its rate must not be
+// refused.
 func TestLogDownForAnHour(t *testing.T) {
 	t.Parallel()
-	inFleet(t, 3, func(f *fleet, k *meter) {
+	runFleet(t, 3, func(f *fleet, mt *meter) {
 		f.log.setDown(true)
 		calls := f.calls.Load()
-		k.load(f, nil, 100, 1, time.Hour)
-		k.pending.Wait()
+		mt.load(f, nil, 100, 1, time.Hour)
+		mt.pending.Wait()
 		t.Logf("%.1f calls between peers a second and instance", float64(f.calls.Load()-calls)/3600/3)
-		assert.Equal(t, len(k.refused), 0)
+		assert.Equal(t, len(mt.refused), 0)
 	})
 }
 
-// The log is down and a home dies meanwhile. Nobody may take over its
-// shards; the organisation keeps the other two thirds, and gets all back with the log.
+// A home is killed while the log is unavailable, so no instance may take over its shards. The
+// organisation must keep the other two thirds of its rate, and get all of it once the log is
+// back.
 func TestLogDownAndHomeKilled(t *testing.T) {
 	t.Parallel()
-	inFleet(t, 5, func(f *fleet, k *meter) {
+	runFleet(t, 5, func(f *fleet, mt *meter) {
 		f.log.setDown(true)
 		f.kill(f.homeOf(0))
-		from := f.living()
-		k.load(f, from, 100, 6, 5*time.Minute)
-		k.pending.Wait()
-		rate := float64(len(k.at)) * 100 / (5 * 60)
-		t.Logf("admitted %.0f of 300 tokens a second, refused %v", rate, k.refused)
+		from := f.running()
+		mt.load(f, from, 100, 6, 5*time.Minute)
+		mt.pending.Wait()
+		rate := float64(len(mt.at)) * 100 / (5 * 60)
+		t.Logf("admitted %.0f of 300 tokens a second, refused %v", rate, mt.refused)
 		assert.Assert(t, rate > 195)
 		f.log.setDown(false)
-		f.settle()
-		k.load(f, from, 100, 4, 30*time.Second)
+		f.waitForHomes()
+		mt.load(f, from, 100, 4, 30*time.Second)
 	})
 }
 
-// A home is cut off from the log and from all peers but still reaches itself. Callers
-// that the balancer sends to it must not spend a share that another home holds by then.
+// A home is cut off from the log and from all peers but still serves callers. Callers that
+// the load balancer sends to it must not spend from a share that another home holds by then.
 func TestHomePartitioned(t *testing.T) {
 	t.Parallel()
-	inFleet(t, 9, func(f *fleet, k *meter) {
-		home, from := f.homeOf(0), f.other()
+	runFleet(t, 9, func(f *fleet, mt *meter) {
+		home, from := f.homeOf(0), f.nonHome()
 		f.setCut(home, true, "log")
-		for _, m := range f.living() {
+		for _, m := range f.running() {
 			if m != home {
 				f.setCut(home, true, m.holder.Address)
 			}
 		}
-		k.load(f, []*member{home, from}, 50, 20, 2*time.Second)
+		mt.load(f, []*member{home, from}, 50, 20, 2*time.Second)
 		f.unlist(home)
-		k.load(f, []*member{home, from}, 50, 20, time.Minute)
+		mt.load(f, []*member{home, from}, 50, 20, time.Minute)
 		for _, h := range home.service.Status().Held {
 			assert.Equal(t, h.Phase, lease.PhaseLapsed)
 		}
 	})
 }
 
-// All nine instances are replaced one after the other while an organisation sends at
-// nine tenths of its rate. No request may be refused, and the log must bear it.
+// All nine instances are replaced one after the other while an organisation sends at nine
+// tenths of its rate. No request may be refused. The number of log appends is logged.
 func TestRollingReplacement(t *testing.T) {
 	t.Parallel()
-	inFleet(t, 9, func(f *fleet, k *meter) {
-		appends, bytes := f.log.load()
+	runFleet(t, 9, func(f *fleet, mt *meter) {
+		appends, bytes := f.log.totals()
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			for _, m := range f.living() {
+			for _, m := range f.running() {
 				f.unlist(m)
 				assert.Check(t, m.service.Drain(context.Background()))
 				f.end(m)
@@ -202,41 +204,42 @@
 			}
 		}()
 		for replaced := false; !replaced; {
-			k.load(f, nil, 27, 10, time.Second)
+			mt.load(f, nil, 27, 10, time.Second)
 			select {
 			case <-done:
 				replaced = true
 			default:
 			}
 		}
-		appendsAfter, bytesAfter := f.log.load()
-		t.Logf("%d appends, %d bytes, refused %v", appendsAfter-appends, bytesAfter-bytes, k.refused)
-		assert.Equal(t, len(k.refused), 0)
+		appendsAfter, bytesAfter := f.log.totals()
+		t.Logf("%d appends, %d bytes, refused %v", appendsAfter-appends, bytesAfter-bytes, mt.refused)
+		assert.Equal(t, len(mt.refused), 0)
 	})
 }
 
-// The balancer sends ten requests to one instance for each that it sends to the other
-// eight. With a ninth of the rate on each instance most would be refused; nobody within
-// the rate may be.
+// The load balancer sends one instance ten times as many requests as each of the other eight.
+// With a static ninth of the rate on each instance, most requests would be refused. No request
+// within the rate may be refused.
 func TestUnevenBalancer(t *testing.T) {
 	t.Parallel()
-	inFleet(t, 9, func(f *fleet, k *meter) {
-		live := f.living()
-		from := append([]*member{}, live...)
+	runFleet(t, 9, func(f *fleet, mt *meter) {
+		members := f.running()
+		from := append([]*member{}, members...)
 		for range 9 {
-			from = append(from, live[0])
+			from = append(from, members[0])
 		}
 		calls := f.calls.Load()
-		k.load(f, from, 100, 2, 5*time.Minute)
-		k.pending.Wait()
+		mt.load(f, from, 100, 2, 5*time.Minute)
+		mt.pending.Wait()
 		t.Logf("refused %v of %d, %.2f calls a request; a ninth of the rate each refuses %d",
-			k.refused, len(k.at), float64(f.calls.Load()-calls)/float64(len(k.at)), refusedByNinths(from, 600))
-		assert.Equal(t, len(k.refused), 0)
+			mt.refused, len(mt.at), float64(f.calls.Load()-calls)/float64(len(mt.at)), refusedByStaticSplit(from, 600))
+		assert.Equal(t, len(mt.refused), 0)
 	})
 }
 
-// refusedByNinths is the naive way on the same trace: a ninth of rate and burst each.
-func refusedByNinths(from []*member, requests int) int {
+// refusedByStaticSplit returns the number of refusals on the same trace if each instance gets
+// a static ninth of rate and burst.
+func refusedByStaticSplit(from []*member, requests int) int {
 	buckets := map[*member]*bucket.Bucket{}
 	refused := 0
 	for i := range requests {
@@ -251,14 +254,15 @@
 	return refused
 }
 
-// Requests are charged their longest answer and use a tenth of it. With what they did
-// not use given back, several times the 21 go through that would without.
-func TestUnusedTokensComeBack(t *testing.T) {
+// Requests are charged for their longest possible response and use a tenth of that. With
+// refunds of the unused tokens, more than three times as many must be admitted as the 21 that
+// would be without refunds.
+func TestUnusedTokensAreRefunded(t *testing.T) {
 	t.Parallel()
-	inFleet(t, 3, func(f *fleet, k *meter) {
+	runFleet(t, 3, func(f *fleet, mt *meter) {
 		admitted := 0
 		for i := range 600 {
-			m := f.living()[i%3]
+			m := f.running()[i%3]
 			charge, err := m.service.Admit(context.Background(), organisation, 1000)
 			if err == nil {
 				admitted++
@@ -272,31 +276,31 @@
 	})
 }
 
-// Instances are paused, cut off, killed and restarted and the log goes down, at random
-// and two at once, while all instances are sent more than the rate. In no window may
-// more than the rate and burst be admitted.
+// Instances are paused, cut off, killed and restarted and the log becomes unavailable, at
+// random and two faults at a time, while the instances together receive more than the rate.
+// In no window may more than rate and burst be admitted.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
-		inFleet(t, 5, func(f *fleet, k *meter) {
+		runFleet(t, 5, func(f *fleet, mt *meter) {
 			rng := rand.New(rand.NewPCG(seed, 5))
 			for range 25 {
-				heal := f.breakSomething(rng, 4)
-				healSecond := f.breakSomething(rng, 2)
-				k.load(f, nil, 100, 10, time.Duration(1+rng.IntN(10))*time.Second)
+				heal := f.injectFault(rng, 4)
+				healSecond := f.injectFault(rng, 2)
+				mt.load(f, nil, 100, 10, time.Duration(1+rng.IntN(10))*time.Second)
 				heal()
 				healSecond()
-				k.load(f, nil, 100, 10, time.Duration(rng.IntN(4))*time.Second)
+				mt.load(f, nil, 100, 10, time.Duration(rng.IntN(4))*time.Second)
 			}
-			f.settle()
+			f.waitForHomes()
 		})
 	}
 }
 
-// breakSomething brings about one of the first kinds of fault and returns how it ends.
-func (f *fleet) breakSomething(rng *rand.Rand, kinds int) (heal func()) {
-	live := f.living()
-	m, peer := live[rng.IntN(len(live))], live[rng.IntN(len(live))].holder.Address
+// injectFault injects a random fault of the first kinds and returns a function that ends it.
+func (f *fleet) injectFault(rng *rand.Rand, kinds int) (heal func()) {
+	members := f.running()
+	m, peer := members[rng.IntN(len(members))], members[rng.IntN(len(members))].holder.Address
 	back := func() {}
 	if rng.IntN(2) == 0 {
 		f.unlist(m)
@@ -318,16 +322,16 @@
 	}
 }
 
-// A home and its fence set end together and come back at new addresses, so that nobody
-// can tell them from paused ones. Their shards stay without a home until an operator
-// vouches that they have ended.
-func TestOperatorVouches(t *testing.T) {
+// A home and its fence set end together and come back at new addresses or not at all. Nothing
+// responds at the old addresses, so the old runs cannot be told from paused ones. Their shards
+// must stay without a home until an operator declares the runs stopped.
+func TestOperatorDeclaresStopped(t *testing.T) {
 	t.Parallel()
-	inFleet(t, 4, func(f *fleet, k *meter) {
-		live := f.living()
-		f.kill(live[:3]...)
-		// One of four is a minority: it claims from the others only when they have
-		// been silent in the log for longer than live ones are.
+	runFleet(t, 4, func(f *fleet, mt *meter) {
+		members := f.running()
+		f.kill(members[:3]...)
+		// One of four is a minority. It claims from the others only after they have
+		// written no record for longer than a live instance would.
 		time.Sleep(7 * time.Minute)
 		waiting := 0
 		f.eachHeld(func(_ *member, h lease.HeldStatus) {
@@ -336,74 +340,74 @@
 			}
 		})
 		assert.Assert(t, waiting > 0)
-		gone := []request.Holder{live[0].holder, live[1].holder, live[2].holder}
-		assert.NilError(t, live[3].service.VouchStopped(context.Background(), gone...))
-		f.settle()
+		stopped := []request.Holder{members[0].holder, members[1].holder, members[2].holder}
+		assert.NilError(t, members[3].service.DeclareStopped(context.Background(), stopped...))
+		f.waitForHomes()
 	})
 }
 
-// All instances crash at once and come back at their addresses. Callers must not wait
-// for the longest outage to pass: the new runs answer in the old ones' places.
+// All instances crash at once and restart at their old addresses. Callers must not have to
+// wait for the maximum outage, since the new runs answer Fence for the old ones.
 func TestWholeFleetRestarts(t *testing.T) {
 	t.Parallel()
-	inFleet(t, 5, func(f *fleet, k *meter) {
-		live := f.living()
-		f.kill(live...)
-		for _, m := range live {
+	runFleet(t, 5, func(f *fleet, mt *meter) {
+		members := f.running()
+		f.kill(members...)
+		for _, m := range members {
 			f.start(m.holder.Instance, m.holder.Incarnation+1)
 		}
 		begun := time.Now()
-		f.settle()
+		f.waitForHomes()
 		t.Logf("all shards are back after %v", time.Since(begun))
 		assert.Assert(t, time.Since(begun) < 20*time.Second)
 	})
 }
 
-// A limit is so small that no share can hold a request alone. All shares together must
-// still serve it.
+// The limit is so small that no single share can hold the cost of a request. All shares
+// together must still serve it.
 func TestSmallLimit(t *testing.T) {
 	t.Parallel()
-	inFleet(t, 3, func(f *fleet, k *meter) {
+	runFleet(t, 3, func(f *fleet, mt *meter) {
 		f.setLimit(1, 5)
-		assert.Assert(t, k.admit(f.living()[0], 5) == nil)
-		assert.Equal(t, k.admit(f.living()[1], 6).RetryAfter, time.Duration(0))
+		assert.Assert(t, mt.admit(f.running()[0], 5) == nil)
+		assert.Equal(t, mt.admit(f.running()[1], 6).RetryAfter, time.Duration(0))
 	})
 }
 
-// One instance is cut off from all others and still reaches the log; an instance with
-// a wrong peers' secret looks the same. Each side takes the other for dead. If both
-// claimed what the other holds, the shards would change hands for as long as the cut
-// lasts and callers would be refused on both sides, within their rate.
-func TestAnInstanceApartDoesNotTakeTheFleetsShards(t *testing.T) {
-	inFleet(t, 4, func(f *fleet, k *meter) {
-		apart := f.members["addr-entry-1"]
+// One instance is cut off from all others but still reaches the log, like an instance with a
+// wrong peer secret. Each side considers the other dead. If both claimed each other's shards,
+// the shards would keep moving until the partition ends, and callers on both sides would be
+// refused within their rate.
+func TestIsolatedInstanceDoesNotClaimFleetShards(t *testing.T) {
+	runFleet(t, 4, func(f *fleet, mt *meter) {
+		isolated := f.members["addr-entry-1"]
 		others := []*member{f.members["addr-entry-2"], f.members["addr-entry-3"], f.members["addr-entry-4"]}
-		f.setApart(apart, others)
-		time.Sleep(30 * time.Second) // the others take over what it held
-		before, _ := f.log.load()
-		k.load(f, others, 10, 10, 10*time.Minute)
-		k.pending.Wait()
-		refused := k.refused[verdict.ReasonRateHomeUnavailable] + k.refused[verdict.ReasonRateLimited]
-		after, _ := f.log.load()
+		f.isolate(isolated, others)
+		time.Sleep(30 * time.Second) // the others take over its shards
+		before, _ := f.log.totals()
+		mt.load(f, others, 10, 10, 10*time.Minute)
+		mt.pending.Wait()
+		refused := mt.refused[verdict.ReasonRateHomeUnavailable] + mt.refused[verdict.ReasonRateLimited]
+		after, _ := f.log.totals()
 		t.Logf("%d refused of 6000, %d appends in 10 minutes", refused, after-before)
 		assert.Assert(t, refused < 60)
 		assert.Assert(t, after-before < 60)
 	})
 }
 
-// Two instances use one log and do not hear one another, as when neither was told of the other.
-// Each takes the other's shards, and callers of both are refused. The log is where they can find
-// each other, and the line about a lost shard is all that on-call engineers have: it must name
-// who has it and where.
-func TestAShardLostToAnUnheardInstanceNamesIt(t *testing.T) {
-	inFleet(t, 2, func(f *fleet, _ *meter) {
+// Two instances use one log but do not know each other, for example because neither is
+// configured with the other. They keep taking each other's shards, and callers of both are
+// refused. The log message about a lost shard is the only evidence for on-call engineers, so
+// it must contain the name and the address of the new holder.
+func TestShardLostToUnknownInstanceIsLogged(t *testing.T) {
+	runFleet(t, 2, func(f *fleet, _ *meter) {
 		one, other := f.members["addr-entry-1"], f.members["addr-entry-2"]
-		f.setApart(one, []*member{other})
+		f.isolate(one, []*member{other})
 		time.Sleep(30 * time.Second)
-		lines := f.lines.FilterMessage("rate shard lost to an instance that is not heard; it uses the same log").All()
-		assert.Assert(t, len(lines) > 0)
-		for _, line := range lines {
-			fields := line.ContextMap()
+		entries := f.logged.FilterMessage("rate shard lost to an instance that is not a member; it uses the same log").All()
+		assert.Assert(t, len(entries) > 0)
+		for _, entry := range entries {
+			fields := entry.ContextMap()
 			assert.Assert(t, fields["instance"] != fields["successor"])
 			assert.Equal(t, fields["address"], "addr-"+fields["successor"].(string))
 		}
--- a/rate/fleet_test.go
+++ b/rate/fleet_test.go
@@ -26,7 +26,7 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// fakeLog is a log in memory whose calls take a millisecond.
+// fakeLog is an in-memory log whose calls take a millisecond.
 type fakeLog struct {
 	mu             sync.Mutex
 	records        []port.Record
@@ -37,8 +37,8 @@
 
 func newFakeLog() *fakeLog { return &fakeLog{changed: make(chan struct{})} }
 
-// load returns the appends and bytes so far.
-func (l *fakeLog) load() (appends, bytes int) {
+// totals returns the number of appends and of appended bytes so far.
+func (l *fakeLog) totals() (appends, bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appends, l.bytes
@@ -50,7 +50,8 @@
 	l.down = down
 }
 
-// enter loses a call that meets an outage, even if the log is back before its timeout.
+// enter simulates the latency of a call. A call during an outage blocks until its timeout,
+// even if the log is back earlier.
 func (l *fakeLog) enter(ctx context.Context) error {
 	time.Sleep(time.Millisecond)
 	l.mu.Lock()
@@ -86,8 +87,8 @@
 	l.mu.Lock()
 	changed, empty := l.changed, uint64(len(l.records)) < from
 	l.mu.Unlock()
-	// A select on a timer that has expired already crashes the race detector in a bubble
-	// now and then, so there is none when records are there.
+	// A select on a timer that has already expired occasionally crashes the race detector
+	// in a synctest bubble, so there is no select if records are available.
 	if empty {
 		select {
 		case <-changed:
@@ -104,26 +105,26 @@
 	return port.Page{First: 1, Next: uint64(len(l.records) + 1), Records: slices.Clone(l.records[from-1 : end])}, nil
 }
 
-// gate stops an instance as a pause of its process would.
-type gate struct {
+// pauseGate blocks an instance as a pause of its process would.
+type pauseGate struct {
 	mu     sync.Mutex
 	closed chan struct{}
 }
 
-func (g *gate) pause() {
+func (g *pauseGate) pause() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = make(chan struct{})
 }
 
-func (g *gate) resume() {
+func (g *pauseGate) resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	close(g.closed)
 	g.closed = nil
 }
 
-func (g *gate) wait() {
+func (g *pauseGate) wait() {
 	g.mu.Lock()
 	closed := g.closed
 	g.mu.Unlock()
@@ -132,20 +133,20 @@
 	}
 }
 
-// gatedLog is the log as one instance reaches it.
-type gatedLog struct {
+// memberLog is the log as seen by one member: it honours the member's pauses and partitions.
+type memberLog struct {
 	port.Log
 	m *member
 }
 
-func (l gatedLog) Append(ctx context.Context, stream string, entries ...port.Entry) (uint64, error) {
+func (l memberLog) Append(ctx context.Context, stream string, entries ...port.Entry) (uint64, error) {
 	if l.m.gate.wait(); l.m.isCut("log") {
 		<-ctx.Done()
 	}
 	return l.Log.Append(ctx, stream, entries...)
 }
 
-func (l gatedLog) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (port.Page, error) {
+func (l memberLog) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (port.Page, error) {
 	if l.m.gate.wait(); l.m.isCut("log") {
 		<-ctx.Done()
 	}
@@ -159,7 +160,7 @@
 	f       *fleet
 	holder  request.Holder
 	service *Service
-	gate    gate
+	gate    pauseGate
 	stop    context.CancelFunc
 	done    chan struct{}
 	dead    bool
@@ -172,7 +173,8 @@
 	return m.cut[from] || m.dead
 }
 
-// setCut cuts an instance off from the log or from peers, both ways.
+// setCut cuts an instance off from the log or from peers in both directions, or restores the
+// connections.
 func (f *fleet) setCut(m *member, cut bool, from ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -181,63 +183,63 @@
 	}
 }
 
-// fleet is a set of instances with one log in one process.
+// fleet is a set of instances that share one log, in one process.
 type fleet struct {
 	t       *testing.T
 	log     *fakeLog
 	mu      sync.Mutex
 	limit   atomic.Pointer[object.Limit]
 	members map[string]*member
-	// listed are the members as every instance sees them.
+	// listed is the membership list of every instance.
 	listed []request.Holder
-	// apart is the instance that no other sees, if any.
-	apart *member
-	calls atomic.Int64
-	// lines are what all instances log.
-	lines *observer.ObservedLogs
-	core  zapcore.Core
+	// isolated is the instance that is cut off from the membership of the others, if any.
+	isolated *member
+	calls    atomic.Int64
+	// logged are the log messages of all instances.
+	logged *observer.ObservedLogs
+	core   zapcore.Core
 }
 
-// inFleet runs a test with n instances in a synctest bubble, after all shards have
-// found a home, and then checks that no window holds too much spend.
-func inFleet(t *testing.T, n int, body func(f *fleet, k *meter)) {
+// runFleet runs a test with n instances in a synctest bubble. It waits until all shards have
+// a home, calls body, and then checks that no window exceeds the bound.
+func runFleet(t *testing.T, n int, body func(f *fleet, mt *meter)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{t: t, log: newFakeLog(), members: map[string]*member{}}
-		f.core, f.lines = observer.New(zap.WarnLevel)
+		f.core, f.logged = observer.New(zap.WarnLevel)
 		for i := range n {
 			f.start(fmt.Sprintf("entry-%d", i+1), 1)
 		}
 		defer f.close()
-		f.settle()
+		f.waitForHomes()
 		f.setLimit(testRate, testBurst)
-		k := &meter{refused: map[verdict.Reason]int{}}
-		body(f, k)
-		excess := k.excess()
-		t.Logf("admitted %d, refused %v", len(k.at), k.refused)
+		mt := &meter{refused: map[verdict.Reason]int{}}
+		body(f, mt)
+		excess := mt.excess()
+		t.Logf("admitted %d, refused %v", len(mt.at), mt.refused)
 		assert.Assert(t, excess <= 0)
 	})
 }
 
 func (f *fleet) close() {
 	f.log.setDown(false)
-	for _, m := range f.living() {
+	for _, m := range f.running() {
 		m.stop()
 		<-m.done
 	}
-	// The actor library's timer for messages that came after the end runs for a second,
-	// and the bubble's time stands still once the test returns.
+	// The actor library runs a timer of a second for messages that arrive after the end,
+	// and the time of the bubble does not advance once the test has returned.
 	time.Sleep(5 * time.Second)
 }
 
-// start runs an instance and lists it as a member.
+// start starts an instance and lists it as a member.
 func (f *fleet) start(name string, incarnation uint64) {
 	m := &member{f: f, holder: request.Holder{Instance: name, Incarnation: incarnation, Address: "addr-" + name}, cut: map[string]bool{}}
 	var err error
 	m.service, err = New(Config{
 		Self:    m.holder,
-		Log:     gatedLog{f.log, m},
-		Members: func() []request.Holder { return f.aliveFor(m) },
+		Log:     memberLog{f.log, m},
+		Members: func() []request.Holder { return f.membersSeenBy(m) },
 		Limit:   func(string) (object.Limit, bool) { return *f.limit.Load(), true },
 		Dial:    func(address string) peerv1connect.RateServiceClient { return fakeClient{from: m, address: address} },
 		Logger:  zap.New(f.core).With(zap.String("instance", name)),
@@ -273,7 +275,7 @@
 	f.listed = slices.DeleteFunc(slices.Clone(f.listed), func(h request.Holder) bool { return h == m.holder })
 }
 
-// end stops an instance's process.
+// end terminates the process of an instance.
 func (f *fleet) end(m *member) {
 	f.mu.Lock()
 	m.dead = true
@@ -282,7 +284,7 @@
 	<-m.done
 }
 
-// kill ends instances without a word; membership notices two seconds later.
+// kill terminates instances without a drain. The membership detects it two seconds later.
 func (f *fleet) kill(members ...*member) {
 	for _, m := range members {
 		f.end(m)
@@ -293,24 +295,26 @@
 	}
 }
 
-// aliveFor is what one instance sees: all, or its own side while one is apart.
-func (f *fleet) aliveFor(m *member) []request.Holder {
+// membersSeenBy returns the members as seen by one instance: all of them or, while an
+// instance is isolated, those on its own side.
+func (f *fleet) membersSeenBy(m *member) []request.Holder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	switch f.apart {
+	switch f.isolated {
 	case nil:
 		return f.listed
 	case m:
 		return []request.Holder{m.holder}
 	default:
-		return slices.DeleteFunc(slices.Clone(f.listed), func(h request.Holder) bool { return h == f.apart.holder })
+		return slices.DeleteFunc(slices.Clone(f.listed), func(h request.Holder) bool { return h == f.isolated.holder })
 	}
 }
 
-// setApart cuts one instance off from its peers, but not from the log, until healed.
-func (f *fleet) setApart(m *member, others []*member) {
+// isolate cuts one instance off from its peers, but not from the log, for the rest of the
+// test.
+func (f *fleet) isolate(m *member, others []*member) {
 	f.mu.Lock()
-	f.apart = m
+	f.isolated = m
 	f.mu.Unlock()
 	for _, other := range others {
 		f.setCut(m, true, other.holder.Address)
@@ -318,7 +322,7 @@
 	}
 }
 
-func (f *fleet) alive() []request.Holder {
+func (f *fleet) listedMembers() []request.Holder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.listed
@@ -330,12 +334,13 @@
 	time.Sleep(time.Duration(burst)*time.Second*2/time.Duration(perSecond) + time.Second)
 }
 
-// settle waits until every shard is spent from by the instance it belongs to.
-func (f *fleet) settle() {
+// waitForHomes waits until every shard is held by the instance that it is assigned to and
+// that instance may spend from it.
+func (f *fleet) waitForHomes() {
 	f.t.Helper()
 	for range 3000 {
 		time.Sleep(100 * time.Millisecond)
-		want, inPlace := homesOf(f.alive()), 0
+		want, inPlace := assignHomes(f.listedMembers()), 0
 		f.eachHeld(func(m *member, h lease.HeldStatus) {
 			if want[h.Shard] == m.holder && (h.Phase == lease.PhaseSpending || h.Phase == lease.PhaseExtended) {
 				inPlace++
@@ -349,14 +354,14 @@
 }
 
 func (f *fleet) eachHeld(visit func(*member, lease.HeldStatus)) {
-	for _, m := range f.living() {
+	for _, m := range f.running() {
 		for _, h := range m.service.Status().Held {
 			visit(m, h)
 		}
 	}
 }
 
-// homeOf returns the instance that spends from one share of the organisation.
+// homeOf returns the instance that has begun to spend from one share of the organisation.
 func (f *fleet) homeOf(share uint32) (home *member) {
 	f.eachHeld(func(m *member, h lease.HeldStatus) {
 		if h.Shard == shardOf(organisation, share) && h.Phase != lease.PhaseWaiting {
@@ -366,27 +371,27 @@
 	return home
 }
 
-// other returns an instance that is home of no share of the organisation.
-func (f *fleet) other() *member {
+// nonHome returns an instance that is the home of no share of the organisation.
+func (f *fleet) nonHome() *member {
 	homes := []*member{f.homeOf(0), f.homeOf(1), f.homeOf(2)}
-	live := f.living()
-	return live[slices.IndexFunc(live, func(m *member) bool { return !slices.Contains(homes, m) })]
+	running := f.running()
+	return running[slices.IndexFunc(running, func(m *member) bool { return !slices.Contains(homes, m) })]
 }
 
-func (f *fleet) living() []*member {
+func (f *fleet) running() []*member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var live []*member
+	var running []*member
 	for _, m := range f.members {
 		if !m.dead {
-			live = append(live, m)
+			running = append(running, m)
 		}
 	}
-	slices.SortFunc(live, func(a, b *member) int { return strings.Compare(a.holder.Address, b.holder.Address) })
-	return live
+	slices.SortFunc(running, func(a, b *member) int { return strings.Compare(a.holder.Address, b.holder.Address) })
+	return running
 }
 
-// fakeClient reaches a peer in the same process, half a millisecond away.
+// fakeClient calls a peer in the same process with a latency of half a millisecond.
 type fakeClient struct {
 	from    *member
 	address string
@@ -406,7 +411,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	// A paused peer acts on the call when it goes on, though the caller has given up.
+	// A paused peer handles the call after it resumes, even if the caller has given up.
 	answer := make(chan *connect.Response[Res], 1)
 	go func() {
 		to.gate.wait()
--- a/rate/handler.go
+++ b/rate/handler.go
@@ -13,10 +13,10 @@
 	"github.com/cairnworks/cairnworks/rate/share"
 )
 
-// handler answers peers.
+// handler handles the calls of peers.
 type handler struct{ s *Service }
 
-// Handler returns the service that peers call.
+// Handler returns the handler of the rate service for peers.
 func (s *Service) Handler() peerv1connect.RateServiceHandler { return handler{s: s} }
 
 func errStopped() error { return connect.NewError(connect.CodeUnavailable, context.Canceled) }
@@ -42,7 +42,7 @@
 // Refund implements peerv1connect.RateServiceHandler.
 func (h handler) Refund(_ context.Context, req *connect.Request[peerv1.RefundRequest]) (*connect.Response[peerv1.RefundResponse], error) {
 	for _, p := range req.Msg.GetParts() {
-		h.s.tell(refundMessage(p))
+		h.s.tell(toRefundMessage(p))
 	}
 	return connect.NewResponse(&peerv1.RefundResponse{}), nil
 }
@@ -54,25 +54,25 @@
 	for _, t := range m.GetTerms() {
 		terms = append(terms, termRef{shard: t.GetShard(), term: lease.Term(t.GetTerm())})
 	}
-	ok, answered := ask(ctx, h.s, func(reply chan []bool) any {
+	extended, ok := ask(ctx, h.s, func(reply chan []bool) any {
 		return extend{member: fromWire(m.GetMember()), terms: terms, reply: reply}
 	})
-	if !answered {
+	if !ok {
 		return nil, errStopped()
 	}
-	return connect.NewResponse(&peerv1.ExtendResponse{Extended: ok}), nil
+	return connect.NewResponse(&peerv1.ExtendResponse{Extended: extended}), nil
 }
 
 // Fence implements peerv1connect.RateServiceHandler.
 func (h handler) Fence(ctx context.Context, req *connect.Request[peerv1.FenceRequest]) (*connect.Response[peerv1.FenceResponse], error) {
 	m := req.Msg
-	ok, answered := ask(ctx, h.s, func(reply chan bool) any {
+	fenced, ok := ask(ctx, h.s, func(reply chan bool) any {
 		return fence{member: fromWire(m.GetMember()), shard: m.GetShard(), term: lease.Term(m.GetTerm()), reply: reply}
 	})
-	if !answered {
+	if !ok {
 		return nil, errStopped()
 	}
-	return connect.NewResponse(&peerv1.FenceResponse{Fenced: ok}), nil
+	return connect.NewResponse(&peerv1.FenceResponse{Fenced: fenced}), nil
 }
 
 // HandOver implements peerv1connect.RateServiceHandler.
@@ -85,19 +85,19 @@
 			Milli: l.GetLevelMilli(),
 		})
 	}
-	ok, answered := ask(ctx, h.s, func(reply chan bool) any {
+	accepted, ok := ask(ctx, h.s, func(reply chan bool) any {
 		return handOver{
 			shard: m.GetShard(), term: lease.Term(m.GetTerm()), from: fromWire(m.GetFrom()), levels: levels,
 			spending: m.GetSpending(), filling: time.Duration(m.GetFillingMs()) * time.Millisecond, reply: reply,
 		}
 	})
-	if !answered {
+	if !ok {
 		return nil, errStopped()
 	}
-	return connect.NewResponse(&peerv1.HandOverResponse{Accepted: ok}), nil
+	return connect.NewResponse(&peerv1.HandOverResponse{Accepted: accepted}), nil
 }
 
-// toMillis rounds up, so that nobody comes back too early.
+// toMillis rounds up so that callers do not retry too early.
 func toMillis(d time.Duration) uint32 {
 	ms := d / time.Millisecond
 	if d%time.Millisecond > 0 {
--- a/rate/home.go
+++ b/rate/home.go
@@ -13,26 +13,26 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// home is the actor that owns the lease state and the buckets of this instance's
-// shards. Everything that it decides happens in Receive, one message at a time; calls
-// to the log and to peers run outside and come back as messages.
-type home struct {
-	s       *Service
-	node    *lease.Node
-	viewer  viewer
-	held    map[uint32]*heldShard
-	offered map[uint32]offeredLevels
-	pruned  time.Duration
-	gauged  time.Duration
+// homeActor owns the lease state and the buckets of this instance's shards. It processes one
+// message at a time in Receive. Calls to the log and to peers run outside of the actor, and
+// their results arrive as messages.
+type homeActor struct {
+	s        *Service
+	node     *lease.Node
+	views    viewCache
+	held     map[uint32]*heldShard
+	offered  map[uint32]offeredLevels
+	prunedAt time.Duration
+	gaugedAt time.Duration
 }
 
 // heldShard is a shard that this instance spends from.
 type heldShard struct {
-	// first is the term that buckets began under, term the current one. They differ
-	// after a claim that only renewed the fence set: the charges of the terms between
-	// are in the same buckets.
-	first, term lease.Term
-	buckets     *share.Buckets
+	// firstTerm is the term under which the buckets were created, term the current one.
+	// They differ after a claim that only replaced the fence set. The same buckets hold
+	// the charges of all terms from firstTerm to term.
+	firstTerm, term lease.Term
+	buckets         *share.Buckets
 }
 
 // offeredLevels are the levels that a holder sent when it stopped under a term.
@@ -42,28 +42,28 @@
 	filling time.Duration
 }
 
-// Receive handles one message.
-func (h *home) Receive(ctx actor.Context) {
+// Receive implements actor.Actor.
+func (h *homeActor) Receive(ctx actor.Context) {
 	switch m := ctx.Message().(type) {
 	case acquire:
 		m.reply <- h.acquire(m)
 	case refund:
 		h.refund(m)
-	case page:
-		h.apply(h.node.ApplyPage(m.t0, h.s.now(), m.page))
-		m.next <- h.progress()
+	case logPage:
+		h.apply(h.node.ApplyPage(m.begunAt, h.s.now(), m.page))
+		m.next <- h.position()
 	case tick:
 		h.tick(m)
 	case extend:
 		m.reply <- h.extend(m)
 	case fence:
 		m.reply <- h.node.Fence(m.member, m.shard, m.term)
-	case extended:
-		for _, ask := range m.asks {
-			h.node.HandleExtended(ask)
+	case extendAcks:
+		for _, r := range m.requests {
+			h.node.HandleExtended(r)
 		}
-	case fenced:
-		h.apply(h.node.HandleFenced(h.s.now(), m.ask))
+	case fenceAck:
+		h.apply(h.node.HandleFenced(h.s.now(), m.request))
 	case handOver:
 		m.reply <- h.handOver(m)
 	case statusQuery:
@@ -71,46 +71,46 @@
 	}
 }
 
-// acquire grants tokens if the right to spend holds before and after they are taken.
-func (h *home) acquire(m acquire) acquired {
+// acquire grants tokens if this instance may spend both before and after they are taken.
+func (h *homeActor) acquire(m acquire) acquired {
 	now := h.s.now()
 	term, ok := h.node.MaySpend(m.shard, now)
 	held := h.held[m.shard]
 	if !ok || held == nil {
 		return acquired{notHome: true}
 	}
-	portion, ok := h.s.portion(m.key)
+	limit, ok := h.s.shareLimit(m.key)
 	if !ok {
 		return acquired{}
 	}
-	grant := held.buckets.Take(now, m.key, portion, m.tokens, m.partial)
-	// A pause between the check and here may have outlasted the right. The tokens were
-	// counted in time, yet an answer that late is withdrawn: it would start work after
-	// a successor has begun.
+	grant := held.buckets.Take(now, m.key, limit, m.tokens, m.partial)
+	// The process may have been paused since the check, and the lease may have expired. The
+	// tokens were charged in time, but the grant is withdrawn, since it would start work
+	// after a successor has begun to spend.
 	if _, ok := h.node.MaySpend(m.shard, h.s.now()); !ok {
 		return acquired{notHome: true}
 	}
 	return acquired{grant: grant, term: term}
 }
 
-func (h *home) refund(m refund) {
+func (h *homeActor) refund(m refund) {
 	held := h.held[m.shard]
-	if held == nil || m.term < held.first || m.term > held.term {
+	if held == nil || m.term < held.firstTerm || m.term > held.term {
 		h.s.count.refundsDropped.Inc(1)
 		return
 	}
 	held.buckets.Refund(h.s.now(), m.key, m.charge, m.tokens, m.overdraft)
 }
 
-func (h *home) extend(m extend) []bool {
-	answers := make([]bool, len(m.terms))
+func (h *homeActor) extend(m extend) []bool {
+	extended := make([]bool, len(m.terms))
 	for i, t := range m.terms {
-		answers[i] = h.node.Extend(m.member, t.shard, t.term)
+		extended[i] = h.node.Extend(m.member, t.shard, t.term)
 	}
-	return answers
+	return extended
 }
 
-func (h *home) handOver(m handOver) bool {
+func (h *homeActor) handOver(m handOver) bool {
 	if m.spending {
 		h.offered[m.shard] = offeredLevels{term: m.term, levels: m.levels, filling: m.filling}
 	}
@@ -119,44 +119,44 @@
 	return ok
 }
 
-func (h *home) tick(m tick) {
+func (h *homeActor) tick(m tick) {
 	now := h.s.now()
-	h.apply(h.node.Tick(now, h.viewer.of(m.members, h.s.draining.Load())))
+	h.apply(h.node.Tick(now, h.views.get(m.members, h.s.draining.Load())))
 	h.publish()
-	if now >= h.gauged+gaugeEvery {
-		h.gauged = now
+	if now >= h.gaugedAt+gaugeInterval {
+		h.gaugedAt = now
 		h.gauge(now)
 	}
-	if now >= h.pruned+pruneEvery {
-		h.pruned = now
+	if now >= h.prunedAt+pruneInterval {
+		h.prunedAt = now
 		h.s.pruneClients(m.members)
 		for _, held := range h.held {
-			held.buckets.Prune(now, h.s.portion)
+			held.buckets.Prune(now, h.s.shareLimit)
 		}
 	}
 }
 
-// progress tells the log's reader where to go on.
-func (h *home) progress() progress {
+// position returns the position at which the log reader continues.
+func (h *homeActor) position() readPosition {
 	h.publish()
-	return progress{next: h.node.Next(), holds: len(h.node.Held(h.s.now())) > 0}
+	return readPosition{next: h.node.Next(), holdsShards: len(h.node.Held(h.s.now())) > 0}
 }
 
-// publish shows askers where each shard's home is.
-func (h *home) publish() {
+// publish updates the routes, which tell requests the home of each shard.
+func (h *homeActor) publish() {
 	var r routes
 	for shard := range r.holders {
 		if cur, ok := h.node.Current(uint32(shard)); ok {
 			r.holders[shard] = cur.Holder
-		} else if shard < len(h.viewer.view.Homes) {
-			r.holders[shard] = h.viewer.view.Homes[shard]
+		} else if shard < len(h.views.view.Homes) {
+			r.holders[shard] = h.views.view.Homes[shard]
 		}
 	}
 	h.s.routes.Store(&r)
 }
 
-// apply carries out what the lease state asks for.
-func (h *home) apply(e lease.Effects) {
+// apply carries out the effects of the lease state machine.
+func (h *homeActor) apply(e lease.Effects) {
 	for _, stop := range e.Stopped {
 		h.stop(stop)
 	}
@@ -166,13 +166,13 @@
 	if len(e.Append) > 0 {
 		h.s.append(e.Append)
 	}
-	h.s.askExtend(e.Extends)
-	for _, ask := range e.Fences {
-		h.s.askFence(ask)
+	h.s.sendExtends(e.Extends)
+	for _, r := range e.Fences {
+		h.s.sendFence(r)
 	}
 }
 
-func (h *home) stop(stop lease.Stop) {
+func (h *homeActor) stop(stop lease.Stop) {
 	held := h.held[stop.Shard]
 	delete(h.held, stop.Shard)
 	h.s.count.stopped.Inc(1)
@@ -181,28 +181,28 @@
 	if stop.Successor.Instance == "" || lease.SameRun(stop.Successor, h.s.cfg.Self) {
 		return
 	}
-	h.checkMember(stop)
-	out := outgoing{stop: stop}
+	h.reportUnknownSuccessor(stop)
+	out := outgoingHandOver{stop: stop}
 	if held != nil && stop.Spending {
 		out.levels, out.filling = held.buckets.Snapshot(h.s.now())
 	}
 	h.s.sendHandOver(out)
 }
 
-// checkMember reports a successor that this instance does not know. Two groups of instances
-// that use one log and do not hear one another take every shard from one another without end;
-// without the line that names the other group one sees only shards come and go.
-func (h *home) checkMember(stop lease.Stop) {
+// reportUnknownSuccessor logs a successor that is not a member. Two groups of instances that
+// use one log but do not reach each other keep taking all shards from each other. Without a
+// log line that names the other group, an operator sees only that shards come and go.
+func (h *homeActor) reportUnknownSuccessor(stop lease.Stop) {
 	known := func(m request.Holder) bool { return m.Instance == stop.Successor.Instance }
-	if slices.ContainsFunc(h.viewer.members, known) {
+	if slices.ContainsFunc(h.views.members, known) {
 		return
 	}
 	h.s.count.lostToUnknown.Inc(1)
-	h.s.logger.Warn("rate shard lost to an instance that is not heard; it uses the same log", zap.Uint32("shard", stop.Shard),
+	h.s.logger.Warn("rate shard lost to an instance that is not a member; it uses the same log", zap.Uint32("shard", stop.Shard),
 		zap.String("successor", stop.Successor.Instance), zap.String("address", stop.Successor.Address))
 }
 
-func (h *home) start(start lease.Start) {
+func (h *homeActor) start(start lease.Start) {
 	now := h.s.now()
 	h.s.count.started.Inc(1)
 	h.s.logger.Info("rate shard held", zap.Uint32("shard", start.Shard), zap.Uint64("term", uint64(start.Term)),
@@ -214,14 +214,15 @@
 	buckets := share.NewEmpty(now)
 	offer := h.offered[start.Shard]
 	if start.Levels == lease.LevelsHandedOver && offer.term == start.Previous {
-		buckets = share.NewFromLevels(now, offer.filling, offer.levels, h.s.portion)
+		buckets = share.NewFromLevels(now, offer.filling, offer.levels, h.s.shareLimit)
 	}
 	delete(h.offered, start.Shard)
-	h.held[start.Shard] = &heldShard{first: start.Term, term: start.Term, buckets: buckets}
+	h.held[start.Shard] = &heldShard{firstTerm: start.Term, term: start.Term, buckets: buckets}
 }
 
-// portion returns the limit of one share of an organisation.
-func (s *Service) portion(key share.Key) (bucket.Limit, bool) {
+// shareLimit returns the limit of one share of an organisation, false if the organisation has
+// no limit.
+func (s *Service) shareLimit(key share.Key) (bucket.Limit, bool) {
 	limit, ok := s.cfg.Limit(key.Organisation)
 	if !ok {
 		return bucket.Limit{}, false
@@ -229,7 +230,8 @@
 	return share.LimitOf(limit, key.Share), true
 }
 
-// Holders returns the instances that hold shards by what this one has read of the log.
+// Holders returns the instances that hold shards according to this instance's reads of the
+// log.
 func (s *Service) Holders() []request.Holder {
 	var holders []request.Holder
 	for _, h := range s.routes.Load().holders {
@@ -240,7 +242,7 @@
 	return holders
 }
 
-// routes is the holder of each shard as far as known; an empty Instance is unknown.
+// routes holds the holder of each shard. An empty Instance means that it is unknown.
 type routes struct {
 	holders [Shards]request.Holder
 }
--- a/rate/log.go
+++ b/rate/log.go
@@ -11,20 +11,20 @@
 	"github.com/cairnworks/cairnworks/rate/lease"
 )
 
-// follow reads the stream to its end again and again. One read serves all shards and
-// proves, counted from its beginning, that none of them has a later holder.
-func (s *Service) follow(ctx context.Context) error {
-	at := progress{next: 1}
+// followLog reads the stream to its end repeatedly. One read serves all shards and proves
+// that, at the time it began, none of them had a later holder.
+func (s *Service) followLog(ctx context.Context) error {
+	at := readPosition{next: 1}
 	for ctx.Err() == nil {
-		t0 := s.now()
+		begunAt := s.now()
 		p, err := s.read(ctx, at)
 		if err != nil {
-			s.count.readFails.Inc(1)
+			s.count.readFailures.Inc(1)
 			s.logger.Debug("rate log read failed", zap.Error(err))
-			pause(ctx, readBackoff)
+			sleep(ctx, readBackoff)
 			continue
 		}
-		next, ok := ask(ctx, s, func(reply chan progress) any { return page{t0: t0, page: p, next: reply} })
+		next, ok := ask(ctx, s, func(reply chan readPosition) any { return logPage{begunAt: begunAt, page: p, next: reply} })
 		if ok {
 			at = next
 		}
@@ -32,14 +32,14 @@
 	return nil
 }
 
-func (s *Service) read(ctx context.Context, at progress) (lease.Page, error) {
+func (s *Service) read(ctx context.Context, at readPosition) (lease.Page, error) {
 	poll := idlePoll
-	if at.holds {
-		poll = homePoll
+	if at.holdsShards {
+		poll = holderPoll
 	}
 	ctx, cancel := context.WithTimeout(ctx, poll+readTimeout)
 	defer cancel()
-	p, err := s.cfg.Log.Read(ctx, Stream, at.next, readPage, poll)
+	p, err := s.cfg.Log.Read(ctx, Stream, at.next, maxReadRecords, poll)
 	if err != nil {
 		return lease.Page{}, err
 	}
@@ -47,9 +47,9 @@
 	for _, r := range p.Records {
 		rec, err := lease.Decode(r.Data)
 		if err != nil {
-			// A record that cannot be read claims nothing. Its writer reads it the same way
-			// and does not spend under it.
-			s.logger.Error("rate record unreadable", zap.Uint64("offset", r.Offset), zap.Error(err))
+			// A record that cannot be decoded is no claim. Its writer cannot decode it
+			// either and does not spend under it.
+			s.logger.Error("cannot decode rate record", zap.Uint64("offset", r.Offset), zap.Error(err))
 			rec = lease.Record{}
 		}
 		out.Entries = append(out.Entries, lease.Entry{Offset: r.Offset, Record: rec})
@@ -57,22 +57,22 @@
 	return out, nil
 }
 
-// append writes records once, in one call. Whether they stand is read back from the
-// stream: an answer may be lost after the append took effect.
+// append appends records in one call, without a retry. Whether they were appended is read
+// back from the stream, since the response may be lost after the append took effect.
 func (s *Service) append(records []lease.Record) {
 	entries := make([]port.Entry, 0, len(records))
 	for _, r := range records {
 		data, err := r.Encode()
 		if err != nil {
-			s.logger.Error("rate record not written", zap.Error(err))
+			s.logger.Error("cannot encode rate record", zap.Error(err))
 			return
 		}
 		entries = append(entries, port.Entry{ID: s.entryID(), Data: data})
 	}
 	s.count.appends.Inc(1)
-	s.inBackground(appendTimeout, func(ctx context.Context) {
+	s.runInBackground(appendTimeout, func(ctx context.Context) {
 		if _, err := s.cfg.Log.Append(ctx, Stream, entries...); err != nil {
-			s.logger.Warn("rate append failed", zap.Error(err))
+			s.logger.Warn("rate log append failed", zap.Error(err))
 		}
 	})
 }
@@ -82,7 +82,7 @@
 	return fmt.Sprintf("rate-%s-%d-%d", self.Instance, self.Incarnation, s.appends.Add(1))
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/rate/message.go
+++ b/rate/message.go
@@ -9,8 +9,8 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// Messages to the home actor. Every reply channel has room for one answer, so that
-// the actor never waits for an asker that has gone.
+// Messages to the home actor. Every reply channel has a buffer of one, so that the actor
+// never blocks on a sender that no longer waits for the reply.
 
 type acquire struct {
 	shard   uint32
@@ -35,15 +35,15 @@
 	overdraft uint64
 }
 
-type page struct {
-	t0   time.Duration
-	page lease.Page
-	next chan progress
+type logPage struct {
+	begunAt time.Duration
+	page    lease.Page
+	next    chan readPosition
 }
 
-type progress struct {
-	next  uint64
-	holds bool
+type readPosition struct {
+	next        uint64
+	holdsShards bool
 }
 
 type tick struct {
@@ -68,9 +68,9 @@
 	reply  chan bool
 }
 
-type extended struct{ asks []lease.MemberRequest }
+type extendAcks struct{ requests []lease.MemberRequest }
 
-type fenced struct{ ask lease.MemberRequest }
+type fenceAck struct{ request lease.MemberRequest }
 
 type handOver struct {
 	shard    uint32
@@ -84,8 +84,8 @@
 
 type statusQuery struct{ reply chan Status }
 
-// outgoing is a hand over to be sent.
-type outgoing struct {
+// outgoingHandOver is a handover to be sent.
+type outgoingHandOver struct {
 	stop    lease.Stop
 	levels  []share.Level
 	filling time.Duration
--- a/rate/peer.go
+++ b/rate/peer.go
@@ -12,22 +12,22 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// askExtend asks each member once for all terms that name it.
-func (s *Service) askExtend(asks []lease.MemberRequest) {
+// sendExtends sends one Extend to each member, for all terms that have it in their fence set.
+func (s *Service) sendExtends(requests []lease.MemberRequest) {
 	byMember := make(map[request.Holder][]lease.MemberRequest)
-	for _, a := range asks {
-		byMember[a.Member] = append(byMember[a.Member], a)
+	for _, r := range requests {
+		byMember[r.Member] = append(byMember[r.Member], r)
 	}
-	for member, asks := range byMember {
+	for member, requests := range byMember {
 		s.count.extends.Inc(1)
-		s.inBackground(peerTimeout, func(ctx context.Context) { s.extendAt(ctx, member, asks) })
+		s.runInBackground(peerTimeout, func(ctx context.Context) { s.sendExtend(ctx, member, requests) })
 	}
 }
 
-func (s *Service) extendAt(ctx context.Context, member request.Holder, asks []lease.MemberRequest) {
+func (s *Service) sendExtend(ctx context.Context, member request.Holder, requests []lease.MemberRequest) {
 	req := &peerv1.ExtendRequest{Holder: toWire(s.cfg.Self), Member: toWire(member)}
-	for _, a := range asks {
-		req.Terms = append(req.Terms, &peerv1.TermRef{Shard: a.Shard, Term: uint64(a.Term)})
+	for _, r := range requests {
+		req.Terms = append(req.Terms, &peerv1.TermRef{Shard: r.Shard, Term: uint64(r.Term)})
 	}
 	res, err := s.client(member).Extend(ctx, connect.NewRequest(req))
 	if err != nil {
@@ -35,28 +35,28 @@
 	}
 	var granted []lease.MemberRequest
 	for i, ok := range res.Msg.GetExtended() {
-		if ok && i < len(asks) {
-			granted = append(granted, asks[i])
+		if ok && i < len(requests) {
+			granted = append(granted, requests[i])
 		}
 	}
-	s.tell(extended{asks: granted})
+	s.tell(extendAcks{requests: granted})
 }
 
-func (s *Service) askFence(a lease.MemberRequest) {
+func (s *Service) sendFence(r lease.MemberRequest) {
 	s.count.fences.Inc(1)
-	s.inBackground(peerTimeout, func(ctx context.Context) {
-		res, err := s.client(a.Member).Fence(ctx, connect.NewRequest(&peerv1.FenceRequest{
-			Shard: a.Shard, Term: uint64(a.Term), Successor: toWire(s.cfg.Self), Member: toWire(a.Member),
+	s.runInBackground(peerTimeout, func(ctx context.Context) {
+		res, err := s.client(r.Member).Fence(ctx, connect.NewRequest(&peerv1.FenceRequest{
+			Shard: r.Shard, Term: uint64(r.Term), Successor: toWire(s.cfg.Self), Member: toWire(r.Member),
 		}))
 		if err == nil && res.Msg.GetFenced() {
-			s.tell(fenced{ask: a})
+			s.tell(fenceAck{request: r})
 		}
 	})
 }
 
-// sendHandOver tells a successor that this run has stopped under a term. If it is
-// lost, the successor waits instead and begins empty.
-func (s *Service) sendHandOver(o outgoing) {
+// sendHandOver reports to a successor that this run has stopped under a term. If the report
+// is lost, the successor waits instead and starts with empty buckets.
+func (s *Service) sendHandOver(o outgoingHandOver) {
 	msg := &peerv1.HandOverRequest{
 		Shard: o.stop.Shard, Term: uint64(o.stop.Term), From: toWire(s.cfg.Self),
 		Spending: o.stop.Spending, FillingMs: uint64(max(o.filling, 0) / time.Millisecond),
@@ -66,14 +66,14 @@
 			Organisation: l.Key.Organisation, Share: l.Key.Share, LevelMilli: l.Milli,
 		})
 	}
-	s.inBackground(handOverTries*peerTimeout, func(ctx context.Context) {
-		for range handOverTries {
+	s.runInBackground(maxHandOverAttempts*peerTimeout, func(ctx context.Context) {
+		for range maxHandOverAttempts {
 			if s.tryHandOver(ctx, o.stop.Successor, msg) {
 				return
 			}
-			pause(ctx, homeRetry)
+			sleep(ctx, homeRetryInterval)
 		}
-		s.logger.Warn("rate hand over lost", zap.Uint32("shard", o.stop.Shard),
+		s.logger.Warn("rate handover was not delivered", zap.Uint32("shard", o.stop.Shard),
 			zap.String("successor", o.stop.Successor.Instance))
 	})
 }
--- a/rate/place.go
+++ b/rate/place.go
@@ -12,39 +12,40 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// groups is the number of groups of organisations. A group has one shard for each
-// share, and its shards have different homes where there are enough instances, so that
-// a death costs an organisation one share. With 21 groups 9 instances hold 7 shards
-// each, and an append that names a holder's shards stays under 600 bytes.
-const groups = 21
+// groupCount is the number of groups of organisations. A group has one shard for each share.
+// The shards of a group have different homes if there are enough instances, so that the loss
+// of an instance costs an organisation one share. With 21 groups, 9 instances hold 7 shards
+// each, and an append that lists a holder's shards stays below 600 bytes.
+const groupCount = 21
 
 // Shards is the number of shards.
-const Shards = groups * share.Count
+const Shards = groupCount * share.Count
 
-// maxFence is the largest fence set. Two of five may be lost before a refresh.
-const maxFence = 5
+// maxFenceSize is the maximum size of a fence set. Of five members two may fail before the
+// set is replaced.
+const maxFenceSize = 5
 
 // shardOf returns the shard of one share of an organisation.
 func shardOf(organisation string, shareIndex uint32) uint32 {
-	group := uint32(xxhash.Sum64String(organisation) % groups)
+	group := uint32(xxhash.Sum64String(organisation) % groupCount)
 	return group*share.Count + shareIndex
 }
 
-// homesOf places every shard by rendezvous hashing over the members' names, the
-// shards of one group on different members while there are enough. A restarted
-// instance keeps its places.
-func homesOf(members []request.Holder) []request.Holder {
+// assignHomes assigns every shard to a member by rendezvous hashing over the members' names,
+// the shards of one group to different members if there are enough. A restarted instance
+// keeps its shards.
+func assignHomes(members []request.Holder) []request.Holder {
 	homes := make([]request.Holder, Shards)
 	for shard := range homes {
-		sibling := shard / share.Count * share.Count
-		homes[shard] = highest(members, homes[sibling:shard], uint64(shard))
+		firstOfGroup := shard / share.Count * share.Count
+		homes[shard] = highestWeight(members, homes[firstOfGroup:shard], uint64(shard))
 	}
 	return homes
 }
 
-// highest returns the member with the highest weight for a key that is not among
-// used, or the highest of all if every member is used.
-func highest(members, used []request.Holder, key uint64) request.Holder {
+// highestWeight returns the member with the highest weight for key among those that are not
+// in used, or among all members if each of them is in used.
+func highestWeight(members, used []request.Holder, key uint64) request.Holder {
 	var best, bestUnused request.Holder
 	var bestWeight, unusedWeight uint64
 	for _, m := range members {
@@ -68,9 +69,9 @@
 	return xxhash.Sum64(append(b, instance...))
 }
 
-// fenceFor chooses the fence set of an instance: one, three or five others. An even
-// set would need as many survivors as the next larger odd one.
-func fenceFor(self request.Holder, members []request.Holder) []request.Holder {
+// fenceSetFor chooses the fence set of an instance: one, three or five others, or none. An
+// even set would need as many survivors as the next larger odd set.
+func fenceSetFor(self request.Holder, members []request.Holder) []request.Holder {
 	var others []request.Holder
 	for _, m := range members {
 		if m.Instance != self.Instance {
@@ -81,23 +82,23 @@
 	slices.SortFunc(others, func(a, b request.Holder) int {
 		return cmp.Or(cmp.Compare(weight(b.Instance, key), weight(a.Instance, key)), cmp.Compare(a.Instance, b.Instance))
 	})
-	size := min(len(others), maxFence)
+	size := min(len(others), maxFenceSize)
 	if size > 0 && size%2 == 0 {
 		size--
 	}
 	return others[:size]
 }
 
-// viewer caches the view, since placing all shards among 400 members takes most of a
-// millisecond and members change seldom.
-type viewer struct {
+// viewCache caches the view: the assignment of all shards to 400 members takes most of a
+// millisecond, and the members rarely change.
+type viewCache struct {
 	self    request.Holder
 	members []request.Holder
 	view    lease.View
 	valid   bool
 }
 
-func (v *viewer) of(members []request.Holder, draining bool) lease.View {
+func (v *viewCache) get(members []request.Holder, draining bool) lease.View {
 	if draining {
 		members = slices.DeleteFunc(slices.Clone(members), func(m request.Holder) bool {
 			return lease.SameRun(m, v.self)
@@ -107,7 +108,7 @@
 		return v.view
 	}
 	v.members = slices.Clone(members)
-	v.view = lease.View{Members: v.members, Homes: homesOf(v.members), Fence: fenceFor(v.self, v.members)}
+	v.view = lease.View{Members: v.members, Homes: assignHomes(v.members), Fence: fenceSetFor(v.self, v.members)}
 	v.valid = true
 	return v.view
 }
--- a/rate/service.go
+++ b/rate/service.go
@@ -17,38 +17,38 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// Service is one instance's part in metering: home of some shards, fence member for
-// others, and the way in for this instance's requests.
+// Service is the rate limiter of one instance: it is the home of some shards and a fence
+// member for others, and it admits the instance's own requests.
 type Service struct {
 	cfg       Config
 	logger    *zap.Logger
 	count     counters
-	start     time.Time
+	startTime time.Time
 	system    *actor.ActorSystem
 	ownSystem bool
 	homePID   *actor.PID
 	routes    atomic.Pointer[routes]
 	draining  atomic.Bool
-	doubts    doubts
+	failures  homeFailures
 	clients   sync.Map
-	unsent    unsentRefunds
+	refunds   refundQueue
 	// appends numbers the entries that this run appends.
 	appends atomic.Uint64
-	// background counts calls to peers and the log; ended is closed when Run ends, and
-	// calls begun under ctx end with it.
+	// background counts the running calls to peers and the log. They run under ctx, which
+	// is cancelled when Run ends.
 	background sync.WaitGroup
 	ctx        context.Context
-	end        context.CancelFunc
+	cancel     context.CancelFunc
 }
 
-// counters are the metrics of the package.
+// counters holds the metrics of the package.
 type counters struct {
-	admitted, passedOver, waited tally.Counter
-	started, stopped             tally.Counter
-	// lostToUnknown counts shards lost to instances that are no members.
-	lostToUnknown                       tally.Counter
-	refunds, refundsDropped             tally.Counter
-	extends, fences, appends, readFails tally.Counter
+	admitted, sharesSkipped, homeWaits tally.Counter
+	started, stopped                   tally.Counter
+	// lostToUnknown counts shards lost to instances that are not members.
+	lostToUnknown                          tally.Counter
+	refunds, refundsDropped                tally.Counter
+	extends, fences, appends, readFailures tally.Counter
 	// held counts this instance's shards by phase; logAge is in seconds.
 	held   map[lease.Phase]tally.Gauge
 	logAge tally.Gauge
@@ -67,8 +67,8 @@
 		held:           held,
 		logAge:         scope.Gauge("log_age_seconds"),
 		admitted:       scope.Counter("admitted"),
-		passedOver:     scope.Counter("shares_passed_over"),
-		waited:         scope.Counter("waits_for_home"),
+		sharesSkipped:  scope.Counter("shares_passed_over"),
+		homeWaits:      scope.Counter("waits_for_home"),
 		started:        scope.Counter("terms_started"),
 		stopped:        scope.Counter("terms_stopped"),
 		lostToUnknown:  scope.Counter("terms_lost_to_unknown"),
@@ -77,11 +77,11 @@
 		extends:        scope.Counter("extends_asked"),
 		fences:         scope.Counter("fences_asked"),
 		appends:        scope.Counter("log_appends"),
-		readFails:      scope.Counter("log_read_failures"),
+		readFailures:   scope.Counter("log_read_failures"),
 	}
 }
 
-// New returns a service that does nothing until Run.
+// New returns a service that is idle until Run is called.
 func New(cfg Config) (*Service, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -93,15 +93,15 @@
 	s := &Service{
 		ownSystem: ownSystem,
 		cfg:       cfg, logger: cfg.Logger, count: newCounters(cfg.Metrics),
-		start: cfg.Clock(), system: cfg.System,
+		startTime: cfg.Clock(), system: cfg.System,
 	}
-	s.doubts.now = s.now
-	s.ctx, s.end = context.WithCancel(context.Background())
+	s.failures.now = s.now
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.routes.Store(&routes{})
-	h := &home{
+	h := &homeActor{
 		s:       s,
 		node:    lease.NewNode(cfg.Self, Shards, cfg.Timing),
-		viewer:  viewer{self: cfg.Self},
+		views:   viewCache{self: cfg.Self},
 		held:    make(map[uint32]*heldShard),
 		offered: make(map[uint32]offeredLevels),
 	}
@@ -109,20 +109,20 @@
 	return s, nil
 }
 
-// Run follows the log and holds shards until ctx ends. An instance that closes its
-// listener for peers must answer no call on its open connections either, unless Run has
-// ended: a peer that finds another run at the address counts this one as fenced.
+// Run follows the log and holds shards until ctx ends. An instance that closes its listener
+// for peers while Run has not returned must also stop serving its open connections: a peer
+// that reaches another run at the address treats this run as fenced.
 func (s *Service) Run(ctx context.Context) error {
 	defer s.shutdown()
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return s.follow(ctx) })
-	g.Go(func() error { return s.tick(ctx) })
-	g.Go(func() error { return s.settle(ctx) })
+	g.Go(func() error { return s.followLog(ctx) })
+	g.Go(func() error { return s.runTicks(ctx) })
+	g.Go(func() error { return s.runRefunds(ctx) })
 	return g.Wait()
 }
 
 func (s *Service) shutdown() {
-	s.end()
+	s.cancel()
 	s.background.Wait()
 	_ = s.system.Root.StopFuture(s.homePID).Wait()
 	if s.ownSystem {
@@ -130,8 +130,8 @@
 	}
 }
 
-func (s *Service) tick(ctx context.Context) error {
-	ticker := time.NewTicker(tickEvery)
+func (s *Service) runTicks(ctx context.Context) error {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -143,16 +143,16 @@
 	}
 }
 
-// now returns the time since the service was made; it is never zero.
+// now returns the time since the service was created. It is never zero.
 func (s *Service) now() time.Duration {
-	return s.cfg.Clock().Sub(s.start) + 1
+	return s.cfg.Clock().Sub(s.startTime) + 1
 }
 
 func (s *Service) tell(message any) {
 	s.system.Root.Send(s.homePID, message)
 }
 
-// ask sends a message built around a reply channel and waits for the answer.
+// ask sends the message that build returns for a reply channel and waits for the reply.
 func ask[T any](ctx context.Context, s *Service, build func(reply chan T) any) (T, bool) {
 	reply := make(chan T, 1)
 	s.tell(build(reply))
@@ -166,7 +166,7 @@
 	return zero, false
 }
 
-// client returns the client for a peer.
+// client returns the cached client for a peer.
 func (s *Service) client(holder request.Holder) peerv1connect.RateServiceClient {
 	if c, ok := s.clients.Load(holder.Address); ok {
 		return c.(peerv1connect.RateServiceClient)
@@ -175,9 +175,9 @@
 	return c.(peerv1connect.RateServiceClient)
 }
 
-// pruneClients forgets clients of addresses that neither a member nor a holder has any
-// more. Instances come back at other addresses, and a long-lived instance would keep a
-// client for every address it ever saw.
+// pruneClients drops the clients of addresses that belong neither to a member nor to a
+// holder. Instances come back at other addresses, so a long-lived instance would otherwise
+// keep a client for every address it ever used.
 func (s *Service) pruneClients(members []request.Holder) {
 	used := make(map[string]bool)
 	for _, m := range members {
@@ -194,8 +194,8 @@
 	})
 }
 
-// inBackground runs a call that ends with the service.
-func (s *Service) inBackground(timeout time.Duration, call func(ctx context.Context)) {
+// runInBackground runs a call that is cancelled when the service ends.
+func (s *Service) runInBackground(timeout time.Duration, call func(ctx context.Context)) {
 	if s.ctx.Err() != nil {
 		return
 	}
--- a/rate/settle.go
+++ b/rate/settle.go
@@ -15,94 +15,93 @@
 	"github.com/cairnworks/cairnworks/route"
 )
 
-// Settle implements route.RateLimiter. What was not used goes back to the shares it
-// came from. What was used beyond the charge, because a prompt was longer than its
-// estimate, is taken from the first of them, whose level may become negative: the
-// organisation pays with its later requests.
+// Settle implements route.RateLimiter. Unused tokens are refunded to the shares that granted
+// them. Tokens used beyond the charge, because a prompt was longer than its estimate, are
+// taken from the first of these shares. Its level may become negative, at the expense of the
+// organisation's later requests.
 func (s *Service) Settle(charge route.Charge, used uint64) {
 	if len(charge.Parts) == 0 {
 		return
 	}
 	if used > charge.Tokens {
-		s.giveBackLater(refundPart(charge.Organisation, charge.Parts[0], 0, used-charge.Tokens))
+		s.queueRefund(newRefundPart(charge.Organisation, charge.Parts[0], 0, used-charge.Tokens))
 		return
 	}
 	unused := charge.Tokens - used
 	for _, p := range charge.Parts {
-		back := min(unused, p.Tokens)
-		if back == 0 {
+		refunded := min(unused, p.Tokens)
+		if refunded == 0 {
 			return
 		}
-		unused -= back
-		s.giveBackLater(refundPart(charge.Organisation, p, back, 0))
+		unused -= refunded
+		s.queueRefund(newRefundPart(charge.Organisation, p, refunded, 0))
 	}
 }
 
-// giveBack returns all that a gather has taken, at once: others may be refused for
-// want of it.
-func (g *gather) giveBack() {
-	for i := range g.shares {
-		for _, p := range g.shares[i].parts {
-			part := refundPart(g.organisation, p, p.Tokens, 0)
-			if home, ok := g.s.refundTo(part); ok {
+// refundAll refunds all grants at once, since other requests may be refused without them.
+func (a *admission) refundAll() {
+	for i := range a.shares {
+		for _, p := range a.shares[i].parts {
+			part := newRefundPart(a.organisation, p, p.Tokens, 0)
+			if home, ok := a.s.applyOrRoute(part); ok {
 				parts := []*peerv1.RefundPart{part}
-				g.s.inBackground(refundTimeout, func(ctx context.Context) { g.s.sendRefunds(ctx, home, parts) })
+				a.s.runInBackground(refundTimeout, func(ctx context.Context) { a.s.sendRefunds(ctx, home, parts) })
 			}
 		}
 	}
 }
 
-// unsentRefunds are refunds that wait for the next call to their home.
-type unsentRefunds struct {
+// refundQueue holds refunds until the next call to their home.
+type refundQueue struct {
 	mu     sync.Mutex
 	byHome map[request.Holder][]*peerv1.RefundPart
 }
 
-func (u *unsentRefunds) add(home request.Holder, part *peerv1.RefundPart) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.byHome == nil {
-		u.byHome = make(map[request.Holder][]*peerv1.RefundPart)
+func (q *refundQueue) add(home request.Holder, part *peerv1.RefundPart) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.byHome == nil {
+		q.byHome = make(map[request.Holder][]*peerv1.RefundPart)
 	}
-	u.byHome[home] = append(u.byHome[home], part)
+	q.byHome[home] = append(q.byHome[home], part)
 }
 
-func (u *unsentRefunds) takeAll() map[request.Holder][]*peerv1.RefundPart {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	all := u.byHome
-	u.byHome = nil
+func (q *refundQueue) takeAll() map[request.Holder][]*peerv1.RefundPart {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	all := q.byHome
+	q.byHome = nil
 	return all
 }
 
-func (s *Service) giveBackLater(part *peerv1.RefundPart) {
-	if home, ok := s.refundTo(part); ok {
-		s.unsent.add(home, part)
+func (s *Service) queueRefund(part *peerv1.RefundPart) {
+	if home, ok := s.applyOrRoute(part); ok {
+		s.refunds.add(home, part)
 	}
 }
 
-// settle sends gathered refunds. What is left when the service ends is sent before
-// Run returns.
-func (s *Service) settle(ctx context.Context) error {
-	ticker := time.NewTicker(settleEvery)
+// runRefunds sends the queued refunds periodically. Those that are left when the service ends
+// are sent before Run returns.
+func (s *Service) runRefunds(ctx context.Context) error {
+	ticker := time.NewTicker(refundInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			s.sendUnsent().Wait()
+			s.flushRefunds().Wait()
 			return nil
 		case <-ticker.C:
-			s.sendUnsent()
+			s.flushRefunds()
 		}
 	}
 }
 
-// sendUnsent sends what has gathered, one call to each home.
-func (s *Service) sendUnsent() *sync.WaitGroup {
+// flushRefunds sends the queued refunds, in one call to each home.
+func (s *Service) flushRefunds() *sync.WaitGroup {
 	var sent sync.WaitGroup
-	for home, parts := range s.unsent.takeAll() {
+	for home, parts := range s.refunds.takeAll() {
 		sent.Add(1)
-		s.inBackground(refundTimeout, func(ctx context.Context) {
+		s.runInBackground(refundTimeout, func(ctx context.Context) {
 			defer sent.Done()
 			s.sendRefunds(ctx, home, parts)
 		})
@@ -110,8 +109,9 @@
 	return &sent
 }
 
-// refundTo applies a refund if its home is here, and otherwise says where it goes.
-func (s *Service) refundTo(part *peerv1.RefundPart) (request.Holder, bool) {
+// applyOrRoute applies a refund if its home is this instance and drops it if its home is
+// unknown. Otherwise it returns the home and true.
+func (s *Service) applyOrRoute(part *peerv1.RefundPart) (request.Holder, bool) {
 	s.count.refunds.Inc(1)
 	home := s.routes.Load().holders[part.GetShard()]
 	switch {
@@ -119,14 +119,14 @@
 		s.count.refundsDropped.Inc(1)
 		return home, false
 	case lease.SameRun(home, s.cfg.Self):
-		s.tell(refundMessage(part))
+		s.tell(toRefundMessage(part))
 		return home, false
 	}
 	return home, true
 }
 
-// sendRefunds is tried once: a repeated refund would be counted twice, a lost one only
-// costs the organisation tokens that come back at its rate.
+// sendRefunds makes one attempt. A repeated refund would be counted twice, while a lost one
+// costs the organisation only tokens that are refilled at its rate.
 func (s *Service) sendRefunds(ctx context.Context, home request.Holder, parts []*peerv1.RefundPart) {
 	_, err := s.client(home).Refund(ctx, connect.NewRequest(&peerv1.RefundRequest{Parts: parts}))
 	if err != nil {
@@ -134,14 +134,14 @@
 	}
 }
 
-func refundPart(organisation string, p route.ChargePart, tokens, overdraft uint64) *peerv1.RefundPart {
+func newRefundPart(organisation string, p route.ChargePart, tokens, overdraft uint64) *peerv1.RefundPart {
 	return &peerv1.RefundPart{
 		Organisation: organisation, Share: p.Share, Shard: p.Shard, Term: p.Term, Charge: p.Charge,
 		Tokens: tokens, Overdraft: overdraft,
 	}
 }
 
-func refundMessage(p *peerv1.RefundPart) refund {
+func toRefundMessage(p *peerv1.RefundPart) refund {
 	return refund{
 		shard: p.GetShard(), key: share.Key{Organisation: p.GetOrganisation(), Share: p.GetShare()},
 		term: lease.Term(p.GetTerm()), charge: bucket.ChargeID(p.GetCharge()),
--- a/rate/slope_bench_test.go
+++ b/rate/slope_bench_test.go
@@ -17,7 +17,7 @@
 	"github.com/cairnworks/cairnworks/peer"
 )
 
-// stubHome answers as a home with tokens and as a fence member does.
+// stubHome responds like a home that has tokens and like a fence member.
 type stubHome struct {
 	peerv1connect.UnimplementedRateServiceHandler
 }
@@ -34,28 +34,29 @@
 	return connect.NewResponse(&peerv1.ExtendResponse{Extended: []bool{true}}), nil
 }
 
-// wireConn counts the bytes of HTTP/2 on a connection, without headers of IP and TCP.
-type wireConn struct {
+// countingConn counts the bytes sent and received on a connection, without the headers of IP
+// and TCP.
+type countingConn struct {
 	net.Conn
 	sent, received *atomic.Int64
 }
 
-func (c wireConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.received.Add(int64(n))
 	return n, err
 }
 
-func (c wireConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.sent.Add(int64(n))
 	return n, err
 }
 
-// BenchmarkWire is what one call to a peer sends and receives. A request whose
-// share's home is elsewhere takes one Acquire and one Refund; a holder that has not
-// read the log for Timing.ExtendAfter sends one Extend for each shard and member of
-// its fence set.
+// BenchmarkWire measures the bytes that one call to a peer sends and receives. A request
+// that uses a share with a remote home takes one Acquire and one Refund. A holder that has
+// not read the log for Timing.ExtendAfter sends one Extend for each shard and member of its
+// fence set.
 func BenchmarkWire(b *testing.B) {
 	holder := &peerv1.Holder{Instance: "waco-north-entry-123", Incarnation: 1_790_000_000_000, Address: "10.123.123.123:7443"}
 	for name, call := range map[string]func(context.Context, peerv1connect.RateServiceClient) error{
@@ -91,24 +92,24 @@
 	protocols.SetUnencryptedHTTP2(true)
 	transport := &http.Transport{Protocols: protocols, DialContext: func(_ context.Context, network, address string) (net.Conn, error) {
 		conn, err := net.Dial(network, address)
-		return wireConn{conn, &sent, &received}, err
+		return countingConn{conn, &sent, &received}, err
 	}}
 	b.Cleanup(transport.CloseIdleConnections)
 	client := peerv1connect.NewRateServiceClient(&http.Client{Transport: transport}, "http://"+server.Listener.Addr().String(), peer.ClientOptions())
 	ctx := context.Background()
 	assert.NilError(b, call(ctx, client))
-	began, out, in, n := processorTime(b), sent.Load(), received.Load(), 0
+	began, out, in, n := cpuSeconds(b), sent.Load(), received.Load(), 0
 	for b.Loop() {
 		n++
 		assert.NilError(b, call(ctx, client))
 	}
 	b.ReportMetric(float64(sent.Load()-out)/float64(n), "sent-B")
 	b.ReportMetric(float64(received.Load()-in)/float64(n), "received-B")
-	b.ReportMetric((processorTime(b)-began)*1e6/float64(n), "cpu-µs")
+	b.ReportMetric((cpuSeconds(b)-began)*1e6/float64(n), "cpu-µs")
 }
 
-// processorTime is what this process, with both ends of the call, has used in seconds.
-func processorTime(b *testing.B) float64 {
+// cpuSeconds returns the CPU time of this process, which runs both ends of the call.
+func cpuSeconds(b *testing.B) float64 {
 	b.Helper()
 	var used syscall.Rusage
 	assert.NilError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &used))
--- a/rate/status.go
+++ b/rate/status.go
@@ -9,50 +9,51 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// Status is what an operator sees of the rate homes from one instance.
+// Status describes the rate homes as seen by one instance, for operators.
 type Status struct {
 	// Held are the shards that this instance holds or waits for.
 	Held []lease.HeldStatus
-	// Holders is the holder of every shard as far as this instance knows; an empty
-	// Instance is unknown.
+	// Holders is the holder of every shard as known to this instance. An empty Instance
+	// means that the holder is unknown.
 	Holders []request.Holder
 	// Buckets is the number of buckets held here.
 	Buckets int
 }
 
-// ShareHome says where one share of an organisation is.
+// ShareHome is the location of one share of an organisation.
 type ShareHome struct {
 	Share, Shard uint32
-	// Home is empty if it is not known.
+	// Home is empty if it is unknown.
 	Home request.Holder
-	// InDoubt says that the home did not answer this instance's last request.
-	InDoubt bool
+	// Unreachable reports that the home did not respond to this instance's latest request.
+	Unreachable bool
 }
 
-// Status describes the instance's homes. It is empty when the service has ended.
+// Status returns the status of the service. It is empty when the service has ended.
 func (s *Service) Status() Status {
-	status, _ := s.query(s.ctx)
+	status, _ := s.queryStatus(s.ctx)
 	return status
 }
 
-// HomesOf says where an organisation's shares are, as this instance's requests find them.
-func (s *Service) HomesOf(organisation string) []ShareHome {
+// ShareHomes returns the homes of an organisation's shares as used by this instance's
+// requests.
+func (s *Service) ShareHomes(organisation string) []ShareHome {
 	r := s.routes.Load()
 	homes := make([]ShareHome, 0, share.Count)
 	for i := range uint32(share.Count) {
 		shard := shardOf(organisation, i)
 		homes = append(homes, ShareHome{
-			Share: i, Shard: shard, Home: r.holders[shard], InDoubt: s.doubts.isDoubtful(shard),
+			Share: i, Shard: shard, Home: r.holders[shard], Unreachable: s.failures.shouldSkip(shard),
 		})
 	}
 	return homes
 }
 
-func (s *Service) query(ctx context.Context) (Status, bool) {
+func (s *Service) queryStatus(ctx context.Context) (Status, bool) {
 	return ask(ctx, s, func(reply chan Status) any { return statusQuery{reply: reply} })
 }
 
-func (h *home) status() Status {
+func (h *homeActor) status() Status {
 	st := Status{Held: h.node.Held(h.s.now())}
 	r := h.s.routes.Load()
 	st.Holders = append(st.Holders, r.holders[:]...)
@@ -62,9 +63,9 @@
 	return st
 }
 
-// gauge reports the held shards by phase and the age of the last read of the log. An
-// operator's alert belongs on the age: at lease.Timing.Outage all spending stops.
-func (h *home) gauge(now time.Duration) {
+// gauge updates the gauges of the held shards by phase and of the age of the latest full read
+// of the log. Operators should alert on the age: at lease.Timing.Outage all spending stops.
+func (h *homeActor) gauge(now time.Duration) {
 	byPhase := map[lease.Phase]int{
 		lease.PhaseWaiting: 0, lease.PhaseSpending: 0, lease.PhaseExtended: 0, lease.PhaseLapsed: 0,
 	}
