--- a/rate/lease/doc.go
+++ b/rate/lease/doc.go
@@ -63,8 +63,8 @@
 // spending before c + L on X's clock, which is before c + WL on Y's clock.
 //
 // A holder that learns of a later valid claim stops for good, which gives (1). A holder
-// that was spending had seen all terms before its own end, so its handover settles
-// those terms as well.
+// begins to spend only after all terms before its own have ended, so the handover of a
+// holder that was spending settles those terms as well.
 //
 // A term is settled when its holder states in the log that all earlier terms have ended.
 // Readers then forget the earlier terms. A reader whose log begins after the shard's
