--- a/decision/health/health.go
+++ b/decision/health/health.go
@@ -1,24 +1,27 @@
-// Package health gives each upstream of a service a weight from what its answers
-// show.
+// Package health performs outlier detection: it derives a load-balancing weight for
+// each upstream of a service from the outcomes of its requests.
 //
-// Load pattern: one upstream among its peers answers several times more slowly, or
-// fails most of what it gets, while its own load report (late as it is) says that
-// it has free slots.
+// Load pattern: one upstream responds several times more slowly than its peers, or
+// fails most of its requests, while its own load report, which is delayed, still
+// shows free slots.
 //
-// Without it: a slow upstream keeps its share and every tenth caller misses the
-// target; one that fails at once always has free slots and draws far more than its
-// share (TestOneBadUpstream measures what callers receive).
+// Without it: a slow upstream keeps its share of the traffic and every tenth caller
+// misses the latency target. An upstream that fails immediately always has free
+// slots and attracts far more than its share (TestFaultyUpstream measures the effect
+// on callers).
 //
 // Rules:
-//   - Slowness is relative: an outcome's latency is divided by what was expected
-//     for it, and an upstream's median is held against the median of its peers. A
-//     fleet that is slow as a whole is overloaded, not ill, and nobody loses weight.
-//   - Up to OutFactor times slower, the weight falls with the inverse of the
-//     slowness: the upstream gets what it can do in its peers' time.
-//   - Beyond, or at more failures than the peers' rate explains, it is taken out
-//     and only tried by trickle. It comes back in steps of good outcomes.
-//   - At most a third of the upstreams are out at once (one of two). When half the
-//     fleet fails, the rest could not carry the load, and the cause is elsewhere.
+//   - Slowness is relative: the latency of each outcome is divided by its expected
+//     latency, and an upstream's median is compared with the median of its peers.
+//     If all upstreams are slow, the cause is overload rather than a faulty
+//     upstream, and all weights stay unchanged.
+//   - Up to EjectFactor times slower, the weight is the inverse of the slowness, so
+//     that the upstream gets the load it can serve in its peers' time.
+//   - Beyond that, or with more failures than the peers' failure rate explains, the
+//     upstream is ejected and gets only probes and a minimal weight. After
+//     successful probes its weight is restored in steps.
+//   - At most a third of the upstreams are ejected at once (one of two). If half of
+//     them fail, the others could not carry the load, and the cause lies elsewhere.
 package health
 
 import (
@@ -27,111 +30,117 @@
 	"time"
 )
 
-// Config holds the figures of the package.
+// Config holds the parameters of outlier detection.
 type Config struct {
-	// Window is the number of latest outcomes judged.
+	// Window is the number of most recent outcomes evaluated per upstream.
 	Window int
-	// MinSamples are needed before an upstream is judged or counts as a peer.
+	// MinSamples is the number of outcomes required before an upstream is evaluated
+	// or used as a peer.
 	MinSamples int
-	// Tail is the probability below which a number of failures is not chance.
-	Tail float64
-	// MinRate is the least failure rate assumed of the peers.
-	MinRate float64
-	// SlowFactor is the slowness from which weight is lost, OutFactor that from
-	// which the upstream is taken out.
-	SlowFactor, OutFactor float64
-	// TrialFactor is the slowness up to which a trial counts as good.
-	TrialFactor float64
-	// Trickle is the weight while out.
-	Trickle float64
-	// TrialInterval and ReturnInterval space the trials of an upstream that is out
-	// or returning.
-	TrialInterval, ReturnInterval time.Duration
-	// Steps are the weights on the way back, each kept for StepGood good outcomes
-	// and at least StepTime.
-	Steps    []float64
-	StepGood int
-	StepTime time.Duration
-	// Spared is the weight of an upstream that would be out but for the limit.
-	Spared float64
+	// SignificanceLevel is the probability below which a number of failures is not
+	// attributed to chance.
+	SignificanceLevel float64
+	// MinFailureRate is the lower bound on the failure rate assumed for the peers.
+	MinFailureRate float64
+	// SlowFactor is the relative slowness at which the weight starts to decrease,
+	// EjectFactor the one at which the upstream is ejected.
+	SlowFactor, EjectFactor float64
+	// ProbeFactor is the maximum relative slowness of a successful probe.
+	ProbeFactor float64
+	// EjectedWeight is the weight of an ejected upstream.
+	EjectedWeight float64
+	// ProbeInterval and RecoveryProbeInterval are the minimum intervals between the
+	// probes of an ejected and of a recovering upstream.
+	ProbeInterval, RecoveryProbeInterval time.Duration
+	// RecoveryWeights are the successive weights of a recovering upstream. Each
+	// applies for at least RecoverySuccesses successful outcomes and
+	// RecoveryStepTime.
+	RecoveryWeights   []float64
+	RecoverySuccesses int
+	RecoveryStepTime  time.Duration
+	// RetainedWeight is the weight of an outlier that is not ejected because the
+	// limit on ejected upstreams is reached.
+	RetainedWeight float64
 }
 
-// DefaultConfig returns the default figures.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{
 		Window: 16, MinSamples: 4,
-		Tail: 0.0001, MinRate: 0.02,
-		SlowFactor: 1.25, OutFactor: 4, TrialFactor: 2,
-		Trickle: 0.02, TrialInterval: 5 * time.Second, ReturnInterval: 500 * time.Millisecond,
-		Steps: []float64{0.2, 0.5}, StepGood: 4, StepTime: time.Second,
-		Spared: 0.3,
+		SignificanceLevel: 0.0001, MinFailureRate: 0.02,
+		SlowFactor: 1.25, EjectFactor: 4, ProbeFactor: 2,
+		EjectedWeight: 0.02, ProbeInterval: 5 * time.Second, RecoveryProbeInterval: 500 * time.Millisecond,
+		RecoveryWeights: []float64{0.2, 0.5}, RecoverySuccesses: 4, RecoveryStepTime: time.Second,
+		RetainedWeight: 0.3,
 	}
 }
 
-// State of an upstream.
+// State is the health state of an upstream.
 type State uint8
 
-// States of an upstream.
 const (
-	// Healthy upstreams have a weight by their speed.
+	// Healthy upstreams are weighted by their relative speed.
 	Healthy State = iota
-	// Out upstreams only get trials.
-	Out
-	// Returning upstreams get more with each step.
-	Returning
-	// Spared upstreams are bad, but too many others are out.
-	Spared
+	// Ejected upstreams get only probes and EjectedWeight.
+	Ejected
+	// Recovering upstreams get the RecoveryWeights in turn.
+	Recovering
+	// Retained upstreams are outliers that stay in rotation because too many others
+	// are ejected.
+	Retained
 )
 
-// String returns the name used in metrics and operator output.
+// String returns the state name used in metrics and operator output.
 func (s State) String() string {
 	return [...]string{"healthy", "out", "returning", "spared"}[s]
 }
 
-// Weight is one upstream's share relative to a healthy one.
+// Weight is the load-balancing weight of one upstream, relative to a healthy one.
 type Weight struct {
 	Upstream string
-	// Weight is above 0 and at most 1.
+	// Weight is in (0, 1].
 	Weight float64
 	State  State
 }
 
-// Monitor judges the upstreams of one service and role. It is not safe for
+// Monitor evaluates the upstreams of one service and role. It is not safe for
 // concurrent use.
 type Monitor struct {
 	cfg       Config
 	upstreams []*upstream
-	// weights are kept until the next change.
+	// weights caches the result of Weights; nil after a change.
 	weights []Weight
 }
 
 type upstream struct {
 	name  string
 	state State
-	// outcomes is a ring of the latest; next is the oldest when full.
+	// outcomes is a ring buffer of the most recent outcomes; next is the index of
+	// the oldest one when the buffer is full.
 	outcomes []outcome
 	next     int
-	step     int
-	good     int
-	since    time.Time
-	// tried is when the last trial was given out.
-	tried time.Time
-	// median slowness and number of failures of the outcomes.
-	median float64
-	failed int
+	// step is the index of the current weight in RecoveryWeights.
+	step      int
+	successes int
+	stepStart time.Time
+	// lastProbe is when NextProbe last returned this upstream.
+	lastProbe time.Time
+	// medianSlowness is 0 when too few outcomes have a known slowness.
+	medianSlowness float64
+	failures       int
 }
 
 type outcome struct {
 	failed bool
-	// slowness is the latency over the expected one, 0 when unknown.
+	// slowness is the ratio of the latency to the expected latency, 0 when unknown.
 	slowness float64
 }
 
 // New returns a monitor without upstreams.
 func New(cfg Config) *Monitor { return &Monitor{cfg: cfg} }
 
-// SetUpstreams names the upstreams to judge. Those already known keep their
-// outcomes; new ones start healthy.
+// SetUpstreams replaces the set of upstreams. Upstreams that were already present
+// keep their state and outcomes; new ones start healthy.
 func (m *Monitor) SetUpstreams(names []string) {
 	next := make([]*upstream, 0, len(names))
 	for _, name := range names {
@@ -146,10 +155,10 @@
 	m.weights = nil
 }
 
-// Observe takes in the outcome of one request: whether the upstream answered, how
-// long it took and how long it was expected to take. A timeout is an outcome that
-// is not ok, with the time waited. Outcomes of unknown upstreams are ignored; a
-// request that its caller cancelled is no outcome.
+// Observe records the outcome of one request: whether the upstream responded, its
+// latency and the expected latency. A timeout is recorded with ok false and the
+// time waited. Outcomes of unknown upstreams are ignored; requests that were
+// cancelled by their caller must not be recorded.
 func (m *Monitor) Observe(now time.Time, name string, ok bool, latency, expected time.Duration) {
 	u := m.find(name)
 	if u == nil {
@@ -161,80 +170,83 @@
 	}
 	m.weights = nil
 	u.add(o, m.cfg)
-	if u.state == Out || u.state == Returning {
-		m.judgeTrial(now, u, o)
+	if u.state == Ejected || u.state == Recovering {
+		m.evaluateProbe(now, u, o)
 		return
 	}
-	m.judge(now, u)
+	m.evaluate(now, u)
 }
 
-// judge takes an upstream out, if it must go and may.
-func (m *Monitor) judge(now time.Time, u *upstream) {
-	if len(u.outcomes) < m.cfg.MinSamples || !m.bad(u) {
+// evaluate ejects the upstream if it is an outlier and the limit on ejected
+// upstreams allows it.
+func (m *Monitor) evaluate(now time.Time, u *upstream) {
+	if len(u.outcomes) < m.cfg.MinSamples || !m.isOutlier(u) {
 		u.state = Healthy
 		return
 	}
-	if m.outCount() >= maxOut(len(m.upstreams)) {
-		u.state = Spared
+	if m.ejectedCount() >= maxEjected(len(m.upstreams)) {
+		u.state = Retained
 		return
 	}
-	u.state = Out
-	u.step, u.good = 0, 0
-	u.since, u.tried = now, now
+	u.state = Ejected
+	u.step, u.successes = 0, 0
+	u.stepStart, u.lastProbe = now, now
 }
 
-func (m *Monitor) bad(u *upstream) bool {
-	limit := failureLimit(len(u.outcomes), max(m.peerRate(u), m.cfg.MinRate), m.cfg.Tail)
-	return u.failed >= limit || m.slowness(u) >= m.cfg.OutFactor
+func (m *Monitor) isOutlier(u *upstream) bool {
+	limit := failureThreshold(len(u.outcomes), max(m.peerFailureRate(u), m.cfg.MinFailureRate), m.cfg.SignificanceLevel)
+	return u.failures >= limit || m.relativeSlowness(u) >= m.cfg.EjectFactor
 }
 
-// judgeTrial moves an upstream that is out by the outcome of a trial. Any bad
-// trial starts over, so that a flapping upstream stays out.
-func (m *Monitor) judgeTrial(now time.Time, u *upstream, o outcome) {
+// evaluateProbe updates the state of an ejected or recovering upstream after a
+// probe. Any failed or slow probe restarts the recovery, so that a flapping
+// upstream stays ejected.
+func (m *Monitor) evaluateProbe(now time.Time, u *upstream, o outcome) {
 	peers := m.peerSlowness(u)
-	slow := peers > 0 && o.slowness > m.cfg.TrialFactor*peers
+	slow := peers > 0 && o.slowness > m.cfg.ProbeFactor*peers
 	if o.failed || slow {
-		u.state = Out
-		u.step, u.good = 0, 0
-		u.since = now
+		u.state = Ejected
+		u.step, u.successes = 0, 0
+		u.stepStart = now
 		return
 	}
-	u.good++
-	if u.state == Out {
-		u.state = Returning
-		u.step, u.good = 0, 1
-		u.since = now
+	u.successes++
+	if u.state == Ejected {
+		u.state = Recovering
+		u.step, u.successes = 0, 1
+		u.stepStart = now
 		return
 	}
-	if u.good < m.cfg.StepGood || now.Sub(u.since) < m.cfg.StepTime {
+	if u.successes < m.cfg.RecoverySuccesses || now.Sub(u.stepStart) < m.cfg.RecoveryStepTime {
 		return
 	}
 	u.step++
-	u.good = 0
-	u.since = now
-	if u.step >= len(m.cfg.Steps) {
+	u.successes = 0
+	u.stepStart = now
+	if u.step >= len(m.cfg.RecoveryWeights) {
 		u.state = Healthy
-		u.forget()
+		u.reset()
 	}
 }
 
-// NextProbe names an upstream that is to get the next request whatever its weight, or
-// false when none is due. The trial counts as given. A choice by weight alone would
-// never try an upstream again as long as others have free slots.
+// NextProbe returns an upstream that is due for a probe and must get the next request
+// regardless of its weight, or false if none is due. It counts the probe as sent.
+// Selection by weight alone would never probe an ejected upstream while others have
+// free slots.
 func (m *Monitor) NextProbe(now time.Time) (string, bool) {
 	for _, u := range m.upstreams {
-		due := u.state == Out && now.Sub(u.tried) >= m.cfg.TrialInterval ||
-			u.state == Returning && now.Sub(u.tried) >= m.cfg.ReturnInterval
+		due := u.state == Ejected && now.Sub(u.lastProbe) >= m.cfg.ProbeInterval ||
+			u.state == Recovering && now.Sub(u.lastProbe) >= m.cfg.RecoveryProbeInterval
 		if due {
-			u.tried = now
+			u.lastProbe = now
 			return u.name, true
 		}
 	}
 	return "", false
 }
 
-// Weights returns the weight of every upstream, by name. The slice is the caller's
-// to read until the next call of another method.
+// Weights returns the weight of every upstream, sorted by name. The slice is
+// read-only and valid until the next call of another method.
 func (m *Monitor) Weights() []Weight {
 	if m.weights != nil {
 		return m.weights
@@ -248,14 +260,14 @@
 
 func (m *Monitor) weight(u *upstream) float64 {
 	switch u.state {
-	case Out:
-		return m.cfg.Trickle
-	case Returning:
-		return m.cfg.Steps[u.step]
-	case Spared:
-		return m.cfg.Spared
+	case Ejected:
+		return m.cfg.EjectedWeight
+	case Recovering:
+		return m.cfg.RecoveryWeights[u.step]
+	case Retained:
+		return m.cfg.RetainedWeight
 	default:
-		slowness := m.slowness(u)
+		slowness := m.relativeSlowness(u)
 		if slowness < m.cfg.SlowFactor {
 			return 1
 		}
@@ -272,18 +284,19 @@
 	return nil
 }
 
-func (m *Monitor) outCount() int {
+func (m *Monitor) ejectedCount() int {
 	count := 0
 	for _, u := range m.upstreams {
-		if u.state == Out || u.state == Returning {
+		if u.state == Ejected || u.state == Recovering {
 			count++
 		}
 	}
 	return count
 }
 
-// maxOut is how many of n upstreams may be out: a third, but one of two.
-func maxOut(n int) int {
+// maxEjected is the maximum number of ejected upstreams out of n: a third, but one of
+// two.
+func maxEjected(n int) int {
 	if n == 2 {
 		return 1
 	}
--- a/decision/health/health_test.go
+++ b/decision/health/health_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1_764_700_000, 0)
 
-func names(n int) []string {
+func upstreamNames(n int) []string {
 	all := make([]string, n)
 	for i := range all {
 		all[i] = fmt.Sprintf("engine-%02d", i)
@@ -21,38 +21,39 @@
 	return all
 }
 
-// oneBad runs ten upstreams of eight slots under some 40 requests a second of about
-// a second each; a request goes to the upstream with the most free slots, times
-// its weight. The fourth is bad from the second minute on for two of four. It
-// returns the share of requests of that time answered within 1.7 s, and the time
-// from its recovery until it has a healthy weight again.
-func oneBad(monitored bool, slow, failing float64) (inTarget float64, back time.Duration) {
+// simulateFaultyUpstream simulates four minutes of about 40 requests per second, one
+// second each, on ten upstreams with eight slots. Each request goes to the upstream
+// with the most free slots, multiplied by its weight if monitored. The fourth is faulty
+// during the second and third minutes. It returns the share of the requests of
+// those two minutes that were answered within 1.7 s, and the time from the end of
+// the fault until the upstream's weight exceeds 0.7.
+func simulateFaultyUpstream(monitored bool, slow, failing float64) (inTarget float64, recovery time.Duration) {
 	const (
 		slots = 8
 		tick  = 10 * time.Millisecond
 	)
-	type done struct {
+	type completion struct {
 		upstream int
 		ok       bool
 		latency  time.Duration
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	m := New(DefaultConfig())
-	all := names(10)
+	all := upstreamNames(10)
 	m.SetUpstreams(all)
 	running := make([]int, len(all))
-	finish := make(map[int][]done)
-	asked, good := 0.0, 0.0
+	finish := make(map[int][]completion)
+	sent, answered := 0.0, 0.0
 	for i := range int(4 * time.Minute / tick) {
 		at := time.Duration(i) * tick
 		now := start.Add(at)
-		bad := at >= time.Minute && at < 3*time.Minute
+		faulty := at >= time.Minute && at < 3*time.Minute
 		for _, d := range finish[i] {
 			running[d.upstream]--
 			m.Observe(now, all[d.upstream], d.ok, d.latency, time.Second)
 		}
-		if at > 3*time.Minute && back == 0 && m.Weights()[3].Weight > 0.7 {
-			back = at - 3*time.Minute
+		if at > 3*time.Minute && recovery == 0 && m.Weights()[3].Weight > 0.7 {
+			recovery = at - 3*time.Minute
 		}
 		if rng.Float64() > 0.4 {
 			continue
@@ -70,84 +71,84 @@
 		if name, due := m.NextProbe(now); due && monitored {
 			best = slices.Index(all, name)
 		}
-		d := done{best, true, time.Duration((0.8 + 0.4*rng.Float64()) * float64(time.Second))}
-		if bad && best == 3 {
+		d := completion{best, true, time.Duration((0.8 + 0.4*rng.Float64()) * float64(time.Second))}
+		if faulty && best == 3 {
 			d.latency = time.Duration(float64(d.latency) * slow)
 			if rng.Float64() < failing {
 				d.ok, d.latency = false, 20*time.Millisecond
 			}
 		}
-		if bad {
-			asked++
+		if faulty {
+			sent++
 		}
-		if bad && d.ok && d.latency <= 1700*time.Millisecond {
-			good++
+		if faulty && d.ok && d.latency <= 1700*time.Millisecond {
+			answered++
 		}
 		running[best]++
 		finish[i+int(d.latency/tick)] = append(finish[i+int(d.latency/tick)], d)
 	}
-	return good / asked, back
+	return answered / sent, recovery
 }
 
-// One upstream of ten becomes five times slower, or fails nine of ten requests at
-// once while its slots stand empty. Without the monitor its callers miss the
-// target, or most of all callers get its errors.
-func TestOneBadUpstream(t *testing.T) {
+// One upstream of ten becomes five times slower, or immediately fails nine of ten
+// requests while its slots stay free. Without the monitor, its callers miss the
+// latency target, or most callers get its errors.
+func TestFaultyUpstream(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		slow, failing float64
 	}{{"slow", 5, 0}, {"failing", 1, 0.9}} {
-		naive, _ := oneBad(false, c.slow, c.failing)
-		ours, back := oneBad(true, c.slow, c.failing)
-		t.Logf("%s: in target without monitor %.4f, with %.4f, back after %v", c.name, naive, ours, back)
-		assert.Assert(t, ours > 0.97 && ours > naive, c.name)
-		assert.Assert(t, back > 0 && back < time.Minute, c.name)
+		without, _ := simulateFaultyUpstream(false, c.slow, c.failing)
+		with, recovery := simulateFaultyUpstream(true, c.slow, c.failing)
+		t.Logf("%s: answered within the target without monitor %.4f, with monitor %.4f, recovered after %v", c.name, without, with, recovery)
+		assert.Assert(t, with > 0.97 && with > without, c.name)
+		assert.Assert(t, recovery > 0 && recovery < time.Minute, c.name)
 	}
 }
 
-// Every upstream becomes slow, or fails, at the same time: the cause is overload or
-// something they share. Taking them out one after another would leave callers
-// with none at all.
-func TestNeverAllOut(t *testing.T) {
+// All upstreams fail or become slow at the same time because of overload or a shared
+// dependency. Ejecting them one after another would leave callers without any
+// upstream.
+func TestEjectionLimit(t *testing.T) {
 	for _, count := range []int{1, 2, 3, 10, 15} {
 		rng := rand.New(rand.NewPCG(uint64(count), 1))
 		m := New(DefaultConfig())
-		m.SetUpstreams(names(count))
+		m.SetUpstreams(upstreamNames(count))
 		now := start
 		for range 200 * count {
 			now = now.Add(20 * time.Millisecond)
-			m.Observe(now, names(count)[rng.IntN(count)], rng.Float64() < 0.1, 9*time.Second, time.Second)
-			out := 0
+			m.Observe(now, upstreamNames(count)[rng.IntN(count)], rng.Float64() < 0.1, 9*time.Second, time.Second)
+			ejected := 0
 			for _, w := range m.Weights() {
 				assert.Assert(t, w.Weight > 0 && w.Weight <= 1)
-				if w.State == Out || w.State == Returning {
-					out++
+				if w.State == Ejected || w.State == Recovering {
+					ejected++
 				}
 			}
-			assert.Assert(t, out <= maxOut(count) && out < count)
+			assert.Assert(t, ejected <= maxEjected(count) && ejected < count)
 		}
 	}
 }
 
-// All upstreams slow down together under load. Nobody is worse than the others, so
-// that nobody loses weight.
-func TestOverloadIsNoIllness(t *testing.T) {
+// All upstreams slow down together under load. None is an outlier, so no weight may
+// drop.
+func TestSharedSlowdownKeepsWeights(t *testing.T) {
 	m := New(DefaultConfig())
-	m.SetUpstreams(names(10))
+	m.SetUpstreams(upstreamNames(10))
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range 2000 {
 		now := start.Add(time.Duration(i) * 20 * time.Millisecond)
 		factor := 1 + 8*float64(i)/2000
 		latency := time.Duration((0.9 + 0.2*rng.Float64()) * factor * float64(time.Second))
-		m.Observe(now, names(10)[i%10], true, latency, time.Second)
+		m.Observe(now, upstreamNames(10)[i%10], true, latency, time.Second)
 	}
 	for _, w := range m.Weights() {
 		assert.Equal(t, w.Weight, 1.0, w.Upstream)
 	}
 }
 
-// naiveMedian sorts the whole of the last outcomes for each question.
-func naiveMedian(values []float64) float64 {
+// referenceMedian recomputes the median of the window from the whole history.
+func referenceMedian(values []float64) float64 {
 	if len(values) < DefaultConfig().MinSamples {
 		return 0
 	}
@@ -156,14 +157,14 @@
 	return last[(len(last)-1)/2]
 }
 
-func naiveWeight(history [][]float64, of int) float64 {
+func referenceWeight(history [][]float64, of int) float64 {
 	var peers []float64
 	for i, values := range history {
-		if m := naiveMedian(values); i != of && m > 0 {
+		if m := referenceMedian(values); i != of && m > 0 {
 			peers = append(peers, m)
 		}
 	}
-	own := naiveMedian(history[of])
+	own := referenceMedian(history[of])
 	if own == 0 || len(peers) == 0 {
 		return 1
 	}
@@ -174,49 +175,50 @@
 	return 1
 }
 
-func TestWeightsAgainstNaive(t *testing.T) {
+func TestWeightsMatchReference(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		m := New(DefaultConfig())
-		m.SetUpstreams(names(5))
+		m.SetUpstreams(upstreamNames(5))
 		history := make([][]float64, 5)
 		for range 300 {
 			i := rng.IntN(5)
 			slowness := (1 + 0.4*float64(i)) * (0.7 + 0.6*rng.Float64())
-			m.Observe(start, names(5)[i], true, time.Duration(slowness*float64(time.Second)), time.Second)
+			m.Observe(start, upstreamNames(5)[i], true, time.Duration(slowness*float64(time.Second)), time.Second)
 			history[i] = append(history[i], slowness)
 			for i, w := range m.Weights() {
 				assert.Assert(t, w.State == Healthy)
-				assert.Assert(t, math.Abs(w.Weight-naiveWeight(history, i)) < 1e-6)
+				assert.Assert(t, math.Abs(w.Weight-referenceWeight(history, i)) < 1e-6)
 			}
 		}
 	}
 }
 
-func TestFailureLimitAgainstNaive(t *testing.T) {
+func TestFailureThresholdMatchesReference(t *testing.T) {
 	for _, rate := range []float64{0.02, 0.1, 0.3, 0.6} {
-		// exactly[k] is the probability of k failures, one outcome after another.
-		exactly := []float64{1}
+		// probability[k] is the probability of k failures among n outcomes, computed
+		// outcome by outcome.
+		probability := []float64{1}
 		for n := 1; n <= 32; n++ {
 			next := make([]float64, n+1)
-			for k, p := range exactly {
+			for k, p := range probability {
 				next[k] += p * (1 - rate)
 				next[k+1] += p * rate
 			}
-			exactly = next
-			want, tail := n, exactly[n]
-			for want > 1 && tail+exactly[want-1] < 0.0001 {
+			probability = next
+			want, tail := n, probability[n]
+			for want > 1 && tail+probability[want-1] < 0.0001 {
 				want--
-				tail += exactly[want]
+				tail += probability[want]
 			}
-			assert.Equal(t, failureLimit(n, rate, 0.0001), want)
+			assert.Equal(t, failureThreshold(n, rate, 0.0001), want)
 		}
 	}
 }
 
 func BenchmarkObserveAndWeights(b *testing.B) {
 	m := New(DefaultConfig())
-	all := names(15)
+	all := upstreamNames(15)
 	m.SetUpstreams(all)
 	for i := 0; b.Loop(); i++ {
 		m.Observe(start, all[i%15], true, time.Second, time.Second)
