--- a/decision/quarantine/quarantine.go
+++ b/decision/quarantine/quarantine.go
@@ -1,23 +1,24 @@
-// Package quarantine finds requests that crash the upstreams which run them.
+// Package quarantine identifies requests that crash the upstreams running them.
 //
-// Load pattern: now and then one prompt crashes each engine that runs it, and its
-// caller, or a retry, sends it again. Each crash also ends some twenty other
-// requests that ran beside it.
+// Load pattern: occasionally a prompt crashes every engine that runs it, and its
+// caller or a retry sends it again. Each crash also fails about twenty other requests
+// running on the same engine.
 //
-// Without it: the prompt takes one engine after another out, faster than they
-// restart. With crash counts alone, the requests beside it are counted as well,
-// come back with it and are refused with it (TestDeadlyPrompt measures what
-// callers receive).
+// Without it: the prompt crashes one engine after another, faster than they restart.
+// With crash counts alone, the requests running alongside it are counted too, are
+// retried with it and refused with it (TestCrashingPrompt measures the effect on
+// callers).
 //
 // Rules:
-//   - A crash is charged to every fingerprint that ran on the upstream, each with
-//     one count. One crash of one process is charged once, however many callers
+//   - A crash is counted once for every fingerprint that was running on the
+//     upstream. One crash of one process is counted once, however many callers
 //     report it.
-//   - A fingerprint with a second crash is quarantined. When only one of those that
-//     ran had a crash before, it explains this one and the others are not charged.
-//   - A success clears the fingerprint: it can run.
-//   - Suspects, those with one crash, are to be placed apart from one another, so
-//     that a second crash has one explanation; see Tracker.Suspect.
+//   - A fingerprint is quarantined at its second crash. If exactly one of the
+//     running fingerprints had crashed before, the crash is attributed to it and not
+//     counted for the others.
+//   - A success clears the fingerprint, since it shows that the request can run.
+//   - Suspects, fingerprints with one crash, should be placed on different upstreams,
+//     so that a second crash can be attributed to one of them; see Tracker.Suspect.
 package quarantine
 
 import (
@@ -28,218 +29,222 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Config holds the figures of the package.
+// Config holds the parameters of crash tracking and quarantine.
 type Config struct {
 	// Threshold is the number of crashes at which a fingerprint is refused.
 	Threshold int
-	// Duration of the first quarantine of a fingerprint that alone explains its
-	// last crash; it doubles with each further crash up to MaxDuration.
+	// Duration is the first quarantine of a fingerprint whose last crash is attributed
+	// to it alone; it doubles with each further crash up to MaxDuration.
 	Duration    time.Duration
 	MaxDuration time.Duration
-	// SharedDuration is the quarantine where several suspects explain one crash.
+	// SharedDuration is the quarantine when a crash is attributed to several suspects.
 	SharedDuration time.Duration
-	// Memory is how long a crash is held against a fingerprint.
-	Memory time.Duration
-	// Fold is the time within which reports of a crash of one upstream without a
-	// process id are taken for one crash.
-	Fold time.Duration
-	// MaxEntries bounds the fingerprints kept; the longest without a crash goes
-	// first.
+	// CrashRetention is how long a crash counts after it happened or after the
+	// quarantine it caused.
+	CrashRetention time.Duration
+	// DeduplicationWindow is the time within which crash reports for one upstream
+	// without a process ID count as the same crash.
+	DeduplicationWindow time.Duration
+	// MaxEntries bounds the number of fingerprints kept; the one with the oldest
+	// last crash is evicted first.
 	MaxEntries int
 }
 
-// DefaultConfig returns the default figures.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{
-		Threshold:      2,
-		Duration:       10 * time.Minute,
-		MaxDuration:    time.Hour,
-		SharedDuration: time.Minute,
-		Memory:         10 * time.Minute,
-		Fold:           2 * time.Second,
-		MaxEntries:     4096,
+		Threshold:           2,
+		Duration:            10 * time.Minute,
+		MaxDuration:         time.Hour,
+		SharedDuration:      time.Minute,
+		CrashRetention:      10 * time.Minute,
+		DeduplicationWindow: 2 * time.Second,
+		MaxEntries:          4096,
 	}
 }
 
-// Crash is the death of one upstream process.
+// Crash is one crash of an upstream process.
 type Crash struct {
 	Upstream string
-	// Process identifies the run of the upstream that died, empty when unknown.
+	// Process identifies the upstream process that crashed, empty when unknown.
 	Process string
-	// Running are the fingerprints that ran on it.
+	// Running lists the fingerprints of the requests running on it.
 	Running []uint64
 }
 
-// Tracker counts the crashes of one service. It is not safe for concurrent use.
+// Tracker counts crashes per request fingerprint for one service. It is not safe for concurrent use.
 type Tracker struct {
 	cfg     Config
 	entries map[uint64]*list.Element
-	// byCrash holds entries, the latest crash at the front.
-	byCrash *list.List
-	// last is the last crash of each upstream.
-	last map[string]lastCrash
+	// byLastCrash holds the entries, the most recent crash at the front.
+	byLastCrash *list.List
+	// lastCrashes is the most recent crash of each upstream.
+	lastCrashes map[string]reportedCrash
 }
 
 type entry struct {
-	fingerprint uint64
-	crashes     int
-	crashed     time.Time
-	until       time.Time
+	fingerprint      uint64
+	crashes          int
+	lastCrash        time.Time
+	quarantinedUntil time.Time
 }
 
-type lastCrash struct {
+type reportedCrash struct {
 	process string
 	at      time.Time
 }
 
-// New returns an empty ledger.
+// New returns a tracker without crashes.
 func New(cfg Config) *Tracker {
 	return &Tracker{
-		cfg:     cfg,
-		entries: make(map[uint64]*list.Element),
-		byCrash: list.New(),
-		last:    make(map[string]lastCrash),
+		cfg:         cfg,
+		entries:     make(map[uint64]*list.Element),
+		byLastCrash: list.New(),
+		lastCrashes: make(map[string]reportedCrash),
 	}
 }
 
-// RecordCrash charges a crash to what ran on the upstream and returns the fingerprints
-// that it puts into quarantine. A crash that was reported already changes nothing.
-func (l *Tracker) RecordCrash(now time.Time, c Crash) []uint64 {
-	if l.reported(now, c) {
+// RecordCrash counts a crash for the fingerprints it is attributed to and returns
+// those that it quarantines. Duplicate reports of a crash are ignored.
+func (t *Tracker) RecordCrash(now time.Time, c Crash) []uint64 {
+	if t.isDuplicate(now, c) {
 		return nil
 	}
-	l.expire(now)
+	t.removeExpired(now)
 	running := slices.Compact(slices.Sorted(slices.Values(c.Running)))
-	suspects := slices.DeleteFunc(slices.Clone(running), func(f uint64) bool { return l.lookup(f) == nil })
+	suspects := slices.DeleteFunc(slices.Clone(running), func(f uint64) bool { return t.lookup(f) == nil })
 	if len(suspects) == 1 {
-		// The suspect explains the crash; the others only ran beside it.
+		// Attribute the crash to the only suspect, not to the other requests.
 		running = suspects
 	}
 	var quarantined []uint64
 	for _, f := range running {
-		if l.charge(now, f, len(suspects) > 1) {
+		if t.countCrash(now, f, len(suspects) > 1) {
 			quarantined = append(quarantined, f)
 		}
 	}
-	l.trim()
+	t.evictOverflow()
 	return quarantined
 }
 
-// reported notes the crash and reports whether it is known. Each of the callers
-// whose stream broke reports it; counting each report would quarantine all of them
-// at the first crash.
-func (l *Tracker) reported(now time.Time, c Crash) bool {
-	last, ok := l.last[c.Upstream]
-	known := ok && now.Sub(last.at) < l.cfg.Fold
+// isDuplicate reports whether the crash was already reported, and records it if not.
+// Every caller whose stream broke reports the crash; counting each report would
+// quarantine all their prompts at the first crash.
+func (t *Tracker) isDuplicate(now time.Time, c Crash) bool {
+	last, ok := t.lastCrashes[c.Upstream]
+	duplicate := ok && now.Sub(last.at) < t.cfg.DeduplicationWindow
 	if ok && c.Process != "" && last.process != "" {
-		known = c.Process == last.process
+		duplicate = c.Process == last.process
 	}
-	if !known {
-		l.last[c.Upstream] = lastCrash{process: c.Process, at: now}
+	if !duplicate {
+		t.lastCrashes[c.Upstream] = reportedCrash{process: c.Process, at: now}
 	}
-	return known
+	return duplicate
 }
 
-// charge adds one crash and reports whether the fingerprint is quarantined for it.
-func (l *Tracker) charge(now time.Time, fingerprint uint64, shared bool) bool {
-	element, ok := l.entries[fingerprint]
+// countCrash counts one crash for the fingerprint and reports whether it quarantines
+// the fingerprint.
+func (t *Tracker) countCrash(now time.Time, fingerprint uint64, shared bool) bool {
+	element, ok := t.entries[fingerprint]
 	if !ok {
-		element = l.byCrash.PushFront(&entry{fingerprint: fingerprint})
-		l.entries[fingerprint] = element
+		element = t.byLastCrash.PushFront(&entry{fingerprint: fingerprint})
+		t.entries[fingerprint] = element
 	}
-	l.byCrash.MoveToFront(element)
+	t.byLastCrash.MoveToFront(element)
 	e := element.Value.(*entry)
 	e.crashes++
-	e.crashed = now
-	if e.crashes < l.cfg.Threshold {
+	e.lastCrash = now
+	if e.crashes < t.cfg.Threshold {
 		return false
 	}
-	e.until = now.Add(l.duration(e.crashes, shared))
+	e.quarantinedUntil = now.Add(t.quarantineDuration(e.crashes, shared))
 	return true
 }
 
-func (l *Tracker) duration(crashes int, shared bool) time.Duration {
+func (t *Tracker) quarantineDuration(crashes int, shared bool) time.Duration {
 	if shared {
-		return l.cfg.SharedDuration
+		return t.cfg.SharedDuration
 	}
-	d := l.cfg.Duration
-	for range crashes - l.cfg.Threshold {
-		d = min(2*d, l.cfg.MaxDuration)
+	d := t.cfg.Duration
+	for range crashes - t.cfg.Threshold {
+		d = min(2*d, t.cfg.MaxDuration)
 	}
 	return d
 }
 
-// RecordSuccess clears a fingerprint that was answered whole.
-func (l *Tracker) RecordSuccess(fingerprint uint64) {
-	if element, ok := l.entries[fingerprint]; ok {
-		l.remove(element)
+// RecordSuccess clears a fingerprint whose request was answered completely.
+func (t *Tracker) RecordSuccess(fingerprint uint64) {
+	if element, ok := t.entries[fingerprint]; ok {
+		t.remove(element)
 	}
 }
 
-// BlockedUntil returns the end of a fingerprint's quarantine, or false when it may run.
-func (l *Tracker) BlockedUntil(now time.Time, fingerprint uint64) (time.Time, bool) {
-	e := l.lookup(fingerprint)
-	if e == nil || !now.Before(e.until) {
+// BlockedUntil returns the end of a fingerprint's quarantine, or false if it is not
+// quarantined.
+func (t *Tracker) BlockedUntil(now time.Time, fingerprint uint64) (time.Time, bool) {
+	e := t.lookup(fingerprint)
+	if e == nil || !now.Before(e.quarantinedUntil) {
 		return time.Time{}, false
 	}
-	return e.until, true
+	return e.quarantinedUntil, true
 }
 
-// Refusal returns the verdict for a fingerprint in quarantine, with the time until
-// its end, or nil when it may run.
-func (l *Tracker) Refusal(now time.Time, fingerprint uint64) *verdict.Verdict {
-	until, blocked := l.BlockedUntil(now, fingerprint)
+// Refusal returns the verdict for a quarantined fingerprint, with the remaining time
+// as retry delay, or nil if it is not quarantined.
+func (t *Tracker) Refusal(now time.Time, fingerprint uint64) *verdict.Verdict {
+	until, blocked := t.BlockedUntil(now, fingerprint)
 	if !blocked {
 		return nil
 	}
 	return verdict.Refuse(verdict.ReasonQuarantined, until.Sub(now),
-		"this prompt ended several upstreams and is refused until %s", until.UTC().Format(time.RFC3339))
+		"this prompt crashed several upstreams and is refused until %s", until.UTC().Format(time.RFC3339))
 }
 
-// Suspect reports whether a crash is held against the fingerprint. A suspect is to
-// run on an upstream without another suspect, and rather where little else runs.
-func (l *Tracker) Suspect(now time.Time, fingerprint uint64) bool {
-	e := l.lookup(fingerprint)
-	return e != nil && !l.expired(now, e)
+// Suspect reports whether the fingerprint has a crash that still counts. A suspect
+// should run on an upstream without other suspects, preferably a lightly loaded one.
+func (t *Tracker) Suspect(now time.Time, fingerprint uint64) bool {
+	e := t.lookup(fingerprint)
+	return e != nil && !t.isExpired(now, e)
 }
 
 // Len is the number of fingerprints kept.
-func (l *Tracker) Len() int { return len(l.entries) }
+func (t *Tracker) Len() int { return len(t.entries) }
 
-func (l *Tracker) lookup(fingerprint uint64) *entry {
-	element, ok := l.entries[fingerprint]
+func (t *Tracker) lookup(fingerprint uint64) *entry {
+	element, ok := t.entries[fingerprint]
 	if !ok {
 		return nil
 	}
 	return element.Value.(*entry)
 }
 
-func (l *Tracker) expired(now time.Time, e *entry) bool {
-	held := e.crashed
-	if e.until.After(held) {
-		held = e.until
+func (t *Tracker) isExpired(now time.Time, e *entry) bool {
+	from := e.lastCrash
+	if e.quarantinedUntil.After(from) {
+		from = e.quarantinedUntil
 	}
-	return now.Sub(held) >= l.cfg.Memory
+	return now.Sub(from) >= t.cfg.CrashRetention
 }
 
-// expire drops entries whose last crash or quarantine is long over.
-func (l *Tracker) expire(now time.Time) {
-	for element := l.byCrash.Back(); element != nil; {
+// removeExpired removes entries whose last crash and quarantine are CrashRetention
+// in the past.
+func (t *Tracker) removeExpired(now time.Time) {
+	for element := t.byLastCrash.Back(); element != nil; {
 		previous := element.Prev()
-		if e := element.Value.(*entry); l.expired(now, e) {
-			l.remove(element)
+		if e := element.Value.(*entry); t.isExpired(now, e) {
+			t.remove(element)
 		}
 		element = previous
 	}
 }
 
-func (l *Tracker) trim() {
-	for len(l.entries) > l.cfg.MaxEntries {
-		l.remove(l.byCrash.Back())
+func (t *Tracker) evictOverflow() {
+	for len(t.entries) > t.cfg.MaxEntries {
+		t.remove(t.byLastCrash.Back())
 	}
 }
 
-func (l *Tracker) remove(element *list.Element) {
-	delete(l.entries, element.Value.(*entry).fingerprint)
-	l.byCrash.Remove(element)
+func (t *Tracker) remove(element *list.Element) {
+	delete(t.entries, element.Value.(*entry).fingerprint)
+	t.byLastCrash.Remove(element)
 }
