--- a/decision/retry/retry.go
+++ b/decision/retry/retry.go
@@ -1,14 +1,13 @@
-// Package retry decides whether a failed attempt is tried again, and when.
+// Package retry decides whether and when a failed attempt is retried.
 //
-// Load pattern: an upstream dies or stalls and every request on it fails in the
-// same moment, or a pool is full and answers late, so that attempts time out
-// while their work goes on.
+// Load pattern: an upstream crashes or stalls and all its requests fail at the same
+// moment, or a pool is saturated and responds late, so that attempts time out while
+// the pool still works on them.
 //
-// Without it: each request tries again at once and as often as it may. Three
-// attempts turn a pool at 85 % of its rate into one at 255 %; the queue that a
-// stall of some seconds leaves behind then never drains, because the retries it
-// causes are more than the pool can do (TestStallEndsWithBudgetOnly measures what
-// callers receive).
+// Without it: every request retries immediately and as often as allowed. Three
+// attempts raise the load of a pool from 85 % to 255 % of its capacity. The backlog
+// of a stall of a few seconds then never drains, because the retries it causes exceed
+// the pool's capacity (TestBudgetRecoversFromStall measures the effect on callers).
 package retry
 
 import (
@@ -18,62 +17,62 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Config holds the figures of the package.
+// Config holds the parameters of retry budgets and backoff.
 type Config struct {
-	// Ratio is the number of retries that each success pays for.
-	Ratio float64
-	// Reserve is the most retries saved up.
-	Reserve float64
-	// FloorPerSecond is the number of retries a second that need no successes.
-	FloorPerSecond float64
-	// Base is the mean backoff before the second attempt.
-	Base time.Duration
+	// RetriesPerSuccess is the number of retries that each success adds to the budget.
+	RetriesPerSuccess float64
+	// Burst is the maximum number of retries in the budget.
+	Burst float64
+	// RetriesPerSecond is the number of retries added per second without successes.
+	RetriesPerSecond float64
+	// BaseBackoff is the mean backoff before the second attempt.
+	BaseBackoff time.Duration
 	// MaxBackoff bounds the mean backoff.
 	MaxBackoff time.Duration
-	// MaxAttempts counts the first attempt as well.
+	// MaxAttempts is the maximum number of attempts, including the first.
 	MaxAttempts int
-	// MinUseful is the least time that must be left after the backoff for an
-	// attempt to be worth its cost.
-	MinUseful time.Duration
+	// MinAttemptTime is the minimum time that must remain before the deadline after
+	// the backoff; an attempt with less time is not worth its cost.
+	MinAttemptTime time.Duration
 }
 
-// DefaultConfig returns the default figures.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{
-		Ratio:          0.1,
-		Reserve:        10,
-		FloorPerSecond: 0.1,
-		Base:           20 * time.Millisecond,
-		MaxBackoff:     500 * time.Millisecond,
-		MaxAttempts:    3,
-		MinUseful:      20 * time.Millisecond,
+		RetriesPerSuccess: 0.1,
+		Burst:             10,
+		RetriesPerSecond:  0.1,
+		BaseBackoff:       20 * time.Millisecond,
+		MaxBackoff:        500 * time.Millisecond,
+		MaxAttempts:       3,
+		MinAttemptTime:    20 * time.Millisecond,
 	}
 }
 
 // Attempt is one failed attempt of a request.
 type Attempt struct {
 	Service string
-	// Number of the attempt that failed, from 1.
+	// Number is the number of the failed attempt, starting at 1.
 	Number  int
 	Verdict *verdict.Verdict
-	// Repeatable requests may run more than once: prompts and idempotent calls.
-	// Others are tried again only while the verdict says NotRun.
+	// Repeatable is set for requests that may run more than once: prompts and
+	// idempotent calls. Others are retried only if the verdict says NotRun.
 	Repeatable bool
 	Now        time.Time
 	Deadline   time.Time
 }
 
-// Decision is the answer to a failed attempt.
+// Decision says whether and when to retry a failed attempt.
 type Decision struct {
 	Retry bool
-	// Backoff before the next attempt.
+	// Backoff is the delay before the next attempt.
 	Backoff time.Duration
-	// Reason that forbids a retry.
+	// Reason is why the attempt is not retried.
 	Reason verdict.Reason
 }
 
-// Policy holds the retry budgets of an instance, one a service. It is safe for
-// concurrent use. Its memory grows with the services that operators have named.
+// Policy holds the retry budgets of an instance, one per service. It is safe for
+// concurrent use. Its memory grows with the number of configured services.
 type Policy struct {
 	cfg    Config
 	random func() float64
@@ -82,28 +81,27 @@
 	budgets map[string]*budget
 }
 
-// budget is a token bucket of retries that successes and time fill.
+// budget is a token bucket of retries, refilled by successes and over time.
 type budget struct {
-	level float64
-	last  time.Time
+	available  float64
+	lastRefill time.Time
 }
 
-// New returns a policy with full reserves. random yields numbers in [0, 1); calls
-// are serialised.
+// New returns a policy with full budgets. random returns numbers in [0, 1); calls to
+// it are serialised.
 func New(cfg Config, random func() float64) *Policy {
 	return &Policy{cfg: cfg, random: random, budgets: make(map[string]*budget)}
 }
 
-// Succeeded pays a share of a retry into the service's budget.
+// Succeeded adds RetriesPerSuccess to the service's budget.
 func (p *Policy) Succeeded(service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.budget(service)
-	b.level = min(p.cfg.Reserve, b.level+p.cfg.Ratio)
+	b.available = min(p.cfg.Burst, b.available+p.cfg.RetriesPerSuccess)
 }
 
-// Next implements route.Retrier for requests that may be repeated. For others use
-// Decide.
+// Next implements route.Retrier for repeatable requests. Use Decide for others.
 func (p *Policy) Next(service string, attempt int, v *verdict.Verdict, now, deadline time.Time) (time.Duration, verdict.Reason, bool) {
 	d := p.Decide(Attempt{
 		Service: service, Number: attempt, Verdict: v, Repeatable: true, Now: now, Deadline: deadline,
@@ -111,30 +109,30 @@
 	return d.Backoff, d.Reason, d.Retry
 }
 
-// Decide answers a failed attempt and charges a retry to the service's budget.
+// Decide decides on a failed attempt. A retry is withdrawn from the service's budget.
 func (p *Policy) Decide(a Attempt) Decision {
 	if !a.Repeatable && a.Verdict.Ran != verdict.NotRun {
 		return Decision{Reason: a.Verdict.Reason}
 	}
-	if !mayHelp(a.Verdict.Reason) || a.Number >= p.cfg.MaxAttempts {
+	if !retryable(a.Verdict.Reason) || a.Number >= p.cfg.MaxAttempts {
 		return Decision{Reason: a.Verdict.Reason}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	wait := max(p.backoff(a.Number), a.Verdict.RetryAfter)
-	if a.Now.Add(wait + p.cfg.MinUseful).After(a.Deadline) {
+	if a.Now.Add(wait + p.cfg.MinAttemptTime).After(a.Deadline) {
 		return Decision{Reason: verdict.ReasonDeadlineUnmeetable}
 	}
-	if !p.charge(a.Service, a.Now) {
+	if !p.withdraw(a.Service, a.Now) {
 		return Decision{Reason: verdict.ReasonRetryBudget}
 	}
 	return Decision{Retry: true, Backoff: wait}
 }
 
-// mayHelp reports whether another upstream, scheduler or grant can do what this
-// one could not. A full pool is not among the reasons: its queue has already
-// refused, and asking again only lengthens it.
-func mayHelp(r verdict.Reason) bool {
+// retryable reports whether another upstream, scheduler or grant may succeed after a
+// failure for this reason. A full pool is not retryable: its queue has already refused
+// the request, and retries would only lengthen it.
+func retryable(r verdict.Reason) bool {
 	switch r {
 	case verdict.ReasonUpstreamUnreachable, verdict.ReasonUpstreamCrashed,
 		verdict.ReasonUpstreamRefused, verdict.ReasonTransferExpired,
@@ -146,35 +144,36 @@
 	}
 }
 
-// backoff doubles with each attempt; half of it is random, so that requests which
-// failed together do not come back together.
+// backoff returns the exponential backoff after an attempt, between half and one and a
+// half times its mean. The jitter keeps requests that failed together from being
+// retried together.
 func (p *Policy) backoff(attempt int) time.Duration {
-	mean := p.cfg.Base
+	mean := p.cfg.BaseBackoff
 	for range attempt - 1 {
 		mean = min(2*mean, p.cfg.MaxBackoff)
 	}
 	return time.Duration((0.5 + p.random()) * float64(mean))
 }
 
-func (p *Policy) charge(service string, now time.Time) bool {
+func (p *Policy) withdraw(service string, now time.Time) bool {
 	b := p.budget(service)
-	if !b.last.IsZero() && now.After(b.last) {
-		b.level = min(p.cfg.Reserve, b.level+now.Sub(b.last).Seconds()*p.cfg.FloorPerSecond)
+	if !b.lastRefill.IsZero() && now.After(b.lastRefill) {
+		b.available = min(p.cfg.Burst, b.available+now.Sub(b.lastRefill).Seconds()*p.cfg.RetriesPerSecond)
 	}
-	if b.last.IsZero() || now.After(b.last) {
-		b.last = now
+	if b.lastRefill.IsZero() || now.After(b.lastRefill) {
+		b.lastRefill = now
 	}
-	if b.level < 1 {
+	if b.available < 1 {
 		return false
 	}
-	b.level--
+	b.available--
 	return true
 }
 
 func (p *Policy) budget(service string) *budget {
 	b, ok := p.budgets[service]
 	if !ok {
-		b = &budget{level: p.cfg.Reserve}
+		b = &budget{available: p.cfg.Burst}
 		p.budgets[service] = b
 	}
 	return b
--- a/decision/retry/retry_test.go
+++ b/decision/retry/retry_test.go
@@ -13,25 +13,25 @@
 
 var start = time.Unix(1_764_700_000, 0)
 
-func crashed(ran verdict.Ran) *verdict.Verdict {
-	return verdict.Fail(ran, verdict.ReasonUpstreamCrashed, nil, "gone")
+func crashVerdict(ran verdict.Ran) *verdict.Verdict {
+	return verdict.Fail(ran, verdict.ReasonUpstreamCrashed, nil, "upstream crashed")
 }
 
-func TestRules(t *testing.T) {
-	far := start.Add(time.Second)
+func TestDecide(t *testing.T) {
+	deadline := start.Add(time.Second)
 	cases := []struct {
 		name   string
 		a      Attempt
 		retry  bool
 		reason verdict.Reason
 	}{
-		{"prompt after a crash", Attempt{Number: 1, Verdict: crashed(verdict.MayHaveRun), Repeatable: true, Deadline: far}, true, ""},
-		{"booking that may have run", Attempt{Number: 1, Verdict: crashed(verdict.MayHaveRun), Deadline: far}, false, verdict.ReasonUpstreamCrashed},
-		{"booking that did not run", Attempt{Number: 1, Verdict: crashed(verdict.NotRun), Deadline: far}, true, ""},
-		{"full pool", Attempt{Number: 1, Verdict: verdict.Refuse(verdict.ReasonQueueTimeout, 0, ""), Repeatable: true, Deadline: far}, false, verdict.ReasonQueueTimeout},
-		{"third attempt", Attempt{Number: 3, Verdict: crashed(verdict.NotRun), Repeatable: true, Deadline: far}, false, verdict.ReasonUpstreamCrashed},
-		{"too late", Attempt{Number: 1, Verdict: crashed(verdict.NotRun), Repeatable: true, Deadline: start.Add(30 * time.Millisecond)}, false, verdict.ReasonDeadlineUnmeetable},
-		{"told to come back later", Attempt{Number: 1, Verdict: verdict.Refuse(verdict.ReasonUpstreamRefused, 2*time.Second, ""), Repeatable: true, Deadline: far}, false, verdict.ReasonDeadlineUnmeetable},
+		{"prompt after a crash", Attempt{Number: 1, Verdict: crashVerdict(verdict.MayHaveRun), Repeatable: true, Deadline: deadline}, true, ""},
+		{"call that may have run", Attempt{Number: 1, Verdict: crashVerdict(verdict.MayHaveRun), Deadline: deadline}, false, verdict.ReasonUpstreamCrashed},
+		{"call that did not run", Attempt{Number: 1, Verdict: crashVerdict(verdict.NotRun), Deadline: deadline}, true, ""},
+		{"full pool", Attempt{Number: 1, Verdict: verdict.Refuse(verdict.ReasonQueueTimeout, 0, ""), Repeatable: true, Deadline: deadline}, false, verdict.ReasonQueueTimeout},
+		{"third attempt", Attempt{Number: 3, Verdict: crashVerdict(verdict.NotRun), Repeatable: true, Deadline: deadline}, false, verdict.ReasonUpstreamCrashed},
+		{"deadline too close", Attempt{Number: 1, Verdict: crashVerdict(verdict.NotRun), Repeatable: true, Deadline: start.Add(30 * time.Millisecond)}, false, verdict.ReasonDeadlineUnmeetable},
+		{"retry delay beyond the deadline", Attempt{Number: 1, Verdict: verdict.Refuse(verdict.ReasonUpstreamRefused, 2*time.Second, ""), Repeatable: true, Deadline: deadline}, false, verdict.ReasonDeadlineUnmeetable},
 	}
 	for _, c := range cases {
 		c.a.Now = start
@@ -41,34 +41,34 @@
 	}
 }
 
-// event of a budget's history: a success, or a retry that was asked for.
+// event is a success or a requested retry in the history of a budget.
 type event struct {
 	success bool
 	at      time.Time
 }
 
-// naiveGranted replays the whole history and reports whether its last event, a
-// retry, is within the budget.
-func naiveGranted(cfg Config, history []event) bool {
-	level, granted := cfg.Reserve, false
+// referenceGranted replays the whole history and reports whether its last event, a
+// requested retry, is within the budget.
+func referenceGranted(cfg Config, history []event) bool {
+	available, granted := cfg.Burst, false
 	var last time.Time
 	for _, e := range history {
 		if e.success {
-			level = min(cfg.Reserve, level+cfg.Ratio)
+			available = min(cfg.Burst, available+cfg.RetriesPerSuccess)
 			continue
 		}
 		if !last.IsZero() {
-			level = min(cfg.Reserve, level+e.at.Sub(last).Seconds()*cfg.FloorPerSecond)
+			available = min(cfg.Burst, available+e.at.Sub(last).Seconds()*cfg.RetriesPerSecond)
 		}
 		last = e.at
-		if granted = level >= 1; granted {
-			level--
+		if granted = available >= 1; granted {
+			available--
 		}
 	}
 	return granted
 }
 
-func TestBudgetAgainstNaive(t *testing.T) {
+func TestBudgetMatchesReference(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		p := New(DefaultConfig(), rng.Float64)
@@ -81,17 +81,18 @@
 				p.Succeeded("pisar")
 				continue
 			}
-			_, _, ok := p.Next("pisar", 1, crashed(verdict.NotRun), now, now.Add(time.Minute))
-			assert.Equal(t, ok, naiveGranted(DefaultConfig(), history))
+			_, _, ok := p.Next("pisar", 1, crashVerdict(verdict.NotRun), now, now.Add(time.Minute))
+			assert.Equal(t, ok, referenceGranted(DefaultConfig(), history))
 		}
 	}
 }
 
-// storm is a pool that works off attempts in order, one in 10 ms, and stalls for
-// five seconds, under 85 requests a second. An attempt that waits 500 ms is given
-// up by its sender, yet the pool still works on it. It returns the share of
-// requests answered within their deadline of 1.7 s in the last minute of three.
-func storm(next func(attempt int, now, deadline time.Time) (time.Duration, bool), succeeded func()) float64 {
+// simulateStall simulates three minutes of 85 requests per second to a pool that
+// processes attempts in order, one per 10 ms, and stalls once for five seconds. An
+// attempt times out at its sender after 500 ms, but the pool still processes it. It
+// returns the share of the requests of the last minute that were answered within
+// their deadline of 1.7 s.
+func simulateStall(next func(attempt int, now, deadline time.Time) (time.Duration, bool), succeeded func()) float64 {
 	const tick = 10 * time.Millisecond
 	type attempt struct {
 		number   int
@@ -101,7 +102,7 @@
 	}
 	var queue, sent []*attempt
 	later := make(map[int][]*attempt)
-	asked, answered := 0.0, 0.0
+	requests, answered := 0.0, 0.0
 	for i := range 18_000 {
 		now := start.Add(time.Duration(i) * tick)
 		if i*85/100 != (i+1)*85/100 {
@@ -111,7 +112,7 @@
 			a.sent = now
 			queue, sent = append(queue, a), append(sent, a)
 			if a.number == 1 && i >= 12_000 {
-				asked++
+				requests++
 			}
 		}
 		if stalled := i >= 1000 && i < 1500; !stalled && len(queue) > 0 {
@@ -137,36 +138,36 @@
 			}
 		}
 	}
-	return answered / asked
+	return answered / requests
 }
 
-// A pool stalls for five seconds at 85 % load. When each of its requests is sent
-// up to three times, the retries alone keep it overloaded: minutes after the stall
-// callers still get nothing. With a budget the pool recovers.
-func TestStallEndsWithBudgetOnly(t *testing.T) {
-	naive := storm(func(number int, now, deadline time.Time) (time.Duration, bool) {
+// A pool stalls for five seconds at 85 % load. With up to three attempts per request
+// and no budget, the retries alone keep it overloaded, and minutes after the stall
+// requests still time out. With a budget the pool recovers.
+func TestBudgetRecoversFromStall(t *testing.T) {
+	unlimited := simulateStall(func(number int, now, deadline time.Time) (time.Duration, bool) {
 		return 0, number < 3 && now.Before(deadline)
 	}, func() {})
 	p := New(DefaultConfig(), rand.New(rand.NewPCG(1, 1)).Float64)
-	timeout := verdict.Fail(verdict.MayHaveRun, verdict.ReasonTimeout, nil, "late")
-	ours := storm(func(number int, now, deadline time.Time) (time.Duration, bool) {
+	timeout := verdict.Fail(verdict.MayHaveRun, verdict.ReasonTimeout, nil, "timed out")
+	withBudget := simulateStall(func(number int, now, deadline time.Time) (time.Duration, bool) {
 		wait, _, ok := p.Next("pisar", number, timeout, now, deadline)
 		return wait, ok
 	}, func() { p.Succeeded("pisar") })
-	t.Logf("answered in time two minutes after the stall: naive %.3f, budget %.3f", naive, ours)
-	assert.Assert(t, naive < 0.1, "%v", naive)
-	assert.Assert(t, ours > 0.99, "%v", ours)
+	t.Logf("answered in time two minutes after the stall: without budget %.3f, with budget %.3f", unlimited, withBudget)
+	assert.Assert(t, unlimited < 0.1, "%v", unlimited)
+	assert.Assert(t, withBudget > 0.99, "%v", withBudget)
 }
 
-// Thirty requests lose their upstream in the same instant. Were they all to come
-// back together, the next upstream would get them as one burst.
-func TestBackoffsAreSpread(t *testing.T) {
+// Thirty requests lose their upstream at the same moment. If they were all retried at
+// the same time, the next upstream would get them as one burst.
+func TestBackoffJitter(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.Reserve = 30
+	cfg.Burst = 30
 	p := New(cfg, rand.New(rand.NewPCG(1, 1)).Float64)
 	perMillisecond := make(map[time.Duration]int)
 	for range 30 {
-		wait, _, ok := p.Next("pisar", 1, crashed(verdict.MayHaveRun), start, start.Add(time.Second))
+		wait, _, ok := p.Next("pisar", 1, crashVerdict(verdict.MayHaveRun), start, start.Add(time.Second))
 		assert.Assert(t, ok && wait >= 10*time.Millisecond && wait < 30*time.Millisecond)
 		perMillisecond[wait.Truncate(time.Millisecond)]++
 	}
@@ -177,7 +178,7 @@
 
 func BenchmarkDecide(b *testing.B) {
 	p := New(DefaultConfig(), rand.New(rand.NewPCG(1, 1)).Float64)
-	v := crashed(verdict.NotRun)
+	v := crashVerdict(verdict.NotRun)
 	for b.Loop() {
 		p.Succeeded("pisar")
 		p.Next("pisar", 1, v, start, start.Add(time.Second))
