--- a/decision/queue/flow.go
+++ b/decision/queue/flow.go
@@ -2,53 +2,55 @@
 
 import "container/list"
 
-// flow is a node of the tree root -> class -> organisation -> key. Among the
-// children of a node, the one with the least start tag is served next; serving
-// advances its tag by cost/weight. That is start-time fair queueing (Goyal, Vin,
-// Cheng, 1996) at each level.
+// flow is a node of the tree root -> class -> organisation -> key. Each level uses
+// start-time fair queueing (Goyal, Vin, Cheng, 1996): among the children of a node,
+// the one with the lowest start tag is served next, which advances its tag by
+// cost/weight.
 type flow[T any] struct {
 	name   string
 	parent *flow[T]
 	weight float64
-	// tag is the start tag of the next item in the parent's virtual time.
-	tag float64
-	// order breaks ties between tags: first activated, first served.
-	order uint64
-	// activeAt and idleAt are the indexes in the parent's heaps, -1 for none.
-	activeAt int
-	idleAt   int
-	// count and cost of all items queued below.
+	// startTag is the start tag of the next item in the parent's virtual time.
+	startTag float64
+	// sequence breaks ties between equal tags: first activated, first served.
+	sequence uint64
+	// activeIndex and idleIndex are the indexes in the parent's heaps, -1 if absent.
+	activeIndex int
+	idleIndex   int
+	// count and cost are totals over all items queued below this node.
 	count int
 	cost  float64
 
-	// Inner nodes only.
-	children map[string]*flow[T]
-	virtual  float64
-	active   indexedHeap[*flow[T]]
-	idle     indexedHeap[*flow[T]]
+	// Inner nodes only. active holds the children that can be served, idle those
+	// without items.
+	children    map[string]*flow[T]
+	virtualTime float64
+	active      indexedHeap[*flow[T]]
+	idle        indexedHeap[*flow[T]]
 
-	// Leaves only. A leaf with a place in the list of suspended ones is passed over.
+	// Leaves only. suspended is the leaf's element in the list of suspended leaves; a
+	// suspended leaf is skipped.
 	items     list.List
 	suspended *list.Element
 }
 
 func newFlow[T any](name string, parent *flow[T], weight float64) *flow[T] {
-	f := &flow[T]{name: name, parent: parent, weight: weight, activeAt: -1, idleAt: -1}
-	f.active = indexedHeap[*flow[T]]{less: earlier[T], moved: func(c *flow[T], i int) { c.activeAt = i }}
-	f.idle = indexedHeap[*flow[T]]{less: earlier[T], moved: func(c *flow[T], i int) { c.idleAt = i }}
+	f := &flow[T]{name: name, parent: parent, weight: weight, activeIndex: -1, idleIndex: -1}
+	f.active = indexedHeap[*flow[T]]{less: startsEarlier[T], onMove: func(c *flow[T], i int) { c.activeIndex = i }}
+	f.idle = indexedHeap[*flow[T]]{less: startsEarlier[T], onMove: func(c *flow[T], i int) { c.idleIndex = i }}
 	return f
 }
 
-func earlier[T any](a, b *flow[T]) bool {
-	if a.tag != b.tag {
-		return a.tag < b.tag
+func startsEarlier[T any](a, b *flow[T]) bool {
+	if a.startTag != b.startTag {
+		return a.startTag < b.startTag
 	}
-	return a.order < b.order
+	return a.sequence < b.sequence
 }
 
-// child returns the named child and makes it if needed. A new child starts at
-// the present virtual time: without that, an organisation that was away would
-// come back with a claim on everything served meanwhile and shut out the others.
+// child returns the named child, creating it if needed. A new child starts at the
+// current virtual time. Otherwise an organisation returning after an idle period could
+// claim its share of everything served meanwhile and starve the others.
 func (f *flow[T]) child(name string) *flow[T] {
 	if c := f.children[name]; c != nil {
 		return c
@@ -57,35 +59,35 @@
 		f.children = make(map[string]*flow[T])
 	}
 	c := newFlow(name, f, 1)
-	c.tag = f.virtual
+	c.startTag = f.virtualTime
 	f.children[name] = c
 	f.idle.push(c)
 	return c
 }
 
-// add counts an item on the way from a leaf to the root and activates flows that
-// were empty.
-func (f *flow[T]) add(cost float64, order uint64) {
+// addItem adds an item to the totals of all flows from a leaf to the root and activates
+// those that were empty.
+func (f *flow[T]) addItem(cost float64, sequence uint64) {
 	for n := f; n != nil; n = n.parent {
 		if n.count == 0 {
-			n.order = order
+			n.sequence = sequence
 		}
 		n.count++
 		n.cost += cost
-		n.refresh()
+		n.updateHeaps()
 	}
 }
 
-// drop is the reverse of add.
-func (f *flow[T]) drop(cost float64) {
+// removeItem reverses addItem.
+func (f *flow[T]) removeItem(cost float64) {
 	for n := f; n != nil; n = n.parent {
 		n.count--
 		n.cost -= cost
 		if n.count == 0 {
-			// Sums of many costs leave a rounding rest.
+			// Discard the rounding error accumulated over many additions.
 			n.cost = 0
 		}
-		n.refresh()
+		n.updateHeaps()
 	}
 }
 
@@ -94,47 +96,48 @@
 	return f.active.len() > 0 || (f.items.Len() > 0 && f.suspended == nil)
 }
 
-// refresh moves the flow to the heap of its parent where it belongs.
-func (f *flow[T]) refresh() {
+// updateHeaps adds the flow to its parent's heaps, or removes it from them, according
+// to its state.
+func (f *flow[T]) updateHeaps() {
 	if f.parent == nil {
 		return
 	}
-	if f.ready() && f.activeAt < 0 {
-		f.tag = max(f.tag, f.parent.virtual)
+	if f.ready() && f.activeIndex < 0 {
+		f.startTag = max(f.startTag, f.parent.virtualTime)
 		f.parent.active.push(f)
 	}
-	if !f.ready() && f.activeAt >= 0 {
-		f.parent.active.remove(f.activeAt)
+	if !f.ready() && f.activeIndex >= 0 {
+		f.parent.active.remove(f.activeIndex)
 	}
-	if f.count > 0 && f.idleAt >= 0 {
-		f.parent.idle.remove(f.idleAt)
+	if f.count > 0 && f.idleIndex >= 0 {
+		f.parent.idle.remove(f.idleIndex)
 	}
-	if f.count == 0 && f.idleAt < 0 {
+	if f.count == 0 && f.idleIndex < 0 {
 		f.parent.idle.push(f)
 	}
 }
 
-// charge advances the tags from a leaf to the root by cost, which is negative
-// for a refund.
+// charge advances the start tags from a leaf to the root by cost, which is negative for
+// a refund.
 func (f *flow[T]) charge(cost float64) {
 	for n := f; n.parent != nil; n = n.parent {
-		n.tag += cost / n.weight
-		n.reorder()
+		n.startTag += cost / n.weight
+		n.fixHeaps()
 	}
 }
 
-// reorder restores the order of the parent's heap after the tag changed.
-func (f *flow[T]) reorder() {
-	if f.activeAt >= 0 {
-		f.parent.active.fix(f.activeAt)
+// fixHeaps restores the order of the parent's heaps after the start tag changed.
+func (f *flow[T]) fixHeaps() {
+	if f.activeIndex >= 0 {
+		f.parent.active.fix(f.activeIndex)
 	}
-	if f.idleAt >= 0 {
-		f.parent.idle.fix(f.idleAt)
+	if f.idleIndex >= 0 {
+		f.parent.idle.fix(f.idleIndex)
 	}
 }
 
-// forgetChildren drops all children of a flow without items.
-func (f *flow[T]) forgetChildren() {
+// removeChildren removes all children of a flow without items.
+func (f *flow[T]) removeChildren() {
 	if len(f.children) == 0 {
 		return
 	}
@@ -142,8 +145,9 @@
 	f.idle.elems = nil
 }
 
-// next walks to the leaf that is served next and advances virtual times.
-func (f *flow[T]) next() *flow[T] {
+// nextLeaf returns the leaf to serve next and advances the virtual time of each flow
+// above it.
+func (f *flow[T]) nextLeaf() *flow[T] {
 	n := f
 	for n.active.len() > 0 {
 		n = n.advanceTo(n.active.min())
@@ -151,25 +155,26 @@
 	return n
 }
 
-// advanceTo moves the virtual time to the start tag of the child served next.
+// advanceTo advances the virtual time to the start tag of the child to serve next, and
+// returns the child.
 func (f *flow[T]) advanceTo(c *flow[T]) *flow[T] {
-	f.virtual = max(f.virtual, c.tag)
-	f.forgetIdle()
+	f.virtualTime = max(f.virtualTime, c.startTag)
+	f.removeIdle()
 	return c
 }
 
-// forgetIdle drops empty children that owe nothing, so that memory follows the
-// organisations in use and not all that ever came.
-func (f *flow[T]) forgetIdle() {
+// removeIdle removes empty children whose start tag the virtual time has reached, so
+// that memory grows with the active organisations only.
+func (f *flow[T]) removeIdle() {
 	if f.parent == nil {
 		return
 	}
-	for f.idle.len() > 0 && f.idle.min().tag <= f.virtual {
+	for f.idle.len() > 0 && f.idle.min().startTag <= f.virtualTime {
 		c := f.idle.min()
-		f.idle.remove(c.idleAt)
+		f.idle.remove(c.idleIndex)
 		delete(f.children, c.name)
 	}
 }
 
-// lead is how far the flow has been served beyond its siblings.
-func (f *flow[T]) lead() float64 { return max(0, f.tag-f.parent.virtual) }
+// lead is how far, in virtual time, the flow has been served ahead of its siblings.
+func (f *flow[T]) lead() float64 { return max(0, f.startTag-f.parent.virtualTime) }
--- a/decision/queue/heap.go
+++ b/decision/queue/heap.go
@@ -1,12 +1,12 @@
 package queue
 
-// indexedHeap is a binary min-heap whose elements know their place, so that one
-// in the middle can be moved or taken out in logarithmic time.
+// indexedHeap is a binary min-heap that reports the index of each element, so that any
+// element can be moved or removed in logarithmic time.
 type indexedHeap[E any] struct {
 	elems []E
 	less  func(a, b E) bool
-	// moved is told the new index of an element, -1 when it left the heap.
-	moved func(e E, index int)
+	// onMove is called with the new index of an element, -1 after its removal.
+	onMove func(e E, index int)
 }
 
 func (h *indexedHeap[E]) len() int { return len(h.elems) }
@@ -15,11 +15,11 @@
 
 func (h *indexedHeap[E]) push(e E) {
 	h.elems = append(h.elems, e)
-	h.moved(e, len(h.elems)-1)
+	h.onMove(e, len(h.elems)-1)
 	h.up(len(h.elems) - 1)
 }
 
-// fix restores the order after the element at index changed.
+// fix restores the heap order after the element at index changed.
 func (h *indexedHeap[E]) fix(index int) {
 	h.down(index)
 	h.up(index)
@@ -28,11 +28,11 @@
 func (h *indexedHeap[E]) remove(index int) {
 	last := len(h.elems) - 1
 	h.swap(index, last)
-	gone := h.elems[last]
+	removed := h.elems[last]
 	var zero E
 	h.elems[last] = zero
 	h.elems = h.elems[:last]
-	h.moved(gone, -1)
+	h.onMove(removed, -1)
 	if index < last {
 		h.fix(index)
 	}
@@ -71,6 +71,6 @@
 		return
 	}
 	h.elems[i], h.elems[j] = h.elems[j], h.elems[i]
-	h.moved(h.elems[i], i)
-	h.moved(h.elems[j], j)
+	h.onMove(h.elems[i], i)
+	h.onMove(h.elems[j], j)
 }
--- a/decision/queue/query.go
+++ b/decision/queue/query.go
@@ -6,17 +6,17 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// Len is the number of items of a class.
+// Len is the number of queued items of a class.
 func (q *Queue[T]) Len(class request.Class) int { return q.class(class).count }
 
-// Ready reports whether Pop would yield an item.
+// Ready reports whether Pop would return an item.
 func (q *Queue[T]) Ready() bool { return q.root.active.len() > 0 }
 
-// Cost is the engine time in seconds of all items of a class.
+// Cost is the estimated engine time, in seconds, of all queued items of a class.
 func (q *Queue[T]) Cost(class request.Class) float64 { return q.class(class).cost }
 
-// OrganisationCost is the engine time in seconds of an organisation's items of a
-// class.
+// OrganisationCost is the estimated engine time, in seconds, of an organisation's
+// queued items of a class.
 func (q *Queue[T]) OrganisationCost(class request.Class, organisation string) float64 {
 	if org := q.class(class).children[organisation]; org != nil {
 		return org.cost
@@ -24,7 +24,7 @@
 	return 0
 }
 
-// NextExpiry is the earliest latest start; zero if the queue is empty.
+// NextExpiry is the earliest LatestStart of all items, or zero if the queue is empty.
 func (q *Queue[T]) NextExpiry() time.Time {
 	if q.expiry.len() == 0 {
 		return time.Time{}
@@ -32,18 +32,18 @@
 	return q.expiry.min().LatestStart
 }
 
-// WorkAhead estimates the engine time in seconds that is served before a new item of
-// the given cost, within its class. Its own key's items go first; the other keys
-// of its organisation, and then the other organisations, are served at most as
-// much as the item's own side, and never more than they have queued. It looks at
-// no other item and no other organisation.
+// WorkAhead estimates the engine time, in seconds, that is served before a new item of
+// the given cost within its class. The queued items of its own key are served first.
+// The other keys of its organisation, and the other organisations, get at most as much
+// as the item's own key or organisation, and at most what they have queued. The
+// estimate does not iterate over other items or organisations.
 func (q *Queue[T]) WorkAhead(class request.Class, organisation, key string, cost float64) float64 {
 	c := q.class(class)
 	org := c.children[organisation]
 	if org == nil {
 		return min(c.cost, float64(c.active.len())*cost)
 	}
-	own := org.ahead(key, cost)
+	own := org.workAhead(key, cost)
 	others := float64(c.active.len())
 	if org.count > 0 {
 		others--
@@ -51,7 +51,8 @@
 	return own + min(c.cost-org.cost, others*(org.lead()+own+cost))
 }
 
-func (f *flow[T]) ahead(key string, cost float64) float64 {
+// workAhead is WorkAhead among the keys of one organisation.
+func (f *flow[T]) workAhead(key string, cost float64) float64 {
 	k := f.children[key]
 	if k == nil {
 		return min(f.cost, float64(f.active.len())*cost)
--- a/decision/queue/queue.go
+++ b/decision/queue/queue.go
@@ -7,17 +7,18 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// DeferrableShare is the part of the engine time that deferrable requests get
-// while interactive ones wait too. A tenth keeps drafts moving (a draft of 20
-// engine-seconds waits at most 200 engine-seconds of lookups) and costs the
-// interactive ones little; docs/LOAD.md has the sweep.
+// DeferrableShare is the fraction of the engine time that deferrable requests get while
+// interactive ones wait too. At a tenth, deferrable requests still progress (one of 20
+// engine-seconds waits for at most 200 engine-seconds of interactive ones) and
+// interactive ones are delayed little; docs/LOAD.md has the parameter sweep.
 const DeferrableShare = 0.1
 
-// PreferenceLead is how many engine-seconds an organisation with interactive
-// requests may be served beyond one whose deferrable requests wait. It lets a
-// burst of lookups go first (three seconds of ten engines), and keeps an
-// organisation that sends several times its rate as interactive from taking the
-// share of others whose requests are deferrable; docs/LOAD.md has the sweep.
+// PreferenceLead is the number of engine-seconds by which the service of an
+// organisation with interactive requests may exceed that of one whose deferrable
+// requests wait. It lets a burst of interactive requests go first (three seconds of ten
+// engines), but prevents an organisation that sends interactive requests at several
+// times its rate from taking the share of others whose requests are deferrable;
+// docs/LOAD.md has the parameter sweep.
 const PreferenceLead = 30.0
 
 // Item is one waiting request.
@@ -27,49 +28,49 @@
 	Organisation string
 	Key          string
 	Class        request.Class
-	// Cost is the estimated engine time in seconds, above zero.
+	// Cost is the estimated engine time in seconds, greater than zero.
 	Cost float64
-	// LatestStart is when the item can no longer meet its deadline.
+	// LatestStart is the latest time at which a start still meets the deadline.
 	LatestStart time.Time
 	Value       T
 
-	leaf     *flow[T]
-	elem     *list.Element
-	expiryAt int
-	order    uint64
+	leaf        *flow[T]
+	elem        *list.Element
+	expiryIndex int
+	sequence    uint64
 }
 
 // Queue holds waiting items. It is not safe for concurrent use.
 type Queue[T any] struct {
-	lead        float64
-	root        *flow[T]
-	interactive *flow[T]
-	deferrable  *flow[T]
-	byID        map[string]*Item[T]
-	expiry      indexedHeap[*Item[T]]
-	orders      uint64
-	suspended   list.List
+	preferenceLead float64
+	root           *flow[T]
+	interactive    *flow[T]
+	deferrable     *flow[T]
+	byID           map[string]*Item[T]
+	expiry         indexedHeap[*Item[T]]
+	lastSequence   uint64
+	suspended      list.List
 }
 
-// New returns an empty queue; see DeferrableShare, between 0 and 1, and
-// PreferenceLead, in engine-seconds.
+// New returns an empty queue. deferrableShare is between 0 and 1, preferenceLead is in
+// engine-seconds; DeferrableShare and PreferenceLead are their defaults.
 func New[T any](deferrableShare, preferenceLead float64) *Queue[T] {
 	root := newFlow[T]("", nil, 1)
 	q := &Queue[T]{
-		lead:        preferenceLead,
-		root:        root,
-		interactive: newFlow("interactive", root, 1-deferrableShare),
-		deferrable:  newFlow("deferrable", root, deferrableShare),
-		byID:        make(map[string]*Item[T]),
+		preferenceLead: preferenceLead,
+		root:           root,
+		interactive:    newFlow("interactive", root, 1-deferrableShare),
+		deferrable:     newFlow("deferrable", root, deferrableShare),
+		byID:           make(map[string]*Item[T]),
 	}
 	q.expiry = indexedHeap[*Item[T]]{
 		less: func(a, b *Item[T]) bool {
 			if !a.LatestStart.Equal(b.LatestStart) {
 				return a.LatestStart.Before(b.LatestStart)
 			}
-			return a.order < b.order
+			return a.sequence < b.sequence
 		},
-		moved: func(it *Item[T], i int) { it.expiryAt = i },
+		onMove: func(it *Item[T], i int) { it.expiryIndex = i },
 	}
 	return q
 }
@@ -81,117 +82,120 @@
 	return q.interactive
 }
 
-// Push adds an item behind the others of its key. An item with the same ID is
-// replaced.
+// Push appends an item to the items of its key. It replaces an item with the same ID.
 func (q *Queue[T]) Push(it *Item[T]) {
 	q.Remove(it.ID)
-	q.orders++
-	it.order = q.orders
+	q.lastSequence++
+	it.sequence = q.lastSequence
 	it.leaf = q.class(it.Class).child(it.Organisation).child(it.Key)
 	it.elem = it.leaf.items.PushBack(it)
-	it.leaf.add(it.Cost, it.order)
+	it.leaf.addItem(it.Cost, it.sequence)
 	q.byID[it.ID] = it
 	q.expiry.push(it)
 }
 
-// Pop takes the item that is served next and charges its cost; nil if the queue
-// is empty or all its keys are suspended.
+// Pop removes the item to serve next, charges its cost and returns it, or nil if the
+// queue is empty or all its keys are suspended.
 func (q *Queue[T]) Pop() *Item[T] {
 	if !q.Ready() {
 		return nil
 	}
-	leaf := q.nextClass().next()
+	leaf := q.nextRoot().nextLeaf()
 	it := leaf.items.Front().Value.(*Item[T])
 	leaf.charge(it.Cost)
-	q.chargeOther(it.Class, it.Organisation, it.Cost)
-	q.take(it)
+	q.chargeDeferrable(it.Class, it.Organisation, it.Cost)
+	q.detach(it)
 	return it
 }
 
-// nextClass is the root, which picks the class by its share, or the deferrable
-// class when the next interactive request's organisation is too far ahead.
-func (q *Queue[T]) nextClass() *flow[T] {
+// nextRoot returns the flow from which the next item is selected: the root, which
+// selects the class by its share, or the deferrable class if the organisation of the
+// next interactive request exceeds the preference lead.
+func (q *Queue[T]) nextRoot() *flow[T] {
 	if q.interactive.active.len() == 0 || q.deferrable.active.len() == 0 {
 		return q.root
 	}
-	first := q.interactive.active.min()
-	account := q.deferrable.children[first.name]
-	if account == nil || account.tag-q.deferrable.active.min().tag <= q.lead {
+	interactive := q.interactive.active.min()
+	org := q.deferrable.children[interactive.name]
+	if org == nil || org.startTag-q.deferrable.active.min().startTag <= q.preferenceLead {
 		return q.root
 	}
 	return q.root.advanceTo(q.deferrable)
 }
 
-// chargeOther carries the charge of an interactive request over to its
-// organisation's place among the deferrable ones, while any of those wait. An
-// organisation's drafts then make up for what its lookups took, and equal shares
-// hold for both classes together. The reverse is not done: drafts that filled
-// idle time must not delay lookups later.
-func (q *Queue[T]) chargeOther(class request.Class, organisation string, cost float64) {
+// chargeDeferrable also charges an interactive request to its organisation in the
+// deferrable class while deferrable requests wait. Its deferrable requests then
+// compensate for its interactive ones, and equal shares hold for both classes
+// together. The reverse is not done: deferrable requests that used idle
+// capacity must not delay interactive ones later.
+func (q *Queue[T]) chargeDeferrable(class request.Class, organisation string, cost float64) {
 	if class == request.Deferrable || q.deferrable.count == 0 {
 		return
 	}
 	org := q.deferrable.child(organisation)
-	org.tag += cost
-	org.reorder()
+	org.startTag += cost
+	org.fixHeaps()
 }
 
-// PopExpired takes an item whose latest start has passed; nil if there is none.
-// It is not charged.
+// PopExpired removes and returns an item whose latest start has passed, or nil if there
+// is none. The item is not charged.
 func (q *Queue[T]) PopExpired(now time.Time) *Item[T] {
 	if q.expiry.len() == 0 || q.expiry.min().LatestStart.After(now) {
 		return nil
 	}
 	it := q.expiry.min()
-	q.take(it)
+	q.detach(it)
 	return it
 }
 
-// Remove takes out the item with an ID and reports whether there was one.
+// Remove removes the item with the given ID and reports whether it was queued.
 func (q *Queue[T]) Remove(id string) bool {
 	it := q.byID[id]
 	if it == nil {
 		return false
 	}
-	q.take(it)
+	q.detach(it)
 	return true
 }
 
-func (q *Queue[T]) take(it *Item[T]) {
+// detach removes a queued item from its flow and the indexes.
+func (q *Queue[T]) detach(it *Item[T]) {
 	leaf := it.leaf
 	if leaf.suspended != nil && leaf.items.Front() == it.elem {
 		q.resume(leaf)
 	}
 	leaf.items.Remove(it.elem)
-	leaf.drop(it.Cost)
+	leaf.removeItem(it.Cost)
 	if q.deferrable.count == 0 {
-		// What was carried over counts while deferrable requests compete; kept
-		// longer, it would shut out organisations that used idle time.
-		q.deferrable.forgetChildren()
+		// Charges of interactive requests apply only while deferrable requests
+		// compete. Kept longer, they would starve organisations that used idle
+		// capacity.
+		q.deferrable.removeChildren()
 	}
 	delete(q.byID, it.ID)
-	q.expiry.remove(it.expiryAt)
+	q.expiry.remove(it.expiryIndex)
 	it.leaf, it.elem = nil, nil
 }
 
-// Requeue puts an item that Pop gave, and that cannot be served now, back before
-// the others of its key, takes its charge back, and suspends the key until Resume
-// or until the item is taken out. Other keys are then served meanwhile: without
-// that, one large request would hold up all that come after it in the fair order.
+// Requeue returns an item from Pop that cannot be served now to the front of its key,
+// refunds its charge, and suspends the key until Resume or until the item is removed.
+// Other keys are served in the meantime, which avoids head-of-line blocking behind one
+// large request.
 func (q *Queue[T]) Requeue(it *Item[T]) {
 	it.leaf = q.class(it.Class).child(it.Organisation).child(it.Key)
 	it.leaf.charge(-it.Cost)
-	q.chargeOther(it.Class, it.Organisation, -it.Cost)
+	q.chargeDeferrable(it.Class, it.Organisation, -it.Cost)
 	it.elem = it.leaf.items.PushFront(it)
 	if it.leaf.suspended == nil {
 		it.leaf.suspended = q.suspended.PushBack(it.leaf)
 	}
-	it.leaf.add(it.Cost, it.order)
+	it.leaf.addItem(it.Cost, it.sequence)
 	q.byID[it.ID] = it
 	q.expiry.push(it)
 }
 
-// Resume ends the longest suspension and reports whether there was one.
+// Resume ends the suspension of the key suspended first and reports whether there was
+// one.
 func (q *Queue[T]) Resume() bool {
 	if q.suspended.Len() == 0 {
 		return false
@@ -204,17 +208,17 @@
 	q.suspended.Remove(leaf.suspended)
 	leaf.suspended = nil
 	for n := leaf; n != nil; n = n.parent {
-		n.refresh()
+		n.updateHeaps()
 	}
 }
 
-// AdjustCharge corrects the charge of an item taken earlier by more engine-seconds,
-// negative for a refund.
-func (q *Queue[T]) AdjustCharge(class request.Class, organisation, key string, more float64) {
+// AdjustCharge adds engine-seconds to the charge of an item popped earlier; a negative
+// number is a refund.
+func (q *Queue[T]) AdjustCharge(class request.Class, organisation, key string, engineSeconds float64) {
 	c := q.class(class)
-	if more <= 0 && c.children[organisation] == nil {
+	if engineSeconds <= 0 && c.children[organisation] == nil {
 		return
 	}
-	c.child(organisation).child(key).charge(more)
-	q.chargeOther(class, organisation, more)
+	c.child(organisation).child(key).charge(engineSeconds)
+	q.chargeDeferrable(class, organisation, engineSeconds)
 }
--- a/decision/queue/queue_test.go
+++ b/decision/queue/queue_test.go
@@ -18,14 +18,14 @@
 	}
 }
 
-// One organisation sends ten times as many requests as the others, or requests
-// fifty times as large. In order of arrival its share follows what it sends, and
-// the others' requests wait behind it.
-func TestSharesDifferByOneRequestAtMost(t *testing.T) {
+// Two of five organisations send requests fifty times as large as the others, one of
+// them also ten times as many. In order of arrival their shares follow what they send,
+// and the other organisations' requests wait behind theirs.
+func TestOrganisationSharesAreFair(t *testing.T) {
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		q := New[int](DeferrableShare, PreferenceLead)
-		served, first := map[string]float64{}, map[string]float64{}
+		served, firstCome := map[string]float64{}, map[string]float64{}
 		largest, id := 0.0, 0
 		var arrivals []*Item[int]
 		for range 3000 {
@@ -40,7 +40,7 @@
 			}
 		}
 		for _, it := range arrivals[:1000] {
-			first[it.Organisation] += it.Cost
+			firstCome[it.Organisation] += it.Cost
 		}
 		for range 1000 {
 			it := q.Pop()
@@ -52,14 +52,14 @@
 				assert.Assert(t, served[a]-served[b] <= 2*largest, "%v", served)
 			}
 		}
-		assert.Assert(t, first["3"] > 5*first["0"], "the naive order was fair by chance")
+		assert.Assert(t, firstCome["3"] > 5*firstCome["0"], "order of arrival must be unfair for this load")
 	}
 }
 
-// A large request that was taken from the queue goes back while its key is already
-// passed over because of another one. Entered twice, the key is resumed twice, and
-// the scheduler of the service stops with a nil pointer.
-func TestReturnToSuspendedKey(t *testing.T) {
+// A popped request is requeued while its key is already suspended for another one. If
+// the key were added to the suspended list twice, the second Resume would dereference
+// a nil pointer and stop the service's scheduler.
+func TestRequeueToSuspendedKey(t *testing.T) {
 	q := New[int](DeferrableShare, PreferenceLead)
 	for id := 1; id <= 3; id++ {
 		q.Push(item(id, "o", "k", 1))
