--- a/decision/prefill/index.go
+++ b/decision/prefill/index.go
@@ -3,77 +3,79 @@
 import "time"
 
 const (
-	// beliefLifetime is how long a stored prefix is believed without a new event
-	// or use. Engines evict the least recently used prefixes and their events can
-	// be lost; at peak an engine's prefix memory turns over within minutes, so
-	// that an older belief is more often wrong than right.
-	beliefLifetime = 2 * time.Minute
-	// maxHolders bounds the upstreams remembered per prefix. When more than eight
-	// hold it, one of them is nearly always free, and remembering the others
-	// would make one lookup as long as the number of upstreams.
+	// entryTTL is how long an entry is valid without a new event or use. Engines evict
+	// the least recently used prefixes, and their events can be lost. At peak an
+	// engine's prefix cache turns over within minutes, so that older entries are more
+	// often wrong than right.
+	entryTTL = 2 * time.Minute
+	// maxHolders bounds the upstreams stored per prefix. If more than eight hold a
+	// prefix, one of them nearly always has a free slot, and storing the others would
+	// make the cost of a lookup proportional to the number of upstreams.
 	maxHolders = 8
-	// generationSize is the number of prefixes after which the older generation
-	// is forgotten; with two generations of under 100 bytes an entry the index
-	// stays under 7 MB of the instance's 128 MB.
+	// generationSize is the number of prefixes per generation. A full current
+	// generation replaces the previous one, which is discarded. Two generations at
+	// under 100 bytes per entry keep the index below 7 MB of the instance's 128 MB.
 	generationSize = 32768
 )
 
-// Index remembers which upstreams are believed to hold which prefixes. Events
-// come late and with gaps, so that it is a hint: a wrong belief costs one prefill
-// that takes as long as on any other upstream.
+// Index tracks which upstreams probably have which prefixes in their cache. It is only
+// a hint, because cache events are delayed and can be lost. A stale entry costs one
+// prefill that takes as long as on any other upstream.
 type Index struct {
-	young, old map[uint64][]holder
-	// epochs make Reset constant-time: a belief of an older epoch does not count.
+	current, previous map[uint64][]holder
+	// epochs holds the current epoch of each upstream, so that ResetUpstream takes
+	// constant time: entries of an older epoch are invalid.
 	epochs map[int]uint32
 }
 
 type holder struct {
-	at       time.Time
+	lastSeen time.Time
 	upstream int
 	epoch    uint32
 }
 
 // NewIndex returns an empty index.
 func NewIndex() *Index {
-	return &Index{young: make(map[uint64][]holder), epochs: make(map[int]uint32)}
+	return &Index{current: make(map[uint64][]holder), epochs: make(map[int]uint32)}
 }
 
-// Store notes that an upstream stored or used the prefix at now.
+// Store records that an upstream stored or used the prefix at now.
 func (x *Index) Store(now time.Time, upstream int, hash uint64) {
-	holders := x.drop(upstream, hash)
+	holders := x.removeHolder(upstream, hash)
 	if len(holders) == maxHolders {
 		holders = holders[1:]
 	}
-	holders = append(holders, holder{at: now, upstream: upstream, epoch: x.epochs[upstream]})
-	if len(x.young) >= generationSize {
-		x.old, x.young = x.young, make(map[uint64][]holder)
+	holders = append(holders, holder{lastSeen: now, upstream: upstream, epoch: x.epochs[upstream]})
+	if len(x.current) >= generationSize {
+		x.previous, x.current = x.current, make(map[uint64][]holder)
 	}
-	delete(x.old, hash)
-	x.young[hash] = holders
+	delete(x.previous, hash)
+	x.current[hash] = holders
 }
 
-// Remove notes that an upstream evicted the prefix.
+// Remove records that an upstream evicted the prefix.
 func (x *Index) Remove(upstream int, hash uint64) {
-	holders := x.drop(upstream, hash)
-	if _, ok := x.young[hash]; ok {
-		x.young[hash] = holders
-	} else if _, ok := x.old[hash]; ok {
-		x.old[hash] = holders
+	holders := x.removeHolder(upstream, hash)
+	if _, ok := x.current[hash]; ok {
+		x.current[hash] = holders
+	} else if _, ok := x.previous[hash]; ok {
+		x.previous[hash] = holders
 	}
 }
 
-// ResetUpstream forgets everything of one upstream, after a gap in its events or a restart.
+// ResetUpstream invalidates all entries of an upstream, after a gap in its events or a
+// restart.
 func (x *Index) ResetUpstream(upstream int) { x.epochs[upstream]++ }
 
-// Match calls visit with each upstream that is believed to hold a leading part of
-// the prompt and the number of hashes (shortest prefix first) that it covers. An
-// upstream may be visited again with a smaller number. The longest hash decides:
-// an engine that holds a prefix holds all its beginnings, so that a lost event of
-// a shorter one does not matter.
+// Match calls visit for each upstream that probably has a prefix of the prompt in its
+// cache, with the number of leading hashes (shortest prefix first) that it covers. An
+// upstream may be visited again with a smaller number. The longest match counts: an
+// engine that holds a prefix also holds all shorter ones, so that a lost event of a
+// shorter one does not matter.
 func (x *Index) Match(now time.Time, hashes []uint64, visit func(upstream, matched int)) {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		for _, h := range x.holders(hashes[i]) {
-			if h.epoch == x.epochs[h.upstream] && now.Sub(h.at) <= beliefLifetime {
+			if h.epoch == x.epochs[h.upstream] && now.Sub(h.lastSeen) <= entryTTL {
 				visit(h.upstream, i+1)
 			}
 		}
@@ -81,13 +83,15 @@
 }
 
 func (x *Index) holders(hash uint64) []holder {
-	if holders, ok := x.young[hash]; ok {
+	if holders, ok := x.current[hash]; ok {
 		return holders
 	}
-	return x.old[hash]
+	return x.previous[hash]
 }
 
-func (x *Index) drop(upstream int, hash uint64) []holder {
+// removeHolder removes the upstream from the holders of the prefix, in place, and
+// returns the others.
+func (x *Index) removeHolder(upstream int, hash uint64) []holder {
 	holders := x.holders(hash)
 	for i, h := range holders {
 		if h.upstream == upstream {
@@ -97,9 +101,9 @@
 	return holders
 }
 
-// RemoveUpstream drops what is kept of an upstream whose number is not used again.
+// RemoveUpstream removes an upstream whose number is not used again.
 func (x *Index) RemoveUpstream(upstream int) {
-	// Beliefs that are left carry an older epoch or age out; the number is never
-	// given to another upstream.
+	// Remaining entries have an older epoch or expire; the number is never assigned
+	// to another upstream.
 	delete(x.epochs, upstream)
 }
