--- a/instance/join.go
+++ b/instance/join.go
@@ -79,7 +79,7 @@
 		i.follower.Notice(peer.Address, version)
 	})
 	i.members.OnChange(func([]membership.Member) { i.refreshSchedulers() })
-	i.members.OnRenewed(func(old, renewed uint64) {
+	i.members.OnNewIncarnation(func(old, renewed uint64) {
 		i.log.Warn("declared dead while paused", zap.Uint64("old_incarnation", old), zap.Uint64("incarnation", renewed))
 		i.placer.DropAll()
 	})
--- a/instance/stages.go
+++ b/instance/stages.go
@@ -69,7 +69,7 @@
 func (i *Instance) mountStages(mux *http.ServeMux) {
 	mux.Handle(peerv1connect.NewRateServiceHandler(i.rate.Handler(), peer.HandlerOptions()))
 	path, guard := i.guard.Handler()
-	mux.Handle(path, peer.OneLog(guard))
+	mux.Handle(path, peer.RequireSameLog(guard))
 }
 
 // loggedAddresses are the addresses of the instances that the log names as homes of rates. Two
--- a/membership/commands.go
+++ b/membership/commands.go
@@ -21,10 +21,10 @@
 	s.register(func(c *callbacks) { c.version = append(c.version, f) })
 }
 
-// OnRenewed registers a function that is called when this instance was declared
+// OnNewIncarnation registers a function that is called when this instance was declared
 // dead, because it was paused or cut off, and took a new incarnation. The owner
 // must drop every grant and lease held under the old one: others may hold them.
-func (s *Service) OnRenewed(f func(old, renewed uint64)) {
+func (s *Service) OnNewIncarnation(f func(old, renewed uint64)) {
 	s.register(func(c *callbacks) { c.renewed = append(c.renewed, f) })
 }
 
--- a/peer/pass.go
+++ b/peer/pass.go
@@ -98,10 +98,10 @@
 	return other, fleetid.Key(p.secret, other.Name)
 }
 
-// OneLog serves only callers that are known to use the log that this instance uses. It is
+// RequireSameLog serves only callers that are known to use the log that this instance uses. It is
 // for calls that decide by the log what may run once: were the caller's log another one, both
 // logs would let the call run.
-func OneLog(next http.Handler) http.Handler {
+func RequireSameLog(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if relation, judged := r.Context().Value(relationKey{}).(fleetid.Relation); judged && relation != fleetid.SameFleet {
 			http.Error(w, "it is not known whether both use one log", http.StatusForbidden)
--- a/peer/pass_test.go
+++ b/peer/pass_test.go
@@ -20,7 +20,7 @@
 	mux := http.NewServeMux()
 	done := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.Handle("/any", done)
-	mux.Handle("/once", OneLog(done))
+	mux.Handle("/once", RequireSameLog(done))
 	server := NewServer(mux, nil, "secret", WithFleet(fleetidtest.Keeper(t, 7, "rota na obali")))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
