--- a/membership/actor.go
+++ b/membership/actor.go
@@ -65,19 +65,19 @@
 
 // report publishes the new state and tells the owner of events.
 func (p *protocol) report() {
-	events := p.node.Take()
+	events := p.node.TakeEvents()
 	before := p.service.snapshot.Load().all
-	if events.Updated {
+	if events.RecordsUpdated {
 		p.service.publish(p.node)
 	}
-	if events.Renewed != nil {
-		p.service.renewed(*events.Renewed)
+	if events.NewIncarnation != nil {
+		p.service.renewed(*events.NewIncarnation)
 	}
-	if events.Changed {
+	if events.MembersChanged {
 		p.service.changed(before)
 	}
-	if events.Behind != nil {
-		p.service.behind(*events.Behind)
+	if events.NewerConfig != nil {
+		p.service.behind(*events.NewerConfig)
 	}
 }
 
@@ -92,7 +92,7 @@
 	return gossip.NewNode(figures, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), time.Now())
 }
 
-func (s *Service) renewed(r gossip.Renewal) {
+func (s *Service) renewed(r gossip.IncarnationChange) {
 	s.metrics.renewals.Inc(1)
 	s.log.Warn("declared dead, new incarnation", zap.Uint64("old", r.Old), zap.Uint64("new", r.New))
 	for _, f := range s.registered().renewed {
@@ -109,7 +109,7 @@
 	}
 }
 
-func (s *Service) behind(b gossip.Behind) {
+func (s *Service) behind(b gossip.NewerConfig) {
 	for _, f := range s.registered().version {
 		f(memberOf(b.Peer), b.Version)
 	}
--- a/membership/gossip/commands.go
+++ b/membership/gossip/commands.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// SetHints replaces the addresses of the platform's list.
+// SetHints replaces the addresses from the platform's instance list and other hints.
 func (n *Node) SetHints(addresses []string) { n.hints = addresses }
 
-// SetConfigVersion publishes the configuration version that this instance holds.
-// Lower versions are ignored: a configuration never reverts.
+// SetConfigVersion publishes the configuration version of this instance. Lower
+// versions are ignored because a configuration never goes back to an older one.
 func (n *Node) SetConfigVersion(version uint64) {
 	if version <= n.self.ConfigVersion {
 		return
 	}
-	n.news.urgentVersion = n.news.urgentVersion || version > n.behind.told
+	n.updates.urgentVersion = n.updates.urgentVersion || version > n.newerConfig.reported
 	n.self.ConfigVersion = version
-	n.touch()
+	n.markUpdated()
 }
 
-// SetDraining publishes whether this instance takes new work.
+// SetDraining publishes whether this instance is draining and takes no new work.
 func (n *Node) SetDraining(draining bool) {
 	if n.self.Draining == draining {
 		return
@@ -25,25 +25,26 @@
 		self.Draining = draining
 		self.Seq++
 	})
-	n.events.Changed = true
+	n.events.MembersChanged = true
 }
 
-// Leave announces this instance's end to a few members and stops the protocol.
-// The announcement spreads as news; members it misses notice the death.
+// Leave announces to a few members that this instance is shutting down and stops
+// the protocol. The other members receive the announcement as a gossip update; a
+// member that misses it detects the instance as dead.
 func (n *Node) Leave(now time.Time) []Outgoing {
 	if n.self.State.Terminal() {
 		return nil
 	}
 	n.updateSelf(func(self *Record) { self.State = Left })
-	n.events.Changed = true
-	for _, m := range n.pick(leavePushes, "") {
+	n.events.MembersChanged = true
+	for _, m := range n.randomMembers(leaveFanout, "") {
 		n.send(m.Address, Packet{Kind: Push, Records: []Record{n.self}})
 	}
 	return n.flush()
 }
 
-// Take returns the events since its last call.
-func (n *Node) Take() Events {
+// TakeEvents returns and clears the events since its last call.
+func (n *Node) TakeEvents() Events {
 	events := n.events
 	n.events = Events{}
 	return events
--- a/membership/gossip/index.go
+++ b/membership/gossip/index.go
@@ -2,31 +2,34 @@
 
 import "slices"
 
-// index holds what is derived from the records. It is built anew after a change,
-// so that the twenty ticks a second of a large fleet at rest do not walk it.
+// index holds values derived from the records. It is rebuilt only after a change, so
+// that the twenty ticks a second don't iterate over all members of a large fleet in
+// which nothing changes.
 type index struct {
-	// names are the other members' in order, so that the same inputs give the same
-	// packets whatever the order of the map; live are those not terminal.
+	// names are the sorted names of the other members, which makes packets
+	// independent of the iteration order of the map; live are those whose state is
+	// not terminal.
 	names    []string
 	live     []string
 	suspects []string
-	// best is the highest configuration version among live members that is above
-	// this instance's own, and holder one of its holders; 0 and empty when none is.
-	best   uint64
-	holder string
+	// highestVersion is the highest configuration version of the live members if it
+	// is above this instance's own, otherwise 0. highestHolder is a member that has
+	// it, otherwise empty.
+	highestVersion uint64
+	highestHolder  string
 }
 
-// touch marks the records as changed.
-func (n *Node) touch() {
-	n.derived = nil
-	n.events.Updated = true
+// markUpdated invalidates the index and sets the event after a record changed.
+func (n *Node) markUpdated() {
+	n.cachedIndex = nil
+	n.events.RecordsUpdated = true
 }
 
 func (n *Node) index() *index {
-	if n.derived == nil {
-		n.derived = n.buildIndex()
+	if n.cachedIndex == nil {
+		n.cachedIndex = n.buildIndex()
 	}
-	return n.derived
+	return n.cachedIndex
 }
 
 func (n *Node) buildIndex() *index {
@@ -45,12 +48,12 @@
 		if m.State == Suspect {
 			x.suspects = append(x.suspects, name)
 		}
-		if m.ConfigVersion > max(x.best, n.self.ConfigVersion) {
-			x.best, x.holder = m.ConfigVersion, name
+		if m.ConfigVersion > max(x.highestVersion, n.self.ConfigVersion) {
+			x.highestVersion, x.highestHolder = m.ConfigVersion, name
 		}
 	}
 	return x
 }
 
-// liveCount is the number of other members that are not terminal.
+// liveCount returns the number of other members whose state is not terminal.
 func (n *Node) liveCount() int { return len(n.index().live) }
--- a/membership/gossip/merge.go
+++ b/membership/gossip/merge.go
@@ -2,150 +2,153 @@
 
 import "time"
 
-// mergeNews takes records in and passes on what was new.
-func (n *Node) mergeNews(now time.Time, records []Record) {
+// mergeUpdates merges received records and queues those that are new for sending.
+func (n *Node) mergeUpdates(now time.Time, records []Record) {
 	for _, r := range records {
 		switch n.merge(now, r) {
-		case visible:
-			n.announceUrgent(r.Name)
-		case internal:
-			n.announce(r.Name)
+		case visibleChange:
+			n.queueUrgentUpdate(r.Name)
+		case internalChange:
+			n.queueUpdate(r.Name)
 		}
 	}
 }
 
-// mergePage takes a sync page in. Its records are not passed on as news: a page
-// brings what its receiver missed, and peers that miss it too sync for themselves.
-// Passing on a whole table record by record would fill the news budget for
-// minutes and delay a death behind it.
-func (n *Node) mergePage(now time.Time, records []Record) {
+// mergeSyncPage merges a sync page. Its records are not queued as updates: a page
+// contains what its receiver missed, and peers that missed it too request their own
+// sync. Sending a whole table record by record would exhaust the update budget for
+// minutes and delay the update about a death.
+func (n *Node) mergeSyncPage(now time.Time, records []Record) {
 	useful := 0
 	for _, r := range records {
-		if n.merge(now, r) != nothing {
+		if n.merge(now, r) != unchanged {
 			useful++
 		}
 	}
-	n.sync.bulk = useful >= bulkPage
+	n.sync.bulk = useful >= bulkPageRecords
 }
 
-// change is what a record did to the table.
-type change uint8
+// mergeResult is the effect of a received record on the table.
+type mergeResult uint8
 
 const (
-	// nothing: the record was known.
-	nothing change = iota
-	// internal changes concern the protocol only.
-	internal
-	// visible changes matter to the owner.
-	visible
+	// unchanged means that the record was already known or is outdated.
+	unchanged mergeResult = iota
+	// internalChange is a change that concerns only the protocol.
+	internalChange
+	// visibleChange is a change that matters to the owner.
+	visibleChange
 )
 
-// merge takes one record in.
-func (n *Node) merge(now time.Time, r Record) change {
+// merge merges one received record.
+func (n *Node) merge(now time.Time, r Record) mergeResult {
 	if r.Name == n.self.Name {
 		n.mergeSelf(r)
-		return nothing
+		return unchanged
 	}
 	m, known := n.members[r.Name]
 	if !known {
-		return n.learn(now, r)
+		return n.addMember(now, r)
 	}
 	if r.Supersedes(m.Record) {
-		return n.replace(now, m, r)
+		return n.replaceRecord(now, m, r)
 	}
 	if r.Incarnation == m.Incarnation {
 		n.raiseVersion(m, r.ConfigVersion)
 	}
-	return nothing
+	return unchanged
 }
 
-func (n *Node) learn(now time.Time, r Record) change {
-	// A record about to be forgotten here is already forgotten elsewhere.
+func (n *Node) addMember(now time.Time, r Record) mergeResult {
+	// The record would expire immediately; others have already removed it.
 	if r.State.Terminal() && r.Age >= n.cfg.Retention {
-		return nothing
+		return unchanged
 	}
 	m := &member{Record: r, since: now.Add(-r.Age)}
 	n.members[r.Name] = m
-	n.table.add(r)
-	n.noteChange(now)
+	n.digest.add(r)
+	n.markTableChanged(now)
 	if r.State.Terminal() {
-		return internal
+		return internalChange
 	}
-	n.events.Changed = true
-	return visible
+	n.events.MembersChanged = true
+	return visibleChange
 }
 
-// replace moves a member to a record that supersedes its own.
-func (n *Node) replace(now time.Time, m *member, r Record) change {
+// replaceRecord replaces the record of a member by one that supersedes it.
+func (n *Node) replaceRecord(now time.Time, m *member, r Record) mergeResult {
 	old := m.Record
 	if old.Incarnation == r.Incarnation {
 		r.ConfigVersion = max(r.ConfigVersion, old.ConfigVersion)
 	}
-	n.table.remove(old)
-	n.table.add(r)
+	n.digest.remove(old)
+	n.digest.add(r)
 	m.Record = r
 	m.since = now.Add(-r.Age)
-	m.ownDoubt = false
-	n.noteChange(now)
-	if !ownerSees(old, r) {
-		return internal
+	m.ownProbeFailed = false
+	n.markTableChanged(now)
+	if !visibleToOwner(old, r) {
+		return internalChange
 	}
 	if r.State.Terminal() {
-		n.lastLoss = now
+		n.lastMemberLoss = now
 	}
-	n.events.Changed = true
-	return visible
+	n.events.MembersChanged = true
+	return visibleChange
 }
 
-// ownerSees reports whether the change matters outside the protocol.
-func ownerSees(old, r Record) bool {
+// visibleToOwner reports whether the change from old to r matters to the owner.
+func visibleToOwner(old, r Record) bool {
 	return old.Incarnation != r.Incarnation ||
 		old.State.Terminal() != r.State.Terminal() ||
 		old.Draining != r.Draining
 }
 
-// mergeSelf handles what others say of this instance. A suspicion is refuted with
-// a higher sequence number. A death of this incarnation stands: leases tied to it
-// may already be held by others, so that going on under it would give two
-// holders; the instance goes on under a new one and its owner drops what it held.
+// mergeSelf handles a received record of this instance. A suspicion is refuted with a
+// higher sequence number. The death of an incarnation is final: others may already
+// hold the leases tied to it, and an instance that continued with it would be a second
+// holder. The instance continues with a new incarnation and its owner drops what it
+// held.
 func (n *Node) mergeSelf(r Record) {
 	if n.self.State.Terminal() || r.Incarnation < n.self.Incarnation {
 		return
 	}
-	sameRun := r.Incarnation == n.self.Incarnation
+	sameIncarnation := r.Incarnation == n.self.Incarnation
 	switch {
-	case sameRun && r.State == Suspect && r.Seq >= n.self.Seq:
+	case sameIncarnation && r.State == Suspect && r.Seq >= n.self.Seq:
 		n.updateSelf(func(self *Record) { self.Seq = r.Seq + 1 })
-	case sameRun && r.State == Suspect, sameRun && r.State == Alive && r.Seq <= n.self.Seq:
+	case sameIncarnation && r.State == Suspect, sameIncarnation && r.State == Alive && r.Seq <= n.self.Seq:
 		return
 	default:
-		// Declared dead, or an earlier run whose clock was ahead of this one's.
-		n.renew(r.Incarnation)
+		// This incarnation was declared dead, or the clock of an earlier run was
+		// ahead of the current one.
+		n.startNewIncarnation(r.Incarnation)
 	}
 }
 
-// renew takes an incarnation above one that others hold terminal or newer.
-func (n *Node) renew(above uint64) {
+// startNewIncarnation switches to an incarnation above one that others know as
+// terminal or as newer than the current one.
+func (n *Node) startNewIncarnation(above uint64) {
 	old := n.self.Incarnation
 	n.updateSelf(func(self *Record) {
 		self.Incarnation = above + 1
 		self.Seq = 1
 	})
-	n.events.Renewed = &Renewal{Old: old, New: n.self.Incarnation}
-	n.events.Changed = true
+	n.events.NewIncarnation = &IncarnationChange{Old: old, New: n.self.Incarnation}
+	n.events.MembersChanged = true
 }
 
-// updateSelf changes this instance's own record and spreads it.
+// updateSelf changes the record of this instance and queues it as an urgent update.
 func (n *Node) updateSelf(change func(*Record)) {
-	n.table.remove(n.self)
+	n.digest.remove(n.self)
 	change(&n.self)
-	n.table.add(n.self)
-	n.announceUrgent(n.self.Name)
-	n.touch()
+	n.digest.add(n.self)
+	n.queueUrgentUpdate(n.self.Name)
+	n.markUpdated()
 }
 
-// wire returns the record as it is sent at now.
-func (m *member) wire(now time.Time) Record {
+// recordAt returns the record to send at now, with its age if the state is terminal.
+func (m *member) recordAt(now time.Time) Record {
 	r := m.Record
 	if r.State.Terminal() {
 		r.Age = now.Sub(m.since).Truncate(time.Second)
--- a/membership/gossip/probe.go
+++ b/membership/gossip/probe.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// probeState is the one ping under way.
+// probeState is the state of the pending probe; a node has at most one.
 type probeState struct {
 	number   uint32
 	target   string
@@ -14,64 +14,66 @@
 	acked    bool
 }
 
-// relay is a ping sent for somebody else.
-type relay struct {
+// relayedPing is a ping sent on behalf of another member, the requester. Its number is
+// the requester's probe number.
+type relayedPing struct {
 	requester string
 	number    uint32
 	target    string
 	expires   time.Time
 }
 
-// startRound closes the last ping and starts the next.
-func (n *Node) startRound(now time.Time) {
-	n.nextRound = now.Add(n.cfg.ProbeInterval)
+// startProbeRound completes the previous probe and starts the next.
+func (n *Node) startProbeRound(now time.Time) {
+	n.nextProbeRound = now.Add(n.cfg.ProbeInterval)
 	if n.probe.target != "" && !n.probe.acked {
-		n.doubt(now, n.probe.target)
+		n.suspect(now, n.probe.target)
 	}
 	n.probe = probeState{}
 	n.expireRelays(now)
-	target, ok := n.nextTarget()
+	target, ok := n.nextProbeTarget()
 	if !ok {
 		return
 	}
 	n.probe = probeState{
-		number:   n.probeNumber(),
+		number:   n.nextProbeNumber(),
 		target:   target.Name,
 		deadline: now.Add(n.cfg.AckTimeout),
 	}
 	n.ping(now, target, n.probe.number)
 }
 
-func (n *Node) probeNumber() uint32 {
-	n.nextProbe++
-	return n.nextProbe
+func (n *Node) nextProbeNumber() uint32 {
+	n.lastProbeNumber++
+	return n.lastProbeNumber
 }
 
-// ping sends a ping with news. A suspect is always told of the suspicion, so that
-// it can refute it with its answer.
+// ping sends a ping with updates. A ping to a suspect always includes the suspicion, so
+// that the suspect can refute it in its answer.
 func (n *Node) ping(now time.Time, target *member, number uint32) {
-	var told []Record
+	var records []Record
 	if target.State != Alive {
-		told = append(told, target.wire(now))
+		records = append(records, target.recordAt(now))
 	}
-	n.send(target.Address, Packet{Kind: Ping, Probe: number, Records: n.withNews(now, told)})
+	n.send(target.Address, Packet{Kind: Ping, Probe: number, Records: n.appendUpdates(now, records)})
 }
 
-// nextTarget walks all members in an order that is shuffled anew each time round,
-// so that each is pinged once in as many rounds as there are members. Picking at
-// random would leave some unpinged for several times that.
-func (n *Node) nextTarget() (*member, bool) {
+// nextProbeTarget returns the next member of a round-robin order that is shuffled again
+// after each pass, so that each member is pinged once in as many rounds as there are
+// members. With random choice, some members would go without a ping for several times
+// as long.
+func (n *Node) nextProbeTarget() (*member, bool) {
 	for range 2 {
-		for len(n.rotation) > 0 {
-			last := len(n.rotation) - 1
-			name := n.rotation[last]
-			n.rotation = n.rotation[:last]
+		for len(n.probeOrder) > 0 {
+			last := len(n.probeOrder) - 1
+			name := n.probeOrder[last]
+			n.probeOrder = n.probeOrder[:last]
 			if m, ok := n.members[name]; ok && !m.State.Terminal() {
 				return m, true
 			}
 		}
-		n.rotation = slices.Clone(n.index().live)
-		n.shuffle(n.rotation)
+		n.probeOrder = slices.Clone(n.index().live)
+		n.shuffle(n.probeOrder)
 	}
 	return nil, false
 }
@@ -80,8 +82,8 @@
 	n.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 }
 
-// expireProbe asks others to ping a target that has not answered in time.
-func (n *Node) expireProbe(now time.Time) {
+// checkProbeTimeout asks other members to ping a target that has not answered in time.
+func (n *Node) checkProbeTimeout(now time.Time) {
 	p := &n.probe
 	if p.target == "" || p.acked || p.indirect || now.Before(p.deadline) {
 		return
@@ -91,7 +93,7 @@
 	if !ok {
 		return
 	}
-	for _, helper := range n.pick(indirectProbes, p.target) {
+	for _, helper := range n.randomMembers(indirectProbes, p.target) {
 		n.send(helper.Address, Packet{
 			Kind: PingRequest, Probe: p.number,
 			Target: target.Name, TargetAddress: target.Address,
@@ -99,8 +101,8 @@
 	}
 }
 
-// pick returns up to count random live members other than the excluded one.
-func (n *Node) pick(count int, except string) []*member {
+// randomMembers returns up to count random live members other than the one named except.
+func (n *Node) randomMembers(count int, except string) []*member {
 	names := slices.Clone(n.index().live)
 	names = slices.DeleteFunc(names, func(name string) bool { return name == except })
 	n.shuffle(names)
@@ -114,32 +116,33 @@
 	return picked
 }
 
-// reply answers a ping. A sender that is dead here is told so, and so are all
-// pinging members whose record here is a suspicion.
-func (n *Node) reply(now time.Time, from string, p Packet) {
-	var told []Record
+// handlePing answers a ping. If this node's record of the sender is suspect or terminal,
+// the answer includes that record. If the ping contains a record of this instance, a
+// suspicion or a death, the answer includes this instance's own record.
+func (n *Node) handlePing(now time.Time, from string, p Packet) {
+	var records []Record
 	if m, ok := n.members[p.From]; ok && m.Incarnation >= p.Incarnation && m.State != Alive {
-		told = append(told, m.wire(now))
+		records = append(records, m.recordAt(now))
 	}
 	if n.self.State == Left {
 		return
 	}
-	if suspected(p.Records, n.self.Name) {
-		told = append(told, n.self)
+	if containsRecord(p.Records, n.self.Name) {
+		records = append(records, n.self)
 	}
-	n.send(from, Packet{Kind: Ack, Probe: p.Probe, Records: n.withNews(now, told)})
+	n.send(from, Packet{Kind: Ack, Probe: p.Probe, Records: n.appendUpdates(now, records)})
 }
 
-func suspected(records []Record, name string) bool {
+func containsRecord(records []Record, name string) bool {
 	return slices.ContainsFunc(records, func(r Record) bool { return r.Name == name })
 }
 
-// acknowledge handles the answer to a ping of this node's own or of a relay.
-func (n *Node) acknowledge(now time.Time, p Packet) {
+// handleAck handles the answer to a ping of this node or to one that it relayed.
+func (n *Node) handleAck(now time.Time, p Packet) {
 	if r, ok := n.relays[p.Probe]; ok {
 		delete(n.relays, p.Probe)
 		if p.From == r.target {
-			n.send(r.requester, Packet{Kind: RelayedAck, Probe: r.number, Target: r.target, Records: ownRecord(p)})
+			n.send(r.requester, Packet{Kind: RelayedAck, Probe: r.number, Target: r.target, Records: senderRecord(p)})
 		}
 		return
 	}
@@ -154,15 +157,15 @@
 		n.probe.acked = true
 		return
 	}
-	// Another instance answers at the target's address, or an older run of the
-	// target: an address is served by one process, so that the target is gone.
+	// Another instance or an older run of the target answered at the target's
+	// address. An address is served by one process, so the target is gone.
 	if p.From != m.Name && !m.State.Terminal() {
 		n.declareDead(now, m)
 	}
 }
 
-// ownRecord is what the sender of a packet said of itself, if anything.
-func ownRecord(p Packet) []Record {
+// senderRecord returns the sender's own record if the packet contains it.
+func senderRecord(p Packet) []Record {
 	for _, r := range p.Records {
 		if r.Name == p.From {
 			return []Record{r}
@@ -171,28 +174,28 @@
 	return nil
 }
 
-func (n *Node) acknowledgeRelayed(_ time.Time, p Packet) {
+func (n *Node) handleRelayedAck(_ time.Time, p Packet) {
 	if n.probe.target == p.Target && n.probe.number == p.Probe {
 		n.probe.acked = true
 	}
 }
 
-// relay pings a target for somebody who got no answer from it.
-func (n *Node) relay(now time.Time, from string, p Packet) {
+// handlePingRequest pings a target on behalf of a member that got no answer from it.
+func (n *Node) handlePingRequest(now time.Time, from string, p Packet) {
 	if p.Target == n.self.Name {
 		n.send(from, Packet{Kind: RelayedAck, Probe: p.Probe, Target: p.Target})
 		return
 	}
-	number := n.probeNumber()
-	n.relays[number] = relay{
+	number := n.nextProbeNumber()
+	n.relays[number] = relayedPing{
 		requester: from, number: p.Probe, target: p.Target,
 		expires: now.Add(n.cfg.ProbeInterval),
 	}
-	var told []Record
+	var records []Record
 	if m, ok := n.members[p.Target]; ok && m.State != Alive {
-		told = append(told, m.wire(now))
+		records = append(records, m.recordAt(now))
 	}
-	n.send(p.TargetAddress, Packet{Kind: Ping, Probe: number, Records: told})
+	n.send(p.TargetAddress, Packet{Kind: Ping, Probe: number, Records: records})
 }
 
 func (n *Node) expireRelays(now time.Time) {
@@ -203,48 +206,49 @@
 	}
 }
 
-// contact pings an address that is not a live member: a seed, an instance of the
-// platform's list or a dead member. Without it, two sides of a healed partition,
-// each of which declared the other dead, would never speak again.
-func (n *Node) contact(now time.Time) {
-	if now.Before(n.nextContact) {
+// reconnect pings an address that belongs to no live member: a seed, an instance of the
+// platform's list or a dead member. Without it, the two sides of a partition, which
+// declared each other dead, would never exchange packets again after it healed.
+func (n *Node) reconnect(now time.Time) {
+	if now.Before(n.nextReconnect) {
 		return
 	}
-	n.nextContact = now.Add(n.contactInterval(now))
-	candidates := n.strangers()
+	n.nextReconnect = now.Add(n.reconnectDelay(now))
+	candidates := n.reconnectAddresses()
 	if len(candidates) == 0 {
 		return
 	}
 	address := candidates[n.rng.IntN(len(candidates))]
-	told := []Record{n.self}
+	records := []Record{n.self}
 	for _, name := range n.index().names {
 		if m := n.members[name]; m.Address == address && m.State == Dead {
-			told = append(told, m.wire(now))
+			records = append(records, m.recordAt(now))
 		}
 	}
-	n.send(address, Packet{Kind: Ping, Probe: n.probeNumber(), Records: told})
+	n.send(address, Packet{Kind: Ping, Probe: n.nextProbeNumber(), Records: records})
 }
 
-func (n *Node) contactInterval(now time.Time) time.Duration {
-	if n.liveCount() == 0 || now.Sub(n.lastLoss) < calmAfter {
+func (n *Node) reconnectDelay(now time.Time) time.Duration {
+	if n.liveCount() == 0 || now.Sub(n.lastMemberLoss) < stableAfter {
 		return reconnectInterval
 	}
-	return calmInterval
+	return stableReconnectInterval
 }
 
-// strangers are the addresses worth a ping that no live member has.
-func (n *Node) strangers() []string {
+// reconnectAddresses returns the seeds, hints and addresses of dead members that belong
+// to no live member.
+func (n *Node) reconnectAddresses() []string {
 	candidates := slices.Concat(n.cfg.Seeds, n.hints)
-	taken := map[string]bool{n.self.Address: true}
+	liveAddresses := map[string]bool{n.self.Address: true}
 	for _, m := range n.members {
 		switch {
 		case m.State == Dead:
 			candidates = append(candidates, m.Address)
 		case !m.State.Terminal():
-			taken[m.Address] = true
+			liveAddresses[m.Address] = true
 		}
 	}
-	candidates = slices.DeleteFunc(candidates, func(a string) bool { return taken[a] })
+	candidates = slices.DeleteFunc(candidates, func(a string) bool { return liveAddresses[a] })
 	slices.Sort(candidates)
 	return slices.Compact(candidates)
 }
--- a/membership/gossip/queries.go
+++ b/membership/gossip/queries.go
@@ -5,10 +5,11 @@
 	"strings"
 )
 
-// Self returns this instance's own record.
+// Self returns the record of this instance.
 func (n *Node) Self() Record { return n.self }
 
-// All returns every record, this instance's and terminal ones included, by name.
+// All returns all records sorted by name, including terminal ones and that of this
+// instance.
 func (n *Node) All() []Record {
 	all := make([]Record, 0, len(n.members)+1)
 	all = append(all, n.self)
@@ -19,5 +20,6 @@
 	return all
 }
 
-// Digest is equal at two nodes that hold the same records, suspicions aside.
-func (n *Node) Digest() uint32 { return n.table.digest() }
+// Digest returns a digest of all records. Nodes with the same records have the same
+// digest; suspicions are not part of it.
+func (n *Node) Digest() uint32 { return n.digest.value() }
--- a/membership/gossip/record.go
+++ b/membership/gossip/record.go
@@ -1,40 +1,39 @@
-// Package gossip is the protocol by which instances learn who else is alive. It
-// is a state machine without sockets, clock or goroutines: packets and the time
-// go in, packets and events come out.
+// Package gossip implements the membership protocol by which instances detect which
+// others are alive. It is a state machine without sockets, clock or goroutines: its
+// inputs are packets and the time, its outputs packets and events.
 //
-// The protocol is of the SWIM family: each period a member pings one peer, asks
-// a few others to ping a peer that did not answer, suspects it, and declares it
-// dead when the suspicion is not refuted in time. News rides on those packets.
-// Every record has a total order (see Supersedes) and a member only ever moves to
-// a greater record, so that views that exchange records converge whatever the
-// order, loss or repetition of packets.
+// The protocol is a variant of SWIM: in each period a member pings one peer, asks a few
+// others to ping the peer if it did not answer, suspects it, and declares it dead if the
+// suspicion is not refuted in time. Updates are piggybacked on these packets. The records
+// of an instance are totally ordered (see Supersedes) and a record is only ever replaced
+// by a greater one, so that the views of members that exchange records converge whatever
+// packets are lost, reordered or repeated.
 //
-// Two numbers order the records of one instance. The incarnation names one run,
-// and whoever holds leases for an instance ties them to it: once dead or left, an
-// incarnation never returns, and an instance that finds itself declared dead
-// takes a new one. The sequence number only refutes suspicions and publishes
-// changed data of the same run, so that a lost packet does not cost an instance
-// its leases.
+// Two numbers order the records of one instance. The incarnation identifies one run, and
+// leases granted to an instance are tied to it: an incarnation that is dead or left never
+// returns, and an instance that learns that it was declared dead takes a new one. The
+// sequence number only refutes suspicions and publishes changed data of the same run, so
+// that a lost packet does not cost an instance its leases.
 package gossip
 
 import "time"
 
-// State of an incarnation, in the order in which one replaces another.
+// State is the state of an incarnation. A higher state replaces a lower one.
 type State uint8
 
 const (
-	// Alive members answer.
+	// Alive members answer probes.
 	Alive State = iota + 1
-	// Suspect members did not answer somebody and may still refute it. They
-	// count as members until declared dead.
+	// Suspect members did not answer a probe and may still refute the suspicion.
+	// They count as members until declared dead.
 	Suspect
 	// Dead members did not refute a suspicion in time.
 	Dead
-	// Left members announced their end.
+	// Left members announced that they shut down.
 	Left
 )
 
-// Terminal reports whether the incarnation can never return.
+// Terminal reports whether the state is final: the incarnation can never return.
 func (s State) Terminal() bool { return s >= Dead }
 
 // String returns the name used in logs and operator output.
@@ -53,7 +52,7 @@
 	}
 }
 
-// Record is what is known of one incarnation of one instance.
+// Record is the information about one incarnation of an instance.
 type Record struct {
 	Name            string
 	Incarnation     uint64
@@ -63,17 +62,17 @@
 	OperatorAddress string
 	DataCentre      string
 	Draining        bool
-	// ConfigVersion is the highest version that the incarnation was heard to hold.
+	// ConfigVersion is the highest configuration version reported for the incarnation.
 	ConfigVersion uint64
-	// Age is the time since a terminal state was declared, whole seconds in
-	// packets. It lets all members forget a dead instance at about the same time;
-	// without it a forgotten record would be learnt anew from a slower peer and
-	// circulate for ever.
+	// Age is the time since a terminal state was declared, in whole seconds in
+	// packets. It lets all members remove the record of a dead instance at about the
+	// same time; otherwise a member would get a removed record again from a slower
+	// peer, and the record would circulate forever.
 	Age time.Duration
 }
 
-// Supersedes reports whether r replaces old, a record of the same name. The order
-// is total over incarnation, terminal state, sequence number and suspicion.
+// Supersedes reports whether r replaces old, a record of the same instance. Records are
+// totally ordered by incarnation, terminal state, sequence number and suspicion.
 func (r Record) Supersedes(old Record) bool {
 	if r.Incarnation != old.Incarnation {
 		return r.Incarnation > old.Incarnation
@@ -87,27 +86,27 @@
 	return r.State > old.State
 }
 
-// Kind of a packet.
+// Kind is the kind of a packet.
 type Kind uint8
 
 // Kinds of packets.
 const (
-	// Ping asks for an Ack with the same probe number.
+	// Ping requests an Ack with the same probe number.
 	Ping Kind = iota + 1
 	Ack
-	// PingRequest asks the receiver to ping Target and to pass its answer on as a
+	// PingRequest asks the receiver to ping Target and to forward the answer as a
 	// RelayedAck.
 	PingRequest
 	RelayedAck
-	// SyncRequest carries a filter of the records held and asks for others.
+	// SyncRequest carries a filter of the sender's records and requests the others.
 	SyncRequest
-	// Push carries news and wants no answer.
+	// Push carries updates and needs no answer.
 	Push
-	// SyncPage answers a SyncRequest with records that are not in its filter.
+	// SyncPage answers a SyncRequest with records that its filter does not contain.
 	SyncPage
 )
 
-// String returns the metric tag of the kind.
+// String returns the value of the kind tag in metrics.
 func (k Kind) String() string {
 	switch k {
 	case Ping:
--- a/membership/gossip/suspect.go
+++ b/membership/gossip/suspect.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// doubt suspects a member that answered neither directly nor through others.
-func (n *Node) doubt(now time.Time, name string) {
+// suspect marks a member as suspect that answered neither the ping nor the indirect
+// probes.
+func (n *Node) suspect(now time.Time, name string) {
 	m, ok := n.members[name]
 	if !ok || m.State.Terminal() {
 		return
@@ -11,37 +12,38 @@
 	if m.State == Alive {
 		r := m.Record
 		r.State = Suspect
-		n.replace(now, m, r)
-		n.announce(name)
+		n.replaceRecord(now, m, r)
+		n.queueUpdate(name)
 	}
-	if !m.ownDoubt {
-		m.ownDoubt = true
+	if !m.ownProbeFailed {
+		m.ownProbeFailed = true
 		m.since = now
-		m.nextConfirm = now
+		m.nextPing = now
 	}
 }
 
-// tendSuspects pings suspects and declares those dead that did not refute.
+// checkSuspects pings suspects and declares those dead that did not refute the suspicion
+// in time.
 //
-// A member that only heard of a suspicion waits several times longer than one
-// that itself got no answer: the refutation may reach it seconds after the
-// suspicion, and a death once declared cannot be taken back. The long wait covers
-// the case that every member with a doubt of its own has died as well.
-func (n *Node) tendSuspects(now time.Time) {
-	limit := n.cfg.suspicion(n.liveCount())
+// A member that only received the suspicion by gossip waits several times longer than
+// one whose own probe failed: the refutation may arrive seconds after the suspicion, and
+// a declared death cannot be revoked. The longer timeout is needed for the case that all
+// members whose own probes failed have died as well.
+func (n *Node) checkSuspects(now time.Time) {
+	limit := n.cfg.suspicionTimeout(n.liveCount())
 	for _, name := range n.index().suspects {
 		m := n.members[name]
 		wait := limit
-		if !m.ownDoubt {
-			wait = hearsayFactor * limit
+		if !m.ownProbeFailed {
+			wait = remoteSuspicionFactor * limit
 		}
 		if now.Sub(m.since) >= wait {
 			n.declareDead(now, m)
 			continue
 		}
-		if m.ownDoubt && !now.Before(m.nextConfirm) {
-			m.nextConfirm = now.Add(confirmInterval)
-			n.ping(now, m, n.probeNumber())
+		if m.ownProbeFailed && !now.Before(m.nextPing) {
+			m.nextPing = now.Add(suspectPingInterval)
+			n.ping(now, m, n.nextProbeNumber())
 		}
 	}
 }
@@ -50,6 +52,6 @@
 	r := m.Record
 	r.State = Dead
 	r.Age = 0
-	n.replace(now, m, r)
-	n.announceUrgent(m.Name)
+	n.replaceRecord(now, m, r)
+	n.queueUrgentUpdate(m.Name)
 }
--- a/membership/gossip/sync.go
+++ b/membership/gossip/sync.go
@@ -7,19 +7,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// table is the digest of all records. Suspicions are left out: they come and go
-// with lost packets and end by themselves.
-type table struct {
-	sum uint64
+// tableDigest is an incremental digest of all records. It excludes suspicions, which come
+// and go with lost packets and end by themselves.
+type tableDigest struct {
+	hash uint64
 }
 
-// add and remove are the same operation: the digest is an exclusive or.
-func (t *table) add(r Record)    { t.sum ^= recordHash(r) }
-func (t *table) remove(r Record) { t.add(r) }
+// add and remove are the same operation because the digest is an exclusive or.
+func (d *tableDigest) add(r Record)    { d.hash ^= recordHash(r) }
+func (d *tableDigest) remove(r Record) { d.add(r) }
 
-func (t *table) digest() uint32 { return uint32(t.sum>>32) ^ uint32(t.sum) }
+func (d *tableDigest) value() uint32 { return uint32(d.hash>>32) ^ uint32(d.hash) }
 
-// recordHash is equal for records that no merge tells apart.
+// recordHash returns a hash that is the same for records neither of which supersedes the
+// other, suspicion aside.
 func recordHash(r Record) uint64 {
 	h := mix(xxhash.Sum64String(r.Name), r.Incarnation)
 	if r.State.Terminal() {
@@ -28,7 +29,7 @@
 	return mix(h, uint64(r.Seq)<<8)
 }
 
-// mix is the finaliser of SplitMix64 over a combination of two words.
+// mix combines two words and applies the SplitMix64 finaliser.
 func mix(h, v uint64) uint64 {
 	h ^= v + 0x9e3779b97f4a7c15
 	h = (h ^ (h >> 30)) * 0xbf58476d1ce4e5b9
@@ -38,73 +39,75 @@
 
 type syncState struct {
 	lastChange time.Time
-	lastAgreed time.Time
+	lastMatch  time.Time
 	lastSync   time.Time
-	// bulk is set while pages bring many records.
-	bulk  bool
-	bytes bucket
+	// bulk is set while sync pages contain many new records.
+	bulk   bool
+	budget tokenBucket
 }
 
 func newSyncState(now time.Time) syncState {
-	return syncState{lastChange: now, lastAgreed: now, bytes: newBucket(now, syncRate, syncBurst)}
+	return syncState{lastChange: now, lastMatch: now, budget: newTokenBucket(now, syncBytesPerSecond, syncBurstBytes)}
 }
 
-// considerSync asks a peer for the records that differ. Equal digests cost four
-// bytes a packet; only what differs is ever sent again.
-func (n *Node) considerSync(now time.Time, from string, p Packet) {
-	if p.Digest == n.table.digest() {
-		n.sync.lastAgreed = now
+// maybeRequestSync requests the records that this node is missing from a peer with a
+// different digest. Comparing digests costs four bytes a packet, and only records that
+// differ are sent again.
+func (n *Node) maybeRequestSync(now time.Time, from string, p Packet) {
+	if p.Digest == n.digest.value() {
+		n.sync.lastMatch = now
 		n.sync.bulk = false
 		return
 	}
 	if p.Kind == SyncRequest || n.self.State.Terminal() {
 		return
 	}
-	joining := 4*(len(n.members)+1) < 3*int(p.Count)
-	if !n.syncDue(now, joining) {
+	incomplete := 4*(len(n.members)+1) < 3*int(p.Count)
+	if !n.syncDue(now, incomplete) {
 		return
 	}
-	salt := n.probeNumber()
-	held := n.held(salt)
-	if !n.sync.bytes.take(now, len(held)+requestOverhead) {
+	salt := n.nextProbeNumber()
+	held := n.heldFilter(salt)
+	if !n.sync.budget.take(now, len(held)+syncRequestOverhead) {
 		return
 	}
 	n.sync.lastSync = now
 	n.send(from, Packet{Kind: SyncRequest, Probe: salt, Filter: held})
 }
 
-func (n *Node) syncDue(now time.Time, joining bool) bool {
+func (n *Node) syncDue(now time.Time, incomplete bool) bool {
 	waited := now.Sub(n.sync.lastSync)
-	if joining || n.sync.bulk {
+	if incomplete || n.sync.bulk {
 		return waited >= bulkSyncInterval
 	}
-	quiet := now.Sub(n.sync.lastChange) >= syncQuiet
-	apart := now.Sub(n.sync.lastAgreed) >= syncPatience
-	return waited >= syncInterval && (quiet || apart)
+	quiet := now.Sub(n.sync.lastChange) >= syncQuietPeriod
+	diverged := now.Sub(n.sync.lastMatch) >= maxSyncDelay
+	return waited >= syncInterval && (quiet || diverged)
 }
 
-// answerSync sends one page of the records that the asker does not hold.
-func (n *Node) answerSync(now time.Time, from string, p Packet) {
-	page := n.missing(now, p.Filter, p.Probe)
-	if len(page) == 0 || !n.sync.bytes.take(now, recordsSize(page)) {
+// handleSyncRequest sends one page of the records that the requester does not have.
+func (n *Node) handleSyncRequest(now time.Time, from string, p Packet) {
+	page := n.missingRecords(now, p.Filter, p.Probe)
+	if len(page) == 0 || !n.sync.budget.take(now, recordsSize(page)) {
 		return
 	}
 	n.send(from, Packet{Kind: SyncPage, Records: page})
 }
 
-// missing collects a page from a random place of the table on, so that the pages
-// of several peers seldom bring the same. Live records go first: after a partition
-// the asker holds newer ones in place of most of the dead.
-func (n *Node) missing(now time.Time, f filter, salt uint32) []Record {
-	live, ended := n.split()
+// missingRecords collects a page of records that the filter does not contain. It starts
+// at a random position in the table, so that pages from several peers seldom contain the
+// same records. Live records come first: after a partition, the requester has newer
+// records of most of the dead.
+func (n *Node) missingRecords(now time.Time, f filter, salt uint32) []Record {
+	live, terminal := n.recordsByLiveness()
 	var page []Record
 	size := 0
-	for _, r := range append(n.rotate(live), n.rotate(ended)...) {
-		if f.has(recordHash(r), salt) {
+	for _, r := range append(n.rotated(live), n.rotated(terminal)...) {
+		if f.mayContain(recordHash(r), salt) {
 			continue
 		}
-		r = n.aged(now, r)
-		if size += r.Size(); size > pageBytes {
+		r = n.withAge(now, r)
+		if size += r.Size(); size > maxPageBytes {
 			break
 		}
 		page = append(page, r)
@@ -112,22 +115,23 @@
 	return page
 }
 
-// split returns all records by whether they are live, each in order of names.
-func (n *Node) split() (live, ended []Record) {
+// recordsByLiveness returns the live and the terminal records, each sorted by name except
+// that live begins with this node's own.
+func (n *Node) recordsByLiveness() (live, terminal []Record) {
 	live = append(live, n.self)
 	for _, name := range n.index().names {
 		m := n.members[name]
 		if m.State.Terminal() {
-			ended = append(ended, m.Record)
+			terminal = append(terminal, m.Record)
 		} else {
 			live = append(live, m.Record)
 		}
 	}
-	return live, ended
+	return live, terminal
 }
 
-// rotate starts the records at a random one.
-func (n *Node) rotate(records []Record) []Record {
+// rotated returns the records rotated to start at a random one.
+func (n *Node) rotated(records []Record) []Record {
 	if len(records) == 0 {
 		return nil
 	}
@@ -135,16 +139,16 @@
 	return slices.Concat(records[start:], records[:start])
 }
 
-// aged is the record as it is sent at now.
-func (n *Node) aged(now time.Time, r Record) Record {
+// withAge returns the record to send at now, with its age if the state is terminal.
+func (n *Node) withAge(now time.Time, r Record) Record {
 	if m, ok := n.members[r.Name]; ok {
-		return m.wire(now)
+		return m.recordAt(now)
 	}
 	return r
 }
 
-// held is the filter of this node's own records.
-func (n *Node) held(salt uint32) filter {
+// heldFilter returns a filter of all records of this node.
+func (n *Node) heldFilter(salt uint32) filter {
 	f := newFilter(len(n.members) + 1)
 	f.add(recordHash(n.self), salt)
 	for _, m := range n.members {
--- a/membership/gossip/version.go
+++ b/membership/gossip/version.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-type behindState struct {
-	next time.Time
-	told uint64
+// newerConfigState tracks which higher version was reported to the owner and when it is
+// reported next.
+type newerConfigState struct {
+	nextReport time.Time
+	reported   uint64
 }
 
-// noteHighest learns of a third member's configuration version. One version and
-// its holder in each packet spread a new version as fast as any news, without a
-// record from each member for each version.
-func (n *Node) noteHighest(p Packet) {
+// updateHighestVersion records the highest configuration version named in a packet for the
+// member that has it. One version and its holder in each packet spread a new version as
+// fast as an update would, without a record from each member for each version.
+func (n *Node) updateHighestVersion(p Packet) {
 	m, ok := n.members[p.HighestHolder]
 	if ok {
 		n.raiseVersion(m, p.HighestVersion)
 	}
 }
 
-// checkBehind tells the owner of a peer with a higher version, at once when the
-// version is new and then again while this instance stays behind.
-func (n *Node) checkBehind(now time.Time) {
-	version := n.index().best
-	if version == 0 || (version <= n.behind.told && now.Before(n.behind.next)) {
+// checkNewerConfig notifies the owner of a peer with a higher version, immediately for a
+// new version and then repeatedly until this instance has it.
+func (n *Node) checkNewerConfig(now time.Time) {
+	version := n.index().highestVersion
+	if version == 0 || (version <= n.newerConfig.reported && now.Before(n.newerConfig.nextReport)) {
 		return
 	}
-	n.news.urgentVersion = n.news.urgentVersion || version > n.behind.told
+	n.updates.urgentVersion = n.updates.urgentVersion || version > n.newerConfig.reported
 	holders := n.holdersOf(version)
 	peer := holders[n.rng.IntN(len(holders))]
-	n.behind = behindState{next: now.Add(behindInterval), told: version}
-	n.events.Behind = &Behind{Peer: peer, Version: version}
+	n.newerConfig = newerConfigState{nextReport: now.Add(newerConfigInterval), reported: version}
+	n.events.NewerConfig = &NewerConfig{Peer: peer, Version: version}
 }
 
 func (n *Node) holdersOf(version uint64) []Record {
--- a/membership/gossip_test.go
+++ b/membership/gossip_test.go
@@ -23,7 +23,7 @@
 	}
 	ended := make(map[key]uint64)
 	w.observer = func(s *simNode, e gossip.Events) {
-		if !e.Updated {
+		if !e.RecordsUpdated {
 			return
 		}
 		for _, r := range s.node.All() {
@@ -113,7 +113,7 @@
 	w.loss = 0.1
 	dead := false
 	w.observer = func(s *simNode, e gossip.Events) {
-		if !e.Updated {
+		if !e.RecordsUpdated {
 			return
 		}
 		for _, r := range s.node.All() {
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -32,7 +32,7 @@
 	up, paused    bool
 	held          []event
 	run           int
-	renewals      []gossip.Renewal
+	renewals      []gossip.IncarnationChange
 	behind        uint64
 }
 
@@ -153,12 +153,12 @@
 }
 
 func (w *network) notice(s *simNode) {
-	events := s.node.Take()
-	if events.Renewed != nil {
-		s.renewals = append(s.renewals, *events.Renewed)
+	events := s.node.TakeEvents()
+	if events.NewIncarnation != nil {
+		s.renewals = append(s.renewals, *events.NewIncarnation)
 	}
-	if events.Behind != nil {
-		s.behind = events.Behind.Version
+	if events.NewerConfig != nil {
+		s.behind = events.NewerConfig.Version
 	}
 	if w.observer != nil {
 		w.observer(s, events)
