--- a/membership/actor.go
+++ b/membership/actor.go
@@ -35,14 +35,14 @@
 	}
 )
 
-// protocol is the actor that owns the gossip state.
-type protocol struct {
+// protocolActor owns the gossip state and serialises access to it.
+type protocolActor struct {
 	service *Service
 	node    *gossip.Node
 }
 
 // Receive implements actor.Actor.
-func (p *protocol) Receive(ctx actor.Context) {
+func (p *protocolActor) Receive(ctx actor.Context) {
 	switch message := ctx.Message().(type) {
 	case *tickMessage:
 		p.service.transmit(p.node.Tick(message.now))
@@ -60,57 +60,57 @@
 	default:
 		return
 	}
-	p.report()
+	p.handleEvents()
 }
 
-// report publishes the new state and tells the owner of events.
-func (p *protocol) report() {
+// handleEvents publishes the new state and notifies the owner of events.
+func (p *protocolActor) handleEvents() {
 	events := p.node.TakeEvents()
 	before := p.service.snapshot.Load().all
 	if events.RecordsUpdated {
-		p.service.publish(p.node)
+		p.service.publishSnapshot(p.node)
 	}
 	if events.NewIncarnation != nil {
-		p.service.renewed(*events.NewIncarnation)
+		p.service.notifyNewIncarnation(*events.NewIncarnation)
 	}
 	if events.MembersChanged {
-		p.service.changed(before)
+		p.service.notifyMembersChanged(before)
 	}
 	if events.NewerConfig != nil {
-		p.service.behind(*events.NewerConfig)
+		p.service.notifyNewerConfig(*events.NewerConfig)
 	}
 }
 
 func newNode(cfg Config) *gossip.Node {
-	figures := cfg.Protocol
-	figures.Seeds = cfg.Seeds
-	figures.Self = recordOf(Member{
+	protocolConfig := cfg.Protocol
+	protocolConfig.Seeds = cfg.Seeds
+	protocolConfig.Self = recordOf(Member{
 		Holder:          cfg.Holder,
 		DataCentre:      cfg.DataCentre,
 		OperatorAddress: cfg.OperatorAddress,
 	})
-	return gossip.NewNode(figures, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), time.Now())
+	return gossip.NewNode(protocolConfig, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), time.Now())
 }
 
-func (s *Service) renewed(r gossip.IncarnationChange) {
+func (s *Service) notifyNewIncarnation(change gossip.IncarnationChange) {
 	s.metrics.renewals.Inc(1)
-	s.log.Warn("declared dead, new incarnation", zap.Uint64("old", r.Old), zap.Uint64("new", r.New))
-	for _, f := range s.registered().renewed {
-		f(r.Old, r.New)
+	s.log.Warn("declared dead, new incarnation", zap.Uint64("old", change.Old), zap.Uint64("new", change.New))
+	for _, f := range s.currentCallbacks().onNewIncarnation {
+		f(change.Old, change.New)
 	}
 }
 
-func (s *Service) changed(before []Member) {
+func (s *Service) notifyMembersChanged(before []Member) {
 	members := s.Members()
 	s.metrics.members.Update(float64(len(members)))
 	s.logChanges(before, s.snapshot.Load().all)
-	for _, f := range s.registered().change {
+	for _, f := range s.currentCallbacks().onChange {
 		f(members)
 	}
 }
 
-func (s *Service) behind(b gossip.NewerConfig) {
-	for _, f := range s.registered().version {
-		f(memberOf(b.Peer), b.Version)
+func (s *Service) notifyNewerConfig(newer gossip.NewerConfig) {
+	for _, f := range s.currentCallbacks().onConfigVersion {
+		f(memberOf(newer.Peer), newer.Version)
 	}
 }
--- a/membership/changes.go
+++ b/membership/changes.go
@@ -4,43 +4,44 @@
 	"go.uber.org/zap"
 )
 
-// change is what operators are told of one member.
-type change string
+// memberChange is the kind of a member's change in logs and metrics.
+type memberChange string
 
 const (
-	joined    change = "joined"
-	died      change = "dead"
-	left      change = "left"
-	restarted change = "restarted"
-	drains    change = "draining"
-	resumed   change = "draining_ended"
+	memberJoined    memberChange = "joined"
+	memberDied      memberChange = "dead"
+	memberLeft      memberChange = "left"
+	memberRestarted memberChange = "restarted"
+	drainingStarted memberChange = "draining"
+	drainingEnded   memberChange = "draining_ended"
 )
 
-// compare names the change between two records of a member, or "" when operators
-// need not know. known is false when the member was not known before.
-func compare(before Member, known bool, after Member) change {
+// classifyChange returns the kind of change between two records of a member, or "" for a
+// change that is not reported to operators. known is false if the member was not known
+// before.
+func classifyChange(before Member, known bool, after Member) memberChange {
 	switch {
 	case after.State == Dead && known && before.State != Dead:
-		return died
+		return memberDied
 	case after.State == Left && known && before.State != Left:
-		return left
+		return memberLeft
 	case after.State.Terminal():
 		return ""
 	case !known, before.State.Terminal():
-		return joined
+		return memberJoined
 	case before.Incarnation != after.Incarnation:
-		return restarted
+		return memberRestarted
 	case before.Draining != after.Draining && after.Draining:
-		return drains
+		return drainingStarted
 	case before.Draining != after.Draining:
-		return resumed
+		return drainingEnded
 	default:
 		return ""
 	}
 }
 
-// logChanges writes a line for each member that changed, so that the log alone
-// tells when an instance was lost and which run of it.
+// logChanges logs each member that changed, so that the log alone shows when an instance
+// was lost and which run of it.
 func (s *Service) logChanges(before, after []Member) {
 	old := make(map[string]Member, len(before))
 	for _, m := range before {
@@ -48,14 +49,14 @@
 	}
 	for _, m := range after {
 		previous, known := old[m.Instance]
-		what := compare(previous, known, m)
-		if what == "" {
+		kind := classifyChange(previous, known, m)
+		if kind == "" {
 			continue
 		}
-		s.metrics.change(what).Inc(1)
+		s.metrics.changes(kind).Inc(1)
 		s.log.Info("member changed",
 			zap.String("member", m.Instance),
-			zap.String("change", string(what)),
+			zap.String("change", string(kind)),
 			zap.Uint64("incarnation", m.Incarnation),
 			zap.String("address", m.Address),
 			zap.String("data_centre", m.DataCentre))
--- a/membership/codec.go
+++ b/membership/codec.go
@@ -16,22 +16,22 @@
 	"github.com/cairnworks/cairnworks/membership/gossip"
 )
 
-// macBytes is the length of the truncated HMAC-SHA256 behind each datagram. 128
-// bits are what RFC 2104 asks for at least (half the hash).
+// macBytes is the length of the truncated HMAC-SHA256 at the end of each datagram. 128
+// bits are the minimum that RFC 2104 recommends (half the hash).
 const macBytes = 16
 
-var errUnauthenticated = errors.New("datagram without a valid MAC")
+var errUnauthenticated = errors.New("datagram has no valid MAC")
 
-// codec turns packets into authenticated datagrams and back.
+// codec encodes packets as authenticated datagrams and decodes them.
 //
-// A stranger that reaches the UDP port could otherwise declare live instances
-// dead. A repeated old datagram does no harm: records only ever move forward, and
-// an answer counts only with the number of the ping under way.
+// Without authentication, anyone who can reach the UDP port could declare live instances
+// dead. Replayed datagrams are harmless: a record is only ever replaced by a later one,
+// and an answer is accepted only with the number of the pending ping.
 type codec struct {
-	// secrets accepted; the first one signs.
+	// secrets are the accepted secrets; the first one signs.
 	secrets [][]byte
-	// fleet returns what the sender says of its fleet; without it datagrams name none, and
-	// are signed with the secret itself.
+	// fleet returns the identity of the sender's fleet. If it is nil, datagrams name no
+	// fleet and are signed with the secret itself.
 	fleet func() fleetid.Identity
 }
 
@@ -56,20 +56,21 @@
 	if err != nil {
 		return nil, err
 	}
-	return append(body, mac(c.key(c.secrets[0], message.FleetName), body)...), nil
+	return append(body, mac(c.macKey(c.secrets[0], message.FleetName), body)...), nil
 }
 
 func (c codec) decode(datagram []byte) (gossip.Packet, error) {
-	message, err := c.open(datagram)
+	message, err := c.authenticate(datagram)
 	if err != nil {
 		return gossip.Packet{}, err
 	}
 	return packetFromProto(message)
 }
 
-// open returns the message of an authentic datagram. It is read before its MAC is checked,
-// because the MAC's key depends on the name that it tells.
-func (c codec) open(datagram []byte) (*membershipv1.Packet, error) {
+// authenticate verifies the MAC of a datagram and returns its message. The message is
+// decoded before the MAC is verified because the MAC's key depends on the fleet name in
+// the message.
+func (c codec) authenticate(datagram []byte) (*membershipv1.Packet, error) {
 	if len(datagram) < macBytes {
 		return nil, errUnauthenticated
 	}
@@ -77,23 +78,23 @@
 	var message membershipv1.Packet
 	malformed := proto.Unmarshal(body, &message)
 	if c.fleet != nil && message.FleetName == "" {
-		// A version that does not tell the name signs under it all the same.
+		// Versions that do not send the fleet name still sign with a key derived from it.
 		message.FleetName = c.fleet().Name
 	}
-	if !c.authentic(body, datagram[len(body):], message.FleetName) {
+	if !c.hasValidMAC(body, datagram[len(body):], message.FleetName) {
 		return nil, errUnauthenticated
 	}
 	return &message, malformed
 }
 
-func (c codec) authentic(body, tag []byte, fleetName string) bool {
+func (c codec) hasValidMAC(body, tag []byte, fleetName string) bool {
 	return slices.ContainsFunc(c.secrets, func(secret []byte) bool {
-		return hmac.Equal(tag, mac(c.key(secret, fleetName), body))
+		return hmac.Equal(tag, mac(c.macKey(secret, fleetName), body))
 	})
 }
 
-// key returns the key that a secret gives for datagrams of a fleet.
-func (c codec) key(secret []byte, fleetName string) []byte {
+// macKey derives the MAC key of a fleet's datagrams from a secret.
+func (c codec) macKey(secret []byte, fleetName string) []byte {
 	if c.fleet == nil {
 		return secret
 	}
@@ -107,7 +108,7 @@
 }
 
 func packetToProto(p gossip.Packet) (*membershipv1.Packet, error) {
-	target, err := packAddress(p.TargetAddress)
+	target, err := marshalAddress(p.TargetAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -136,11 +137,11 @@
 }
 
 func recordToProto(r gossip.Record) (*membershipv1.Record, error) {
-	address, err := packAddress(r.Address)
+	address, err := marshalAddress(r.Address)
 	if err != nil {
 		return nil, err
 	}
-	operator, err := packAddress(r.OperatorAddress)
+	operator, err := marshalAddress(r.OperatorAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -159,7 +160,7 @@
 }
 
 func packetFromProto(message *membershipv1.Packet) (gossip.Packet, error) {
-	target, err := unpackAddress(message.TargetAddress)
+	target, err := unmarshalAddress(message.TargetAddress)
 	if err != nil {
 		return gossip.Packet{}, err
 	}
@@ -188,17 +189,17 @@
 }
 
 func recordFromProto(record *membershipv1.Record) (gossip.Record, error) {
-	address, err := unpackAddress(record.Address)
+	address, err := unmarshalAddress(record.Address)
 	if err != nil {
 		return gossip.Record{}, err
 	}
-	operator, err := unpackAddress(record.OperatorAddress)
+	operator, err := unmarshalAddress(record.OperatorAddress)
 	if err != nil {
 		return gossip.Record{}, err
 	}
 	state := gossip.State(record.State)
 	if record.Name == "" || state < gossip.Alive || state > gossip.Left {
-		return gossip.Record{}, fmt.Errorf("record %q in state %d", record.Name, record.State)
+		return gossip.Record{}, fmt.Errorf("record %q has no name or invalid state %d", record.Name, record.State)
 	}
 	return gossip.Record{
 		Name:            record.Name,
@@ -214,8 +215,8 @@
 	}, nil
 }
 
-// packAddress turns IP:port into 6 or 18 bytes; an empty address stays empty.
-func packAddress(address string) ([]byte, error) {
+// marshalAddress encodes IP:port in 6 or 18 bytes. An empty address stays empty.
+func marshalAddress(address string) ([]byte, error) {
 	if address == "" {
 		return nil, nil
 	}
@@ -226,7 +227,7 @@
 	return parsed.MarshalBinary()
 }
 
-func unpackAddress(packed []byte) (string, error) {
+func unmarshalAddress(packed []byte) (string, error) {
 	if len(packed) == 0 {
 		return "", nil
 	}
--- a/membership/commands.go
+++ b/membership/commands.go
@@ -7,39 +7,39 @@
 	"github.com/cairnworks/cairnworks/membership/gossip"
 )
 
-// OnChange registers a function that is called with the members after their set or
-// a member's draining state changed. All callbacks are to be registered before
-// Run; they run one at a time and must not block: the protocol waits for them.
+// OnChange registers a callback that receives the members after the set of members or the
+// draining state of a member changed. All callbacks must be registered before Run. They are
+// called one at a time and must not block because the protocol waits for them.
 func (s *Service) OnChange(f func([]Member)) {
-	s.register(func(c *callbacks) { c.change = append(c.change, f) })
+	s.register(func(c *callbacks) { c.onChange = append(c.onChange, f) })
 }
 
-// OnConfigVersion registers a function that is called when a live peer holds a
-// higher configuration version than this instance: at once, and again every
-// second with some holder until SetConfigVersion has caught up.
+// OnConfigVersion registers a callback for when a live peer has a higher configuration
+// version than this instance. It is called immediately, and again every second with one of
+// the peers that have it until SetConfigVersion has been called with that version.
 func (s *Service) OnConfigVersion(f func(peer Member, version uint64)) {
-	s.register(func(c *callbacks) { c.version = append(c.version, f) })
+	s.register(func(c *callbacks) { c.onConfigVersion = append(c.onConfigVersion, f) })
 }
 
-// OnNewIncarnation registers a function that is called when this instance was declared
-// dead, because it was paused or cut off, and took a new incarnation. The owner
-// must drop every grant and lease held under the old one: others may hold them.
-func (s *Service) OnNewIncarnation(f func(old, renewed uint64)) {
-	s.register(func(c *callbacks) { c.renewed = append(c.renewed, f) })
+// OnNewIncarnation registers a callback for when this instance was declared dead, because it
+// was paused or partitioned from the others, and took a new incarnation. The owner must drop
+// every grant and lease of the previous incarnation because others may hold them now.
+func (s *Service) OnNewIncarnation(f func(previous, current uint64)) {
+	s.register(func(c *callbacks) { c.onNewIncarnation = append(c.onNewIncarnation, f) })
 }
 
-// SetConfigVersion publishes the version that this instance has applied.
+// SetConfigVersion publishes the configuration version that this instance has applied.
 func (s *Service) SetConfigVersion(version uint64) {
 	s.system.Root.Send(s.pid, &versionMessage{version: version})
 }
 
-// SetDraining publishes whether this instance takes new work.
+// SetDraining publishes whether this instance is draining and takes no new work.
 func (s *Service) SetDraining(draining bool) {
 	s.system.Root.Send(s.pid, &drainMessage{draining: draining})
 }
 
-// Leave tells others that this instance ends. Its incarnation takes no further
-// part; the caller then ends Run.
+// Leave announces to the other members that this instance is shutting down. Its incarnation
+// no longer takes part in the protocol; the caller then ends Run.
 func (s *Service) Leave(ctx context.Context) error {
 	done := make(chan struct{})
 	s.system.Root.Send(s.pid, &leaveMessage{now: time.Now(), done: done})
@@ -57,14 +57,14 @@
 	add(&s.callbacks)
 }
 
-func (s *Service) registered() callbacks {
+func (s *Service) currentCallbacks() callbacks {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.callbacks
 }
 
-// publish replaces the snapshot that queries read.
-func (s *Service) publish(node *gossip.Node) {
+// publishSnapshot replaces the snapshot that queries read.
+func (s *Service) publishSnapshot(node *gossip.Node) {
 	records := node.All()
 	next := &snapshot{self: memberOf(node.Self()), all: make([]Member, 0, len(records))}
 	for _, r := range records {
--- a/membership/config.go
+++ b/membership/config.go
@@ -15,56 +15,57 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// Config is what a Service needs.
+// Config configures a Service.
 type Config struct {
-	// Holder is this instance. Its Address is the peer address; gossip is sent
-	// from and received at the same IP and port over UDP. A port of 0 takes a free
-	// one. An Incarnation of 0 takes the start time in milliseconds.
+	// Holder identifies this instance. Its Address is the peer address; gossip uses
+	// the same IP and port over UDP. Port 0 selects a free port. Incarnation 0
+	// selects the start time in milliseconds.
 	Holder          request.Holder
 	DataCentre      string
 	OperatorAddress string
-	// Seeds are addresses of other instances, IP:port.
+	// Seeds are the addresses of other instances, IP:port.
 	Seeds []string
-	// List is the platform's list, nil when there is none.
+	// List is the platform's instance list, or nil if there is none.
 	List port.InstanceList
-	// Secret authenticates the datagrams; it is shared by the fleet and has at
-	// least MinSecret bytes.
+	// Secret is the shared secret of the fleet that authenticates datagrams. It has
+	// at least MinSecret bytes.
 	Secret []byte
-	// AlsoAccepted are further secrets that received datagrams may carry. A secret
-	// is replaced in three rollouts: accept the new one, sign with it and accept the
-	// old one, drop the old one. Replaced in one, it would split the fleet into
-	// those that have restarted and those that haven't, each declaring the other
-	// dead.
+	// AlsoAccepted are additional secrets accepted in received datagrams. A secret is
+	// rotated in three rollouts: accept the new one, sign with it and accept the old
+	// one, drop the old one. If it were replaced in a single rollout, the instances
+	// already restarted and the others would declare each other dead.
 	AlsoAccepted [][]byte
-	// Fleet tells datagrams of this fleet from those of others that hold the same secret;
-	// nil hears whoever holds it.
+	// Fleet distinguishes datagrams of this fleet from those of other fleets with the
+	// same secret. If it is nil, datagrams of any instance with the secret are
+	// accepted.
 	Fleet *fleetid.Keeper
-	// Hints returns further addresses of instances, such as those that the fleet's log
-	// names; nil has none.
+	// Hints returns additional addresses of instances, such as those recorded in the
+	// fleet's log. It may be nil.
 	Hints func() []string
-	// Conn is the UDP socket; nil listens at Holder.Address. Run closes it.
+	// Conn is the UDP socket. If it is nil, New listens on Holder.Address. Run closes
+	// it.
 	Conn net.PacketConn
-	// Protocol overrides the protocol's figures in tests; its Self and Seeds are
-	// set from the fields above.
+	// Protocol overrides the protocol parameters in tests; its Self and Seeds are set
+	// from the fields above.
 	Protocol gossip.Config
-	// System runs the actor; nil makes one.
+	// System runs the protocol actor. If it is nil, New creates one.
 	System  *actor.ActorSystem
 	Logger  *zap.Logger
 	Metrics tally.Scope
 }
 
-// MinSecret is the least length of the shared secret in bytes. Shorter ones can be
-// found by trying.
+// MinSecret is the minimum length of the shared secret in bytes. Shorter secrets can be
+// found by brute force.
 const MinSecret = 16
 
-func (c Config) check() error {
+func (c Config) validate() error {
 	var errs []error
 	if c.Holder.Instance == "" {
-		errs = append(errs, errors.New("instance name missing"))
+		errs = append(errs, errors.New("instance name is missing"))
 	}
 	for _, secret := range c.secrets() {
 		if len(secret) < MinSecret {
-			errs = append(errs, errors.New("gossip secret shorter than 16 bytes"))
+			errs = append(errs, errors.New("gossip secret is shorter than 16 bytes"))
 		}
 	}
 	for _, address := range append([]string{c.Holder.Address}, c.Seeds...) {
@@ -75,7 +76,7 @@
 	return errors.Join(errs...)
 }
 
-// secrets returns all that are accepted, the one that signs first.
+// secrets returns all accepted secrets; the first one signs.
 func (c Config) secrets() [][]byte {
 	return append([][]byte{c.Secret}, c.AlsoAccepted...)
 }
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -13,56 +13,59 @@
 	"github.com/cairnworks/cairnworks/membership/gossip"
 )
 
-// inFleet returns a service's side that hears datagrams, of a fleet with an id and a name.
-func inFleet(t *testing.T, id fleetid.ID, name string) *Service {
+// newFleetService returns a service of the fleet with the given id and name that can only
+// encode and decode datagrams.
+func newFleetService(t *testing.T, id fleetid.ID, name string) *Service {
 	t.Helper()
 	cfg := Config{Secret: []byte("0123456789abcdef"), Fleet: fleetidtest.Keeper(t, id, name)}
 	return &Service{cfg: cfg, codec: newCodec(cfg), metrics: newMetrics(tally.NoopScope)}
 }
 
-// hears reports whether one instance takes a datagram of another.
-func hears(t *testing.T, to, from *Service) bool {
+// accepts reports whether one instance accepts a datagram of another.
+func accepts(t *testing.T, to, from *Service) bool {
 	t.Helper()
 	datagram, err := from.codec.encode(gossip.Packet{Kind: gossip.Ping, From: "b"})
 	assert.NilError(t, err)
-	_, ok := to.read(datagram, "127.0.0.1:1")
+	_, ok := to.decodeDatagram(datagram, "127.0.0.1:1")
 	return ok
 }
 
-// An instance is a member by the log that it uses, whatever it calls the fleet: by another
-// address of the log it would be refused though both must decide together, and by the same
-// name on another log it would decide what it cannot know. Before the log has been read the
-// name has to do, or nobody could restart while the log is down.
-func TestMembersAreThoseOfOneLog(t *testing.T) {
-	own := inFleet(t, 7, "rota")
+// Members are instances that use the same log, whatever name they give the fleet. If the name
+// decided, instances that reach one log at different addresses would reject each other though
+// they must decide together, and an instance of another log with the same name would take part
+// in decisions that it lacks the data for. Until the log has been read, the name decides;
+// otherwise no instance could restart while the log is down.
+func TestMembersUseSameLog(t *testing.T) {
+	own := newFleetService(t, 7, "rota")
 	for _, test := range []struct {
-		what  string
-		other *Service
-		heard bool
+		name     string
+		other    *Service
+		accepted bool
 	}{
-		{"same log", inFleet(t, 7, "rota"), true},
-		{"same log by another name", inFleet(t, 7, "log.example"), true},
-		{"another log by the same name", inFleet(t, 8, "rota"), false},
-		{"log not read yet", inFleet(t, 0, "rota"), true},
-		{"log not read yet, another name", inFleet(t, 0, "tickets"), false},
+		{"same log", newFleetService(t, 7, "rota"), true},
+		{"same log by another name", newFleetService(t, 7, "log.example"), true},
+		{"another log by the same name", newFleetService(t, 8, "rota"), false},
+		{"log not read yet", newFleetService(t, 0, "rota"), true},
+		{"log not read yet, another name", newFleetService(t, 0, "tickets"), false},
 	} {
-		assert.Equal(t, hears(t, own, test.other), test.heard, test.what)
-		assert.Equal(t, hears(t, test.other, own), test.heard, test.what)
+		assert.Equal(t, accepts(t, own, test.other), test.accepted, test.name)
+		assert.Equal(t, accepts(t, test.other, own), test.accepted, test.name)
 	}
 }
 
-// Versions before the fleet's id sign under the fleet's name and tell neither. In a rolling
-// upgrade both versions must hear one another, or they are two fleets on one log.
-func TestVersionsThatTellNoFleetAreHeardByTheirKey(t *testing.T) {
-	own := inFleet(t, 7, "rota")
-	before := func(name string) []byte {
+// Versions from before fleet ids sign with a key derived from the fleet name and send neither
+// id nor name. In a rolling upgrade, both versions must accept each other's datagrams;
+// otherwise they would form two fleets on one log.
+func TestVersionsWithoutFleetIDAreAcceptedByKey(t *testing.T) {
+	own := newFleetService(t, 7, "rota")
+	oldDatagram := func(name string) []byte {
 		body, err := proto.Marshal(&membershipv1.Packet{Kind: membershipv1.Kind_KIND_PING, From: "b"})
 		assert.NilError(t, err)
 		return append(body, mac([]byte(fleetid.Key("0123456789abcdef", name)), body)...)
 	}
-	_, ok := own.read(before("rota"), "127.0.0.1:1")
+	_, ok := own.decodeDatagram(oldDatagram("rota"), "127.0.0.1:1")
 	assert.Assert(t, ok)
-	_, ok = own.read(before("tickets"), "127.0.0.1:1")
+	_, ok = own.decodeDatagram(oldDatagram("tickets"), "127.0.0.1:1")
 	assert.Assert(t, !ok)
 
 	datagram, err := own.codec.encode(gossip.Packet{Kind: gossip.Ping, From: "a"})
@@ -71,12 +74,13 @@
 	assert.DeepEqual(t, datagram[len(body):], mac([]byte(fleetid.Key("0123456789abcdef", "rota")), body))
 }
 
-// A name that is told and not signed under is a forgery.
-func TestTheNameIsSigned(t *testing.T) {
-	own := inFleet(t, 7, "rota")
+// A datagram whose MAC was made with the key of another fleet name than the one it contains is
+// forged and must be rejected.
+func TestFleetNameIsAuthenticated(t *testing.T) {
+	own := newFleetService(t, 7, "rota")
 	body, err := proto.Marshal(&membershipv1.Packet{Kind: membershipv1.Kind_KIND_PING, From: "b", FleetId: 7, FleetName: "tickets"})
 	assert.NilError(t, err)
 	forged := append(body, mac([]byte(fleetid.Key("0123456789abcdef", "rota")), body)...)
-	_, ok := own.read(forged, "127.0.0.1:1")
+	_, ok := own.decodeDatagram(forged, "127.0.0.1:1")
 	assert.Assert(t, !ok)
 }
--- a/membership/home.go
+++ b/membership/home.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Home returns the member that rendezvous hashing picks for a key among those
-// that are neither dead, left nor draining, or false when there is none. When a
-// member comes or goes, only the keys it gains or had move.
+// Home returns the member that rendezvous hashing selects for a key among those that are
+// neither dead, left nor draining, or false if there is none. When a member joins or
+// leaves, only the keys that it gains or had move.
 func Home(key string, members []Member) (Member, bool) {
 	var best Member
 	var bestScore uint64
@@ -26,8 +26,9 @@
 	return best, found
 }
 
-// Homes returns up to n members in the order in which they are homes of the key:
-// the first is Home's, the second is Home's if the first were gone, and so on.
+// Homes returns up to n members in order of preference as home of the key: the first is the
+// one that Home returns, the second is the one that Home would return without the first,
+// and so on.
 func Homes(key string, members []Member, n int) []Member {
 	type scored struct {
 		Member
@@ -51,8 +52,8 @@
 
 func eligible(m Member) bool { return !m.State.Terminal() && !m.Draining }
 
-// score mixes the hashes of key and name. It depends on the name alone, so that a
-// restarted instance gets its keys back.
+// score combines the hashes of a key and an instance name. Of the instance it depends only on
+// the name, so that a restarted instance gets its keys back.
 func score(key, instance string) uint64 {
 	h := xxhash.Sum64String(key) ^ (xxhash.Sum64String(instance) * 0x9e3779b97f4a7c15)
 	h = (h ^ (h >> 30)) * 0xbf58476d1ce4e5b9
--- a/membership/home_test.go
+++ b/membership/home_test.go
@@ -10,7 +10,7 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-func fleet(count int) []Member {
+func testMembers(count int) []Member {
 	members := make([]Member, count)
 	for i := range members {
 		members[i] = Member{Holder: request.Holder{Instance: fmt.Sprintf("entry-%03d", i)}, State: Alive}
@@ -18,20 +18,20 @@
 	return members
 }
 
-// A member dies or drains. Only the keys it was home of may move, or every loss
-// would rebuild all schedulers at once.
-func TestOnlyTheLostHomesMove(t *testing.T) {
-	before := fleet(9)
+// When a member dies or drains, only the keys of which it was the home may move; otherwise each
+// loss would rebuild all schedulers at once.
+func TestOnlyKeysOfLostHomesMove(t *testing.T) {
+	before := testMembers(9)
 	after := slices.Clone(before)
 	after[3].State = Dead
 	after[5].Draining = true
 	after[6].State = Suspect
-	share := make(map[string]int)
+	keysByHome := make(map[string]int)
 	for i := range 9000 {
 		key := fmt.Sprint("service-", i)
 		old, ok := Home(key, before)
 		assert.Assert(t, ok)
-		share[old.Instance]++
+		keysByHome[old.Instance]++
 		moved, ok := Home(key, after)
 		assert.Assert(t, ok)
 		order := Homes(key, before, 3)
@@ -41,7 +41,7 @@
 		assert.Equal(t, moved.Instance, order[next].Instance)
 		assert.Equal(t, old.Instance, order[0].Instance)
 	}
-	for instance, keys := range share {
+	for instance, keys := range keysByHome {
 		assert.Assert(t, keys > 850 && keys < 1150, "%s has %d of 9000 keys", instance, keys)
 	}
 	_, ok := Home("any", nil)
--- a/membership/member.go
+++ b/membership/member.go
@@ -1,10 +1,9 @@
-// Package membership tells which instances of the fleet are alive, which
-// configuration version each holds and which are draining. Instances gossip over
-// UDP (see package gossip for the protocol); the platform's instance list and the
-// settings only give addresses to begin with.
+// Package membership tracks which instances of the fleet are alive, which configuration
+// version each has and which are draining. Instances gossip over UDP (see package gossip
+// for the protocol); the platform's instance list and the settings only provide the
+// addresses for initial contact.
 //
-// A Service runs the protocol in an actor. Its queries read a snapshot and never
-// wait.
+// A Service runs the protocol in an actor. Its queries read a snapshot and never block.
 package membership
 
 import (
@@ -12,11 +11,11 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// State of a member.
+// State is the state of a member.
 type State = gossip.State
 
-// States of a member. Suspect members still count as alive: they have not
-// answered somebody and may yet refute it.
+// States of a member. A suspect member did not answer a probe. It still counts as alive
+// because it may refute the suspicion.
 const (
 	Alive   = gossip.Alive
 	Suspect = gossip.Suspect
@@ -24,19 +23,19 @@
 	Left    = gossip.Left
 )
 
-// Member is one instance as this one knows it.
+// Member describes an instance as known to this one.
 type Member struct {
 	// Holder's Address is the peer address, IP:port over TCP. Gossip uses the same
 	// port number over UDP.
 	request.Holder
 	DataCentre string
-	// OperatorAddress serves the operators' endpoints, IP:port.
+	// OperatorAddress is the address of the operator endpoints, IP:port.
 	OperatorAddress string
-	// ConfigVersion is the highest version that the member was heard to hold; it
+	// ConfigVersion is the highest configuration version reported for the member; it
 	// may lag by seconds.
 	ConfigVersion uint64
 	State         State
-	// Draining members take no new work and no homes.
+	// Draining members take no new work and are not home of any key.
 	Draining bool
 }
 
--- a/membership/metrics.go
+++ b/membership/metrics.go
@@ -6,9 +6,9 @@
 	"github.com/cairnworks/cairnworks/membership/gossip"
 )
 
-// headerBytes are the IPv4 and UDP headers of a datagram, counted so that the
-// metric can be held against the control budget.
-const headerBytes = 28
+// datagramOverhead is the size of the IPv4 and UDP headers of a datagram. It is included in
+// the metrics so that they can be compared with the control traffic budget.
+const datagramOverhead = 28
 
 type metrics struct {
 	members         tally.Gauge
@@ -20,9 +20,9 @@
 	sendErrors      tally.Counter
 	sentBytes       tally.Counter
 	receivedBytes   tally.Counter
-	// sentKinds are bytes sent by kind of packet, to see what a rise is made of.
-	sentKinds map[gossip.Kind]tally.Counter
-	scope     tally.Scope
+	// sentByKind counts the bytes sent by packet kind, to show the cause of an increase.
+	sentByKind map[gossip.Kind]tally.Counter
+	scope      tally.Scope
 }
 
 func newMetrics(scope tally.Scope) metrics {
@@ -32,7 +32,7 @@
 		kinds[kind] = scope.Tagged(map[string]string{"kind": kind.String()}).Counter("sent_kind_bytes")
 	}
 	return metrics{
-		sentKinds:       kinds,
+		sentByKind:      kinds,
 		scope:           scope,
 		members:         scope.Gauge("members"),
 		renewals:        scope.Counter("renewals"),
@@ -46,13 +46,13 @@
 	}
 }
 
-func (m metrics) received(bytes int) { m.receivedBytes.Inc(int64(bytes + headerBytes)) }
+func (m metrics) countReceived(bytes int) { m.receivedBytes.Inc(int64(bytes + datagramOverhead)) }
 
-func (m metrics) sent(kind gossip.Kind, bytes int) {
-	m.sentBytes.Inc(int64(bytes + headerBytes))
-	m.sentKinds[kind].Inc(int64(bytes + headerBytes))
+func (m metrics) countSent(kind gossip.Kind, bytes int) {
+	m.sentBytes.Inc(int64(bytes + datagramOverhead))
+	m.sentByKind[kind].Inc(int64(bytes + datagramOverhead))
 }
 
-func (m metrics) change(what change) tally.Counter {
-	return m.scope.Tagged(map[string]string{"change": string(what)}).Counter("changes")
+func (m metrics) changes(kind memberChange) tally.Counter {
+	return m.scope.Tagged(map[string]string{"change": string(kind)}).Counter("changes")
 }
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -11,29 +11,29 @@
 	"github.com/cairnworks/cairnworks/membership/gossip"
 )
 
-// network is a fake UDP network of protocol state machines in virtual time, in
-// steps of a millisecond. Every packet passes the real codec.
-type network struct {
-	now      time.Time
-	rng      *rand.Rand
-	codec    codec
-	nodes    []*simNode
-	byAddr   map[string]*simNode
-	queue    map[int64][]event // by the millisecond it is due
-	loss     float64
-	side     func(*simNode) int
-	bytes    int
-	observer func(*simNode, gossip.Events)
+// simNetwork simulates a UDP network of gossip nodes in virtual time, in steps of a
+// millisecond. Every packet passes through the real codec.
+type simNetwork struct {
+	now       time.Time
+	rng       *rand.Rand
+	codec     codec
+	nodes     []*simNode
+	byAddr    map[string]*simNode
+	queue     map[int64][]event // by due time in milliseconds
+	loss      float64
+	partition func(*simNode) int
+	bytes     int
+	onEvents  func(*simNode, gossip.Events)
 }
 
 type simNode struct {
-	name, address string
-	node          *gossip.Node
-	up, paused    bool
-	held          []event
-	run           int
-	renewals      []gossip.IncarnationChange
-	behind        uint64
+	name, address      string
+	node               *gossip.Node
+	up, paused         bool
+	buffered           []event
+	run                int
+	incarnationChanges []gossip.IncarnationChange
+	newerVersion       uint64
 }
 
 type event struct {
@@ -48,8 +48,8 @@
 	simSeeds       = 3
 )
 
-func newNetwork(seed uint64, count int) *network {
-	w := &network{
+func newSimNetwork(seed uint64, count int) *simNetwork {
+	sim := &simNetwork{
 		now:    time.UnixMilli(simIncarnation),
 		rng:    rand.New(rand.NewPCG(seed, 1)),
 		codec:  codec{secrets: [][]byte{[]byte("0123456789abcdef")}},
@@ -61,24 +61,24 @@
 			name:    fmt.Sprintf("entry-%03d", i),
 			address: fmt.Sprintf("10.0.%d.%d:7070", i/250, i%250+1),
 		}
-		w.nodes = append(w.nodes, s)
-		w.byAddr[s.address] = s
-		w.start(s)
+		sim.nodes = append(sim.nodes, s)
+		sim.byAddr[s.address] = s
+		sim.start(s)
 	}
-	return w
+	return sim
 }
 
-// start begins a new run of an instance at its address, at times with a clock that
-// is behind that of the earlier run.
-func (w *network) start(s *simNode) {
+// start begins a new run of an instance at its address. In every third run, from the second,
+// its clock is a minute behind.
+func (sim *simNetwork) start(s *simNode) {
 	s.run++
-	s.up, s.paused, s.held = true, false, nil
-	incarnation := uint64(w.now.UnixMilli() + int64(s.run))
+	s.up, s.paused, s.buffered = true, false, nil
+	incarnation := uint64(sim.now.UnixMilli() + int64(s.run))
 	if s.run%3 == 2 {
 		incarnation -= 60_000
 	}
 	var seeds []string
-	for _, peer := range w.nodes[:min(simSeeds, len(w.nodes))] {
+	for _, peer := range sim.nodes[:min(simSeeds, len(sim.nodes))] {
 		seeds = append(seeds, peer.address)
 	}
 	s.node = gossip.NewNode(gossip.Config{
@@ -87,165 +87,166 @@
 			Address: s.address, OperatorAddress: s.address, DataCentre: "waco-north",
 		},
 		Seeds: seeds,
-	}, rand.New(rand.NewPCG(w.rng.Uint64(), uint64(s.run))), w.now)
-	w.schedule(w.rng.Int64N(tickInterval.Milliseconds()), event{to: s, run: s.run})
+	}, rand.New(rand.NewPCG(sim.rng.Uint64(), uint64(s.run))), sim.now)
+	sim.schedule(sim.rng.Int64N(tickInterval.Milliseconds()), event{to: s, run: s.run})
 }
 
-func (w *network) stop(s *simNode)  { s.up = false }
-func (w *network) pause(s *simNode) { s.paused = true }
+func (sim *simNetwork) stop(s *simNode)  { s.up = false }
+func (sim *simNetwork) pause(s *simNode) { s.paused = true }
 
-// resume delivers what the socket buffered during the pause.
-func (w *network) resume(s *simNode) {
-	for _, e := range s.held {
-		w.schedule(1, e)
+// resume ends a pause and delivers the events buffered during it.
+func (sim *simNetwork) resume(s *simNode) {
+	for _, e := range s.buffered {
+		sim.schedule(1, e)
 	}
-	s.paused, s.held = false, nil
+	s.paused, s.buffered = false, nil
 }
 
-func (w *network) leave(s *simNode) {
-	w.transmit(s, s.node.Leave(w.now))
-	w.notice(s)
-	w.stop(s)
+func (sim *simNetwork) leave(s *simNode) {
+	sim.transmit(s, s.node.Leave(sim.now))
+	sim.handleEvents(s)
+	sim.stop(s)
 }
 
-func (w *network) schedule(milliseconds int64, e event) {
-	at := w.now.UnixMilli() + max(1, milliseconds)
-	w.queue[at] = append(w.queue[at], e)
+func (sim *simNetwork) schedule(milliseconds int64, e event) {
+	at := sim.now.UnixMilli() + max(1, milliseconds)
+	sim.queue[at] = append(sim.queue[at], e)
 }
 
-func (w *network) run(d time.Duration) {
+func (sim *simNetwork) run(d time.Duration) {
 	for range d.Milliseconds() {
-		w.now = w.now.Add(time.Millisecond)
-		due := w.queue[w.now.UnixMilli()]
-		delete(w.queue, w.now.UnixMilli())
+		sim.now = sim.now.Add(time.Millisecond)
+		due := sim.queue[sim.now.UnixMilli()]
+		delete(sim.queue, sim.now.UnixMilli())
 		for _, e := range due {
-			w.deliver(e)
+			sim.deliver(e)
 		}
 	}
 }
 
-// runUntil runs in small steps until the condition holds and returns the time it
-// took, or the limit.
-func (w *network) runUntil(limit time.Duration, done func() bool) time.Duration {
-	begun := w.now
-	for !done() && w.now.Sub(begun) < limit {
-		w.run(tickInterval)
+// runUntil runs until the condition holds or the limit is reached, and returns the virtual time
+// elapsed.
+func (sim *simNetwork) runUntil(limit time.Duration, done func() bool) time.Duration {
+	start := sim.now
+	for !done() && sim.now.Sub(start) < limit {
+		sim.run(tickInterval)
 	}
-	return w.now.Sub(begun)
+	return sim.now.Sub(start)
 }
 
-func (w *network) deliver(e event) {
+func (sim *simNetwork) deliver(e event) {
 	s := e.to
 	if !s.up || e.run != s.run && e.datagram == nil {
 		return
 	}
 	if s.paused {
-		s.held = append(s.held, e)
+		s.buffered = append(s.buffered, e)
 		return
 	}
 	if e.datagram == nil {
-		w.transmit(s, s.node.Tick(w.now))
-		w.schedule(tickInterval.Milliseconds(), event{to: s, run: s.run})
-	} else if packet, err := w.codec.decode(e.datagram); err == nil {
-		w.transmit(s, s.node.Receive(w.now, e.from, packet))
+		sim.transmit(s, s.node.Tick(sim.now))
+		sim.schedule(tickInterval.Milliseconds(), event{to: s, run: s.run})
+	} else if packet, err := sim.codec.decode(e.datagram); err == nil {
+		sim.transmit(s, s.node.Receive(sim.now, e.from, packet))
 	}
-	w.notice(s)
+	sim.handleEvents(s)
 }
 
-func (w *network) notice(s *simNode) {
+func (sim *simNetwork) handleEvents(s *simNode) {
 	events := s.node.TakeEvents()
 	if events.NewIncarnation != nil {
-		s.renewals = append(s.renewals, *events.NewIncarnation)
+		s.incarnationChanges = append(s.incarnationChanges, *events.NewIncarnation)
 	}
 	if events.NewerConfig != nil {
-		s.behind = events.NewerConfig.Version
+		s.newerVersion = events.NewerConfig.Version
 	}
-	if w.observer != nil {
-		w.observer(s, events)
+	if sim.onEvents != nil {
+		sim.onEvents(s, events)
 	}
 }
 
-func (w *network) transmit(from *simNode, packets []gossip.Outgoing) {
+func (sim *simNetwork) transmit(from *simNode, packets []gossip.Outgoing) {
 	for _, out := range packets {
-		datagram, err := w.codec.encode(out.Packet)
+		datagram, err := sim.codec.encode(out.Packet)
 		if err != nil {
 			panic(err)
 		}
-		w.bytes += len(datagram) + headerBytes
-		to, known := w.byAddr[out.To]
-		if !known || w.rng.Float64() < w.loss || (w.side != nil && w.side(from) != w.side(to)) {
+		sim.bytes += len(datagram) + datagramOverhead
+		to, known := sim.byAddr[out.To]
+		if !known || sim.rng.Float64() < sim.loss || (sim.partition != nil && sim.partition(from) != sim.partition(to)) {
 			continue
 		}
-		w.schedule(1+w.rng.Int64N(3), event{to: to, from: from.address, datagram: datagram})
+		sim.schedule(1+sim.rng.Int64N(3), event{to: to, from: from.address, datagram: datagram})
 	}
 }
 
-// view is what a node believes, without what may lag: suspicions and versions.
+// view returns the state that a node knows, without suspicions and configuration versions,
+// which may lag.
 func view(n *gossip.Node) string {
 	var v strings.Builder
 	for _, r := range n.All() {
-		ended := r.State.Terminal()
-		fmt.Fprintln(&v, r.Name, r.Incarnation, ended, r.Draining && !ended)
+		terminal := r.State.Terminal()
+		fmt.Fprintln(&v, r.Name, r.Incarnation, terminal, r.Draining && !terminal)
 	}
 	return v.String()
 }
 
-func (w *network) live() []*simNode {
-	return slices.DeleteFunc(slices.Clone(w.nodes), func(s *simNode) bool { return !s.up })
+func (sim *simNetwork) running() []*simNode {
+	return slices.DeleteFunc(slices.Clone(sim.nodes), func(s *simNode) bool { return !s.up })
 }
 
-// converged reports whether all running nodes hold the same view and each is
-// alive in it.
-func (w *network) converged() bool {
-	live := w.live()
+// converged reports whether all running nodes have the same view and all are alive in it.
+func (sim *simNetwork) converged() bool {
+	live := sim.running()
 	digest := live[0].node.Digest()
 	differs := slices.ContainsFunc(live, func(s *simNode) bool { return s.node.Digest() != digest })
-	return !differs && w.membersSeen(live[0]) == len(live)
+	return !differs && sim.liveMembersAt(live[0]) == len(live)
 }
 
-// membersSeen is the number of members that are not terminal at a node.
-func (w *network) membersSeen(s *simNode) int {
+// liveMembersAt returns the number of members whose state is not terminal at a node.
+func (sim *simNetwork) liveMembersAt(s *simNode) int {
 	return len(slices.DeleteFunc(s.node.All(), func(r gossip.Record) bool { return r.State.Terminal() }))
 }
 
-func (w *network) stateAt(observer, of *simNode) gossip.State {
+func (sim *simNetwork) stateAt(observer, of *simNode) gossip.State {
 	all := observer.node.All()
 	i := slices.IndexFunc(all, func(r gossip.Record) bool { return r.Name == of.name })
 	return all[i].State
 }
 
-// everyone reports whether the condition holds of the view each running node
-// other than the subject has of it.
-func (w *network) everyone(subject *simNode, holds func(gossip.State) bool) bool {
-	return !slices.ContainsFunc(w.live(), func(s *simNode) bool {
-		return s != subject && !holds(w.stateAt(s, subject))
+// allObserve reports whether the condition holds for the state of the subject at all running
+// nodes except the subject itself.
+func (sim *simNetwork) allObserve(subject *simNode, holds func(gossip.State) bool) bool {
+	return !slices.ContainsFunc(sim.running(), func(s *simNode) bool {
+		return s != subject && !holds(sim.stateAt(s, subject))
 	})
 }
 
-// spreadVersion gives one node a version and runs until all others know of it.
-func (w *network) spreadVersion(node int, version uint64) time.Duration {
-	w.nodes[node].node.SetConfigVersion(version)
-	return w.runUntil(time.Minute, func() bool {
-		return !slices.ContainsFunc(w.live(), func(s *simNode) bool {
-			return s != w.nodes[node] && s.behind < version
+// spreadVersion sets the configuration version of one node and returns the virtual time until
+// all others know of it.
+func (sim *simNetwork) spreadVersion(node int, version uint64) time.Duration {
+	sim.nodes[node].node.SetConfigVersion(version)
+	return sim.runUntil(time.Minute, func() bool {
+		return !slices.ContainsFunc(sim.running(), func(s *simNode) bool {
+			return s != sim.nodes[node] && s.newerVersion < version
 		})
 	})
 }
 
-// formed returns a network whose members all know one another.
-func formed(tb testing.TB, seed uint64, count int) *network {
+// newConverged returns a network in which all members know each other.
+func newConverged(tb testing.TB, seed uint64, count int) *simNetwork {
 	tb.Helper()
-	w := newNetwork(seed, count)
-	w.settle(tb, 2*time.Minute)
-	return w
+	sim := newSimNetwork(seed, count)
+	sim.waitConverged(tb, 2*time.Minute)
+	return sim
 }
 
-// settle runs until the views are equal and fails if they aren't by the limit.
-func (w *network) settle(tb testing.TB, limit time.Duration) time.Duration {
+// waitConverged runs until the views have converged and fails the test at the limit.
+func (sim *simNetwork) waitConverged(tb testing.TB, limit time.Duration) time.Duration {
 	tb.Helper()
-	took := w.runUntil(limit, w.converged)
-	if !w.converged() {
-		tb.Fatalf("views of %d members differ after %v", len(w.nodes), took)
+	elapsed := sim.runUntil(limit, sim.converged)
+	if !sim.converged() {
+		tb.Fatalf("views of %d members differ after %v", len(sim.nodes), elapsed)
 	}
-	return took
+	return elapsed
 }
--- a/membership/service.go
+++ b/membership/service.go
@@ -24,23 +24,24 @@
 const (
 	// tickInterval is the resolution of the protocol's timeouts.
 	tickInterval = 50 * time.Millisecond
-	// listInterval is how often the platform's list is read. It is a hint that
-	// lags anyway, and seeds and dead members are tried every second without it.
+	// listInterval is how often the platform's list is read. The list is only a hint
+	// and may be stale anyway, and seeds and dead members are pinged every second
+	// without it.
 	listInterval = 5 * time.Second
-	// maxDatagram is above every packet the protocol builds.
-	maxDatagram = 2048
+	// maxDatagramBytes is larger than any packet of the protocol.
+	maxDatagramBytes = 2048
 )
 
-// Service takes part in the gossip and answers who is there.
+// Service takes part in the gossip protocol and answers queries about the members.
 type Service struct {
-	cfg     Config
-	conn    net.PacketConn
-	codec   codec
-	log     *zap.Logger
-	metrics metrics
-	system  *actor.ActorSystem
-	ownsSys bool
-	pid     *actor.PID
+	cfg        Config
+	conn       net.PacketConn
+	codec      codec
+	log        *zap.Logger
+	metrics    metrics
+	system     *actor.ActorSystem
+	ownsSystem bool
+	pid        *actor.PID
 
 	snapshot atomic.Pointer[snapshot]
 
@@ -55,15 +56,15 @@
 }
 
 type callbacks struct {
-	change  []func([]Member)
-	version []func(Member, uint64)
-	renewed []func(old, renewed uint64)
+	onChange         []func([]Member)
+	onConfigVersion  []func(Member, uint64)
+	onNewIncarnation []func(previous, current uint64)
 }
 
-// New checks the configuration and binds the socket; the protocol starts with
-// Run, which also frees the socket and must therefore be called.
+// New validates the configuration and binds the socket. Run starts the protocol and must
+// be called because it also closes the socket.
 func New(cfg Config) (*Service, error) {
-	if err := cfg.check(); err != nil {
+	if err := cfg.validate(); err != nil {
 		return nil, oops.In("membership").Wrap(err)
 	}
 	if cfg.Logger == nil {
@@ -87,17 +88,18 @@
 	}
 	if s.system == nil {
 		s.system = observe.NewActorSystem()
-		s.ownsSys = true
+		s.ownsSystem = true
 	}
 	node := newNode(s.cfg)
-	s.publish(node)
+	s.publishSnapshot(node)
 	s.pid = s.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor {
-		return &protocol{service: s, node: node}
+		return &protocolActor{service: s, node: node}
 	}))
 	return s, nil
 }
 
-// bind opens the socket and completes the own address when the port was left open.
+// bind opens the socket and, if the configured port is 0, sets the port in this instance's
+// address.
 func (s *Service) bind() error {
 	s.conn = s.cfg.Conn
 	if s.conn == nil {
@@ -117,21 +119,22 @@
 	return nil
 }
 
-// Run takes part in the gossip until ctx ends. Its error is nil then.
+// Run takes part in the gossip protocol until ctx is done, and then returns nil unless
+// stopping fails.
 func (s *Service) Run(ctx context.Context) error {
-	var work sync.WaitGroup
+	var wg sync.WaitGroup
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	work.Go(func() { s.tick(ctx) })
-	work.Go(func() { s.followHints(ctx) })
+	wg.Go(func() { s.tick(ctx) })
+	wg.Go(func() { s.pollHints(ctx) })
 	stop := context.AfterFunc(ctx, func() { s.conn.Close() })
 	defer stop()
 	err := s.receive(ctx)
 	cancel()
-	work.Wait()
+	wg.Wait()
 	s.conn.Close()
 	stopErr := s.system.Root.StopFuture(s.pid).Wait()
-	if s.ownsSys {
+	if s.ownsSystem {
 		s.system.Shutdown()
 	}
 	return errors.Join(err, stopErr)
@@ -150,14 +153,15 @@
 	}
 }
 
-// followHints feeds the addresses of the platform's list and further hints to the protocol.
-func (s *Service) followHints(ctx context.Context) {
+// pollHints regularly passes the addresses from the platform's list and Config.Hints to the
+// protocol.
+func (s *Service) pollHints(ctx context.Context) {
 	if s.cfg.List == nil && s.cfg.Hints == nil {
 		return
 	}
 	var listed []string
 	for {
-		if current, ok := s.listed(ctx); ok {
+		if current, ok := s.listedAddresses(ctx); ok {
 			listed = current
 		}
 		addresses := slices.Clone(listed)
@@ -173,9 +177,9 @@
 	}
 }
 
-// listed returns the addresses in the platform's list. Errors are counted and otherwise
-// ignored: the list is only a hint, and the last one read stays.
-func (s *Service) listed(ctx context.Context) ([]string, bool) {
+// listedAddresses returns the addresses in the platform's list. Errors are only counted: the
+// list is a hint, and the caller keeps using the last one read.
+func (s *Service) listedAddresses(ctx context.Context) ([]string, bool) {
 	if s.cfg.List == nil {
 		return nil, false
 	}
@@ -193,9 +197,9 @@
 	return addresses, true
 }
 
-// receive reads datagrams until ctx ends or the socket fails for good.
+// receive reads datagrams until ctx is done or the socket is closed.
 func (s *Service) receive(ctx context.Context) error {
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		size, from, err := s.conn.ReadFrom(buffer)
 		if ctx.Err() != nil {
@@ -205,22 +209,22 @@
 			return oops.In("membership").Wrapf(err, "gossip socket")
 		}
 		if err != nil {
-			// An ICMP answer to an earlier datagram surfaces here; it says nothing
-			// about the socket.
+			// An ICMP error caused by an earlier datagram is reported here; it does
+			// not mean that the socket has failed.
 			s.metrics.readErrors.Inc(1)
 			continue
 		}
-		s.metrics.received(size)
-		if packet, ok := s.read(buffer[:size], from.String()); ok {
+		s.metrics.countReceived(size)
+		if packet, ok := s.decodeDatagram(buffer[:size], from.String()); ok {
 			s.system.Root.Send(s.pid, &packetMessage{now: time.Now(), from: from.String(), packet: packet})
 		}
 	}
 }
 
-// read returns the packet of a datagram that counts: one of this fleet that is authentic and
-// whole.
-func (s *Service) read(datagram []byte, from string) (gossip.Packet, bool) {
-	message, err := s.codec.open(datagram)
+// decodeDatagram returns the packet of a datagram, or false if it is unauthenticated,
+// malformed or from another fleet.
+func (s *Service) decodeDatagram(datagram []byte, from string) (gossip.Packet, bool) {
+	message, err := s.codec.authenticate(datagram)
 	if errors.Is(err, errUnauthenticated) {
 		s.metrics.unauthenticated.Inc(1)
 		return gossip.Packet{}, false
@@ -233,12 +237,13 @@
 		s.metrics.malformed.Inc(1)
 		return gossip.Packet{}, false
 	}
-	return packet, s.ownFleet(message, from)
+	return packet, s.fromOwnFleet(message, from)
 }
 
-// ownFleet reports whether a packet comes from an instance of this fleet. Taken for a member,
-// an instance that reads another log would decide by it on calls that may run once.
-func (s *Service) ownFleet(message *membershipv1.Packet, from string) bool {
+// fromOwnFleet reports whether a packet comes from an instance of this fleet. An instance that
+// reads another log must not become a member: it would decide by that log on calls that may
+// run only once.
+func (s *Service) fromOwnFleet(message *membershipv1.Packet, from string) bool {
 	if s.cfg.Fleet == nil {
 		return true
 	}
@@ -246,7 +251,8 @@
 	return s.cfg.Fleet.Meet(other, message.From, from).Member()
 }
 
-// transmit sends packets; a failed send is a lost datagram.
+// transmit sends packets. A packet that cannot be sent is dropped and counted, like a lost
+// datagram.
 func (s *Service) transmit(packets []gossip.Outgoing) {
 	for _, out := range packets {
 		datagram, err := s.codec.encode(out.Packet)
@@ -263,6 +269,6 @@
 			s.metrics.sendErrors.Inc(1)
 			continue
 		}
-		s.metrics.sent(out.Packet.Kind, len(datagram))
+		s.metrics.countSent(out.Packet.Kind, len(datagram))
 	}
 }
--- a/membership/slope_bench_test.go
+++ b/membership/slope_bench_test.go
@@ -8,57 +8,58 @@
 	"github.com/cairnworks/cairnworks/membership/gossip"
 )
 
-// lossStep is how finely BenchmarkLossTogether tells times.
-const lossStep = 500 * time.Millisecond
+// pollStep is the resolution of the times that BenchmarkLossTogether reports.
+const pollStep = 500 * time.Millisecond
 
-// runInSteps runs until done holds, at most for limit, and returns the time it took.
-func runInSteps(w *network, limit time.Duration, done func() bool) time.Duration {
-	took := time.Duration(0)
-	for !done() && took < limit {
-		w.run(lossStep)
-		took += lossStep
+// runInSteps runs until done returns true or the limit is reached, and returns the virtual time
+// elapsed.
+func runInSteps(sim *simNetwork, limit time.Duration, done func() bool) time.Duration {
+	elapsed := time.Duration(0)
+	for !done() && elapsed < limit {
+		sim.run(pollStep)
+		elapsed += pollStep
 	}
-	return took
+	return elapsed
 }
 
-// BenchmarkLossTogether stops so many of 400 members at one moment, as the loss of
-// an instance, a rack or a data centre does, and reports in seconds of virtual time
-// when the first and when every survivor knows of all of them, and the bytes that a
-// survivor sends a second meanwhile. Asking every survivor about every victim takes
-// long, so that it is done in steps of lossStep.
+// BenchmarkLossTogether stops 1, 20 or 80 of 400 members at the same time, like the loss of an
+// instance, a rack or a data centre. It reports the virtual time in seconds until each death is
+// known to at least one survivor and until all are known to all survivors, and the bytes a
+// second that a survivor sends meanwhile. Checking every victim at every survivor is slow, so it
+// is done only every pollStep.
 func BenchmarkLossTogether(b *testing.B) {
 	const count = 400
-	for _, lost := range []int{1, 20, 80} {
-		b.Run(fmt.Sprint(lost), func(b *testing.B) {
+	for _, victimCount := range []int{1, 20, 80} {
+		b.Run(fmt.Sprint(victimCount), func(b *testing.B) {
 			var first, all time.Duration
 			bytes := 0.0
 			for i := 0; b.Loop(); i++ {
-				w := formed(b, uint64(i+1), count)
-				w.run(20 * time.Second)
-				victims := w.nodes[count-lost:]
+				sim := newConverged(b, uint64(i+1), count)
+				sim.run(20 * time.Second)
+				victims := sim.nodes[count-victimCount:]
 				for _, v := range victims {
-					w.stop(v)
+					sim.stop(v)
 				}
-				w.bytes = 0
-				some := runInSteps(w, time.Minute, func() bool {
+				sim.bytes = 0
+				untilFirst := runInSteps(sim, time.Minute, func() bool {
 					for _, v := range victims {
-						if w.everyone(v, func(s gossip.State) bool { return !s.Terminal() }) {
+						if sim.allObserve(v, func(s gossip.State) bool { return !s.Terminal() }) {
 							return false
 						}
 					}
 					return true
 				})
-				rest := runInSteps(w, 2*time.Minute, func() bool {
+				afterFirst := runInSteps(sim, 2*time.Minute, func() bool {
 					for _, v := range victims {
-						if !w.everyone(v, gossip.State.Terminal) {
+						if !sim.allObserve(v, gossip.State.Terminal) {
 							return false
 						}
 					}
 					return true
 				})
-				first += some
-				all += some + rest
-				bytes += float64(w.bytes) / (some + rest).Seconds() / float64(count-lost)
+				first += untilFirst
+				all += untilFirst + afterFirst
+				bytes += float64(sim.bytes) / (untilFirst + afterFirst).Seconds() / float64(count-victimCount)
 			}
 			rounds := float64(b.N)
 			b.ReportMetric(first.Seconds()/rounds, "each-known-to-one-s")
--- a/membership/udp_test.go
+++ b/membership/udp_test.go
@@ -19,18 +19,18 @@
 )
 
 var (
-	oldSecret = []byte("0123456789abcdef")
-	newSecret = []byte("fedcba9876543210")
-	foreign   = []byte("another secret!!")
+	oldSecret     = []byte("0123456789abcdef")
+	newSecret     = []byte("fedcba9876543210")
+	foreignSecret = []byte("another secret!!")
 )
 
-type running struct {
+type runningService struct {
 	*membership.Service
 	scope tally.TestScope
 	stop  func()
 }
 
-func start(t *testing.T, name string, secret, also []byte, seeds ...string) running {
+func startService(t *testing.T, name string, secret, alsoAccepted []byte, seeds ...string) runningService {
 	t.Helper()
 	scope := tally.NewTestScope("", nil)
 	s, err := membership.New(membership.Config{
@@ -38,7 +38,7 @@
 		DataCentre:   "split-a",
 		Seeds:        seeds,
 		Secret:       secret,
-		AlsoAccepted: [][]byte{also},
+		AlsoAccepted: [][]byte{alsoAccepted},
 		Metrics:      scope,
 	})
 	assert.NilError(t, err)
@@ -49,60 +49,61 @@
 		cancel()
 		assert.NilError(t, <-done)
 	}
-	return running{Service: s, scope: scope, stop: stop}
+	return runningService{Service: s, scope: scope, stop: stop}
 }
 
-// eventually waits for a condition that the protocol brings about.
-func eventually(t *testing.T, what string, condition func() bool) {
+// eventually waits until the condition holds.
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if condition() {
 			return poll.Success()
 		}
-		return poll.Continue("not yet: %s", what)
+		return poll.Continue("not yet: %s", description)
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(20*time.Millisecond))
 }
 
-// Three instances start on one machine knowing only the first one's address, amid
-// a change of their secret. All find one another, a version and a drain set at one become known at the others,
-// and one that leaves is gone from their lists. A stranger's datagrams, and those
-// of an instance with another secret, change nothing and are counted.
-func TestInstancesFindOneAnotherOverUDP(t *testing.T) {
+// Three instances that know only the address of the first start on one machine during a secret
+// rotation. All must discover each other, a configuration version and a draining state set at
+// one must become known at the others, and one that leaves must disappear from their members.
+// Invalid datagrams and those of an instance with another secret must be counted and have no
+// effect.
+func TestInstancesDiscoverEachOtherOverUDP(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	first := start(t, "a", oldSecret, newSecret)
+	first := startService(t, "a", oldSecret, newSecret)
 	defer first.stop()
 	seed := first.Self().Address
-	second := start(t, "b", newSecret, oldSecret, seed)
+	second := startService(t, "b", newSecret, oldSecret, seed)
 	defer second.stop()
-	third := start(t, "c", oldSecret, newSecret, seed)
-	stranger := start(t, "d", foreign, foreign, seed)
-	defer stranger.stop()
+	third := startService(t, "c", oldSecret, newSecret, seed)
+	foreignInstance := startService(t, "d", foreignSecret, foreignSecret, seed)
+	defer foreignInstance.stop()
 
-	everyoneSees := func(count int, all ...running) func() bool {
+	allSeeMembers := func(count int, all ...runningService) func() bool {
 		return func() bool {
-			return !slices.ContainsFunc(all, func(s running) bool { return len(s.Members()) != count })
+			return !slices.ContainsFunc(all, func(s runningService) bool { return len(s.Members()) != count })
 		}
 	}
-	eventually(t, "all three at all", everyoneSees(3, first, second, third))
+	eventually(t, "three members at every instance", allSeeMembers(3, first, second, third))
 	second.SetDraining(true)
 	second.SetConfigVersion(7)
-	eventually(t, "drain and version", func() bool {
+	eventually(t, "draining state and version", func() bool {
 		return slices.ContainsFunc(first.Members(), func(m membership.Member) bool {
 			return m.Instance == "b" && m.Draining && m.ConfigVersion == 7
 		})
 	})
 	assert.NilError(t, third.Leave(context.Background()))
 	third.stop()
-	eventually(t, "the leave", everyoneSees(2, first, second))
+	eventually(t, "two members after the leave", allSeeMembers(2, first, second))
 
 	conn, err := net.Dial("udp", seed)
 	assert.NilError(t, err)
 	defer conn.Close()
 	_, err = fmt.Fprint(conn, "not a datagram of ours at all, but long enough")
 	assert.NilError(t, err)
-	eventually(t, "two datagrams refused", func() bool {
+	eventually(t, "two unauthenticated datagrams", func() bool {
 		count := first.scope.Snapshot().Counters()["membership.unauthenticated_datagrams+"]
 		return count != nil && count.Value() >= 2
 	})
-	assert.Equal(t, len(stranger.Members()), 1)
+	assert.Equal(t, len(foreignInstance.Members()), 1)
 }
