--- a/peer/pass_test.go
+++ b/peer/credentials_test.go
@@ -11,11 +11,11 @@
 	"github.com/cairnworks/cairnworks/fleetid/fleetidtest"
 )
 
-// The address of an instance that is gone was given to one of another fleet with the same
-// secret, and an instance goes on calling it. An answer would be the other log's: a call that
-// may run once would run once a log. Calls that decide about such are answered only where both
-// are known to use one log; the others also by those that give the same name while an id is
-// not known.
+// The address of a removed instance was reassigned to one of another fleet with the same
+// secret, and an instance still calls it. The answer would be based on another log, and a call
+// that may run only once would run once for each log. Calls that decide on such calls must be
+// answered only if both instances are known to use the same log. Other calls are also answered
+// if an id is not known yet and both use the same fleet name.
 func TestCallsOfAnotherFleetAreRefused(t *testing.T) {
 	mux := http.NewServeMux()
 	done := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -28,7 +28,7 @@
 	defer server.Close()
 	address := listener.Addr().String()
 	for _, test := range []struct {
-		what      string
+		name      string
 		transport *Transport
 		any, once int
 	}{
@@ -41,8 +41,8 @@
 		{"a version before ids", NewTransport(nil, fleetid.Key("secret", "rota na obali")), 200, 403},
 		{"a version before ids, another name", NewTransport(nil, fleetid.Key("secret", "obala")), 401, 401},
 	} {
-		assert.Equal(t, status(t, test.transport, address, "/any"), test.any, test.what)
-		assert.Equal(t, status(t, test.transport, address, "/once"), test.once, test.what)
+		assert.Equal(t, status(t, test.transport, address, "/any"), test.any, test.name)
+		assert.Equal(t, status(t, test.transport, address, "/once"), test.once, test.name)
 		test.transport.Close()
 	}
 }
--- a/peer/options.go
+++ b/peer/options.go
@@ -2,14 +2,14 @@
 
 import "connectrpc.com/connect"
 
-// ClientOptions and HandlerOptions switch compression off between instances. The
-// messages are some hundred bytes; a compressor holds most of a megabyte for each
-// call under way, which made up half of a busy instance's memory.
+// ClientOptions returns the options of all clients of peers. Like HandlerOptions, they disable
+// compression between instances: messages have a few hundred bytes, while a compressor uses
+// most of a megabyte for each call in progress, which was half the memory of a busy instance.
 func ClientOptions() connect.ClientOption {
 	return connect.WithAcceptCompression("gzip", nil, nil)
 }
 
-// HandlerOptions are the options of every handler on the peers' address.
+// HandlerOptions returns the options of all handlers at the peer address.
 func HandlerOptions() connect.HandlerOption {
 	return connect.WithCompression("gzip", nil, nil)
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries the calls between instances: one HTTP/2 connection to
-// each peer, every call authenticated by the secret that instances share.
+// Package peer implements the transport for calls between instances: one HTTP/2 connection to
+// each peer, with every call authenticated by the secret that the instances share.
 package peer
 
 import (
@@ -11,22 +11,23 @@
 )
 
 const (
-	// pingAfter and pingTimeout end connections to peers that vanished without
-	// closing them, such as paused ones; calls would hang on them otherwise.
-	pingAfter   = time.Second
-	pingTimeout = time.Second
-	// responseHeaderTimeout is not set: a reservation answers when a place is
-	// free, which its own deadline bounds.
+	// pingAfterIdle and pingTimeout detect and close connections to peers that are
+	// unreachable without having closed them, such as paused ones; otherwise calls on
+	// them would hang.
+	pingAfterIdle = time.Second
+	pingTimeout   = time.Second
+	// ResponseHeaderTimeout is not set: a reservation is answered once a slot is free,
+	// and its own deadline limits the wait.
 )
 
-// Transport reaches other instances.
+// Transport sends calls to other instances.
 type Transport struct {
-	client *http.Client
-	scheme string
-	pass   pass
+	client      *http.Client
+	scheme      string
+	credentials credentials
 }
 
-// NewTransport returns a transport; a nil tls.Config means plain HTTP/2.
+// NewTransport returns a transport. If config is nil, it uses unencrypted HTTP/2.
 func NewTransport(config *tls.Config, secret string, options ...Option) *Transport {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP2(true)
@@ -36,10 +37,10 @@
 		scheme = "http"
 	}
 	return &Transport{
-		scheme: scheme, pass: newPass(secret, options),
+		scheme: scheme, credentials: newCredentials(secret, options),
 		client: &http.Client{Transport: &http.Transport{
 			TLSClientConfig: config, Protocols: protocols, IdleConnTimeout: time.Minute,
-			HTTP2: &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+			HTTP2: &http.HTTP2Config{SendPingTimeout: pingAfterIdle, PingTimeout: pingTimeout},
 		}},
 	}
 }
@@ -49,7 +50,7 @@
 
 // Do implements connect.HTTPClient.
 func (t *Transport) Do(req *http.Request) (*http.Response, error) {
-	t.pass.show(req.Header)
+	t.credentials.setHeaders(req.Header)
 	return t.client.Do(req)
 }
 
@@ -58,16 +59,16 @@
 
 var _ connect.HTTPClient = (*Transport)(nil)
 
-// NewServer returns the HTTP server of the peers' address.
+// NewServer returns the HTTP server for the peer address.
 func NewServer(handler http.Handler, config *tls.Config, secret string, options ...Option) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	protocols.SetHTTP2(true)
 	protocols.SetUnencryptedHTTP2(config == nil)
 	return &http.Server{
-		Handler: newPass(secret, options).check(handler), TLSConfig: config, Protocols: protocols,
+		Handler: newCredentials(secret, options).authenticate(handler), TLSConfig: config, Protocols: protocols,
 		ReadHeaderTimeout: 5 * time.Second,
-		// A hundred waiting reservations from one peer are usual at the peak.
+		// At peak load, a hundred waiting reservations from one peer are common.
 		HTTP2: &http.HTTP2Config{MaxConcurrentStreams: 4096},
 	}
 }
