--- a/scheduler/actor.go
+++ b/scheduler/actor.go
@@ -16,52 +16,53 @@
 )
 
 const (
-	// LeaseTime is how long a grant lives without a renewal. Instances renew every
-	// RenewInterval, so two lost renewals in a row cost nothing.
-	LeaseTime = 3 * time.Second
+	// LeaseDuration is how long a grant is valid without a renewal. Instances renew every
+	// RenewInterval, so a grant survives two consecutive lost renewals.
+	LeaseDuration = 3 * time.Second
 	// RenewInterval is how often an instance renews its grants.
 	RenewInterval = time.Second
-	// forgetEnded is how long an ended attempt is remembered, so that an engine's
-	// list read before its end does not bring it back, and one read after it shows
-	// that its cancel was lost.
-	forgetEnded = 30 * time.Second
-	// cancelAfterEnd is how long after its end a listed attempt is taken as one
-	// whose cancel was lost. Cancels are tried for under a second.
-	cancelAfterEnd = time.Second
-	// maxTick bounds the time between two looks at leases.
-	maxTick = 250 * time.Millisecond
+	// endedRetention is how long an ended attempt is remembered. A stream list read before the end
+	// must not cause the attempt to be adopted again, and a list read afterwards shows that its
+	// cancel was lost.
+	endedRetention = 30 * time.Second
+	// lostCancelDelay is the time after the end of an attempt from which its presence in a stream
+	// list means that its cancel was lost. Cancels are retried for less than a second.
+	lostCancelDelay = time.Second
+	// maxTimerInterval is the maximum time between two checks for expired leases.
+	maxTimerInterval = 250 * time.Millisecond
 )
 
-// serviceActor schedules one service. Its mailbox puts reservations, releases
-// and reports in one order, so that the group needs no locks.
+// serviceActor schedules one service. Its mailbox serialises reservations, releases and reports, so
+// that the group needs no locks.
 type serviceActor struct {
-	service  string
-	group    *group.Group
-	waiting  map[attemptKey]reserveMsg
-	byKey    map[attemptKey]*lease
-	ended    map[attemptKey]time.Time
-	addrs    map[string]string
-	nextHeld uint64
-	// home reports whether this instance is the service's scheduler by its own
-	// view. A former scheduler must not cancel streams that its successor renews.
-	home    func() bool
-	dead    func(request.Holder) bool
+	service      string
+	group        *group.Group
+	pending      map[attemptKey]reserveMsg
+	leases       map[attemptKey]*lease
+	endedAt      map[attemptKey]time.Time
+	addresses    map[string]string
+	adoptedCount uint64
+	// isHome reports whether this instance is the service's scheduler according to its own view of
+	// the fleet. A former scheduler must not cancel streams whose grants are renewed at its
+	// successor.
+	isHome  func() bool
+	isDead  func(request.Holder) bool
 	engines port.EngineDialer
 	log     *zap.Logger
 	metrics *observe.Metrics
-	// crashes counts the prompts that upstreams died of; processes holds each
-	// upstream's process as last reported.
-	crashes   *quarantine.Tracker
-	processes map[string]string
-	// excess counts the reports in a row with more streams than leases, by upstream.
-	excess map[string]int
-	health *upstreamHealth
-	warmup warmup
-	timer  *time.Timer
-	plain  bool
+	// crashTracker tracks the prompts that were running when an upstream crashed. processes holds
+	// the identifier of the engine process last reported by each upstream.
+	crashTracker *quarantine.Tracker
+	processes    map[string]string
+	// excessReports counts, by upstream, consecutive reports with more running streams than leases.
+	excessReports map[string]int
+	health        *upstreamHealth
+	warmup        warmup
+	timer         *time.Timer
+	isPlain       bool
 }
 
-// lease is a grant with its holder and the time it ends without a renewal.
+// lease is a grant with its holder and its expiry time.
 type lease struct {
 	id      uint64
 	key     attemptKey
@@ -69,8 +70,8 @@
 	prefill string
 	decode  string
 	expires time.Time
-	// prefilled leases no longer use their prefill upstream.
-	prefilled    bool
+	// prefillDone is set when the lease no longer occupies its prefill upstream.
+	prefillDone  bool
 	fingerprint  uint64
 	promptTokens int
 }
@@ -82,32 +83,32 @@
 	case configureMsg:
 		a.configure(now, msg)
 	case reserveMsg:
-		if a.warmup.over(now) {
+		if a.warmup.done(now) {
 			a.reserve(now, msg)
 		} else {
-			a.warmup.parked = append(a.warmup.parked, msg)
+			a.warmup.deferred = append(a.warmup.deferred, msg)
 		}
 	case withdrawMsg:
 		a.withdraw(now, msg.key)
 	case prefillDoneMsg:
-		if l := a.byKey[msg.key]; l != nil {
-			l.prefilled = true
-			a.apply(now, a.group.PrefillDone(now, l.id))
+		if l := a.leases[msg.key]; l != nil {
+			l.prefillDone = true
+			a.applyDecisions(now, a.group.PrefillDone(now, l.id))
 		}
 	case releaseMsg:
-		a.judge(now, msg.key, msg.outcome)
-		a.end(now, msg.key, msg.outcome)
+		a.recordOutcome(now, msg.key, msg.outcome)
+		a.endAttempt(now, msg.key, msg.outcome)
 	case renewMsg:
 		msg.lost <- a.renew(now, msg)
 	case reportMsg:
-		a.report(now, msg)
+		a.handleReport(now, msg)
 	case unreachableMsg:
-		a.warmup.heard(msg.upstream)
+		a.warmup.markReported(msg.upstream)
 		a.metrics.Scope.Tagged(map[string]string{"upstream": msg.upstream}).Counter("upstream_unreachable").Inc(1)
-	case cacheMsg:
-		a.cache(now, msg)
+	case cacheEventsMsg:
+		a.applyCacheEvents(now, msg)
 	case statusMsg:
-		msg.answer <- statusReply{a.group.Status(now), a.advice(), a.health.describe()}
+		msg.replyTo <- statusReply{a.group.Status(now), a.advice(), a.health.stateNames()}
 	case tickMsg:
 	case *actor.Stopping:
 		a.stop()
@@ -118,17 +119,17 @@
 	a.advance(ctx, now)
 }
 
-// advance handles what is due and sets the timer for what comes next.
+// advance processes all due work and sets the timer for the next event.
 func (a *serviceActor) advance(ctx actor.Context, now time.Time) {
-	for _, msg := range a.warmup.take(now) {
+	for _, msg := range a.warmup.takeDeferred(now) {
 		a.reserve(now, msg)
 	}
-	a.expire(now)
-	a.carryHealth(now)
+	a.expireLeases(now)
+	a.updateWeights(now)
 	a.sampleBalance(now)
 	decisions, next := a.group.Advance(now)
-	a.apply(now, decisions)
-	wait := maxTick
+	a.applyDecisions(now, decisions)
+	wait := maxTimerInterval
 	if !next.IsZero() {
 		wait = min(wait, max(next.Sub(now), time.Millisecond))
 	}
@@ -141,104 +142,104 @@
 
 func (a *serviceActor) configure(now time.Time, msg configureMsg) {
 	ups := make([]group.Upstream, 0, len(msg.upstreams))
-	clear(a.addrs)
-	a.plain = msg.service.Kind == object.KindPlain
+	clear(a.addresses)
+	a.isPlain = msg.service.Kind == object.KindPlain
 	a.health.configure(msg.upstreams)
-	a.warmup.begin(now, msg.upstreams)
+	a.warmup.start(now, msg.upstreams)
 	for _, u := range msg.upstreams {
-		a.addrs[u.Name] = u.Address
+		a.addresses[u.Name] = u.Address
 		ups = append(ups, group.Upstream{
 			Name: u.Name, Role: u.Role, DataCentre: u.DataCentre, Slots: u.Slots, Pieces: u.Pieces,
 			PieceTokens: u.PieceTokens, LinkBytesPerSecond: u.LinkBytesPerSecond, Leaving: u.Leaving,
 		})
 	}
-	a.apply(now, a.group.SetUpstreams(now, ups))
+	a.applyDecisions(now, a.group.SetUpstreams(now, ups))
 }
 
-// reserve queues an attempt. A repeated reservation of a granted attempt, whose
-// first answer was lost, gives the first grant back and does not take two slots.
+// reserve queues an attempt. If the attempt already has a grant because the reply to an earlier
+// reservation was lost, that grant is released first, so that the attempt does not take two slots.
 func (a *serviceActor) reserve(now time.Time, msg reserveMsg) {
-	if l := a.byKey[msg.key]; l != nil {
-		a.end(now, msg.key, group.Outcome{Kind: group.OutcomeCancelled})
+	if l := a.leases[msg.key]; l != nil {
+		a.endAttempt(now, msg.key, group.Outcome{Kind: group.OutcomeCancelled})
 	}
-	if refusal := a.quarantined(now, msg.req.Fingerprint); refusal != nil {
+	if refusal := a.checkQuarantine(now, msg.req.Fingerprint); refusal != nil {
 		a.metrics.Refused("scheduler", refusal)
-		msg.answer <- reply{refusal: refusal}
+		msg.replyTo <- reserveReply{refusal: refusal}
 		return
 	}
-	a.waiting[msg.key] = msg
-	a.apply(now, a.group.Submit(now, msg.req))
+	a.pending[msg.key] = msg
+	a.applyDecisions(now, a.group.Submit(now, msg.req))
 }
 
 func (a *serviceActor) withdraw(now time.Time, key attemptKey) {
-	a.warmup.drop(key)
-	if _, ok := a.waiting[key]; ok {
-		delete(a.waiting, key)
-		a.apply(now, a.group.Withdraw(now, key.String()))
+	a.warmup.removeDeferred(key)
+	if _, ok := a.pending[key]; ok {
+		delete(a.pending, key)
+		a.applyDecisions(now, a.group.Withdraw(now, key.String()))
 		return
 	}
-	a.end(now, key, group.Outcome{Kind: group.OutcomeCancelled})
+	a.endAttempt(now, key, group.Outcome{Kind: group.OutcomeCancelled})
 }
 
-// apply hands decisions to the reservations that wait for them.
-func (a *serviceActor) apply(now time.Time, decisions []group.Decision) {
+// applyDecisions replies to the pending reservations that the decisions are for.
+func (a *serviceActor) applyDecisions(now time.Time, decisions []group.Decision) {
 	for _, d := range decisions {
-		key, msg, ok := a.waitingFor(d.RequestID)
+		key, msg, ok := a.findPending(d.RequestID)
 		if !ok {
-			a.orphanDecision(now, d)
+			a.releaseUnclaimed(now, d)
 			continue
 		}
-		delete(a.waiting, key)
+		delete(a.pending, key)
 		if d.Refusal != nil {
 			a.metrics.Refused("scheduler", d.Refusal)
-			msg.answer <- reply{refusal: d.Refusal}
+			msg.replyTo <- reserveReply{refusal: d.Refusal}
 			continue
 		}
 		l := &lease{
 			id: d.Grant.ID, key: key, holder: msg.holder, prefill: d.Grant.Prefill, decode: d.Grant.Decode,
-			expires: now.Add(LeaseTime), fingerprint: msg.req.Fingerprint, promptTokens: msg.req.PromptTokens,
+			expires: now.Add(LeaseDuration), fingerprint: msg.req.Fingerprint, promptTokens: msg.req.PromptTokens,
 		}
-		a.byKey[key] = l
-		delete(a.ended, key)
-		msg.answer <- reply{grant: d.Grant}
+		a.leases[key] = l
+		delete(a.endedAt, key)
+		msg.replyTo <- reserveReply{grant: d.Grant}
 	}
 }
 
-func (a *serviceActor) waitingFor(requestID string) (attemptKey, reserveMsg, bool) {
+func (a *serviceActor) findPending(requestID string) (attemptKey, reserveMsg, bool) {
 	key, ok := parseAttemptKey(requestID)
 	if !ok {
 		return key, reserveMsg{}, false
 	}
-	msg, ok := a.waiting[key]
+	msg, ok := a.pending[key]
 	return key, msg, ok
 }
 
-// orphanDecision gives back a grant whose asker is no longer waiting.
-func (a *serviceActor) orphanDecision(now time.Time, d group.Decision) {
+// releaseUnclaimed releases a grant whose reservation is no longer pending.
+func (a *serviceActor) releaseUnclaimed(now time.Time, d group.Decision) {
 	if d.Grant != nil {
-		a.apply(now, a.group.Release(now, d.Grant.ID, group.Outcome{Kind: group.OutcomeCancelled}))
+		a.applyDecisions(now, a.group.Release(now, d.Grant.ID, group.Outcome{Kind: group.OutcomeCancelled}))
 	}
 }
 
-// end releases an attempt's grant. Ending it twice is harmless.
-func (a *serviceActor) end(now time.Time, key attemptKey, outcome group.Outcome) {
-	a.ended[key] = now
-	l := a.byKey[key]
+// endAttempt releases an attempt's grant. It is idempotent.
+func (a *serviceActor) endAttempt(now time.Time, key attemptKey, outcome group.Outcome) {
+	a.endedAt[key] = now
+	l := a.leases[key]
 	if l == nil {
 		return
 	}
-	delete(a.byKey, key)
-	a.apply(now, a.group.Release(now, l.id, outcome))
+	delete(a.leases, key)
+	a.applyDecisions(now, a.group.Release(now, l.id, outcome))
 }
 
-// expire frees the grants whose holders stopped renewing them and cancels their
-// streams: the holder is dead, paused or cut off, and its caller with it. What a
-// holder has that the fleet has given up is freed without waiting for the lease.
-func (a *serviceActor) expire(now time.Time) {
+// expireLeases releases the grants whose holders stopped renewing them and cancels their streams:
+// the holder is dead, paused or partitioned, and its caller no longer receives the answer. If the
+// fleet has declared a holder dead, its grants are released without waiting for the lease to expire.
+func (a *serviceActor) expireLeases(now time.Time) {
 	dead := make(map[request.Holder]bool)
-	for key, l := range a.byKey {
+	for key, l := range a.leases {
 		if _, known := dead[l.holder]; !known {
-			dead[l.holder] = a.dead(l.holder)
+			dead[l.holder] = a.isDead(l.holder)
 		}
 		if now.Before(l.expires) && !dead[l.holder] {
 			continue
@@ -246,19 +247,19 @@
 		a.log.Info("grant expired", zap.String("request", key.request), zap.Uint32("attempt", key.attempt),
 			zap.String("holder", l.holder.Instance), zap.String("decode", l.decode))
 		a.metrics.Scope.Counter("grants_expired").Inc(1)
-		a.end(now, key, group.Outcome{Kind: group.OutcomeCancelled})
-		if a.home() {
-			a.cancel(l.stream(), l.prefill, l.decode)
+		a.endAttempt(now, key, group.Outcome{Kind: group.OutcomeCancelled})
+		if a.isHome() {
+			a.cancelStream(l.streamID(), l.prefill, l.decode)
 		}
 	}
-	for key, at := range a.ended {
-		if now.Sub(at) > forgetEnded {
-			delete(a.ended, key)
+	for key, at := range a.endedAt {
+		if now.Sub(at) > endedRetention {
+			delete(a.endedAt, key)
 		}
 	}
 }
 
-func (l *lease) stream() port.StreamID {
+func (l *lease) streamID() port.StreamID {
 	return port.StreamID{RequestID: l.key.request, Attempt: l.key.attempt, Owner: l.holder}
 }
 
@@ -267,10 +268,10 @@
 		a.timer.Stop()
 	}
 	refusal := verdict.Refuse(verdict.ReasonSchedulerUnavailable, time.Second, "the scheduler is shutting down")
-	for _, msg := range a.waiting {
-		msg.answer <- reply{refusal: refusal}
+	for _, msg := range a.pending {
+		msg.replyTo <- reserveReply{refusal: refusal}
 	}
-	for _, msg := range a.warmup.parked {
-		msg.answer <- reply{refusal: refusal}
+	for _, msg := range a.warmup.deferred {
+		msg.replyTo <- reserveReply{refusal: refusal}
 	}
 }
--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -10,34 +10,34 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// judge learns from the end of an attempt how well its upstreams do and which
-// prompts they survive. Every outcome of a service passes here, so that a prompt
-// which its caller sends again through another instance is known.
-func (a *serviceActor) judge(now time.Time, key attemptKey, outcome group.Outcome) {
-	if l := a.byKey[key]; l != nil {
+// recordOutcome updates the health of the upstreams and the crash tracker with the outcome of an
+// attempt. The outcomes of all instances are recorded here, so that a prompt is recognised if its
+// caller resends it through another instance.
+func (a *serviceActor) recordOutcome(now time.Time, key attemptKey, outcome group.Outcome) {
+	if l := a.leases[key]; l != nil {
 		a.health.observe(now, l, outcome)
 	}
 	switch outcome.Kind {
 	case group.OutcomeDone:
-		a.crashes.RecordSuccess(outcome.Fingerprint)
+		a.crashTracker.RecordSuccess(outcome.Fingerprint)
 	case group.OutcomeUpstreamCrashed:
 		crash := quarantine.Crash{
 			Upstream: outcome.FailedUpstream, Process: a.processes[outcome.FailedUpstream],
-			Running: a.runningOn(outcome.FailedUpstream, outcome.Fingerprint),
+			Running: a.fingerprintsRunningOn(outcome.FailedUpstream, outcome.Fingerprint),
 		}
-		for _, fingerprint := range a.crashes.RecordCrash(now, crash) {
+		for _, fingerprint := range a.crashTracker.RecordCrash(now, crash) {
 			a.metrics.Scope.Counter("prompts_quarantined").Inc(1)
 			a.log.Warn("prompt quarantined", zap.Uint64("fingerprint", fingerprint), zap.String("upstream", crash.Upstream))
 		}
 	}
 }
 
-// runningOn returns the fingerprints that ran on an upstream, the reporter's own
-// among them once.
-func (a *serviceActor) runningOn(upstream string, own uint64) []uint64 {
+// fingerprintsRunningOn returns the fingerprints of the prompts running on an upstream. It contains
+// own, the fingerprint of the reported attempt, exactly once.
+func (a *serviceActor) fingerprintsRunningOn(upstream string, own uint64) []uint64 {
 	running := []uint64{own}
-	for _, l := range a.byKey {
-		onPrefill := l.prefill == upstream && !l.prefilled
+	for _, l := range a.leases {
+		onPrefill := l.prefill == upstream && !l.prefillDone
 		if (onPrefill || l.decode == upstream) && l.fingerprint != own && l.fingerprint != 0 {
 			running = append(running, l.fingerprint)
 		}
@@ -45,9 +45,9 @@
 	return running
 }
 
-// quarantined refuses a prompt that upstreams have died of.
-func (a *serviceActor) quarantined(now time.Time, fingerprint uint64) *verdict.Verdict {
-	until, blocked := a.crashes.BlockedUntil(now, fingerprint)
+// checkQuarantine returns a refusal if the prompt is quarantined for crashing upstreams.
+func (a *serviceActor) checkQuarantine(now time.Time, fingerprint uint64) *verdict.Verdict {
+	until, blocked := a.crashTracker.BlockedUntil(now, fingerprint)
 	if !blocked {
 		return nil
 	}
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -11,36 +11,37 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// Work that one outcome is held against. Only the proportions count, since an
-// upstream is judged by its peers: a prefill takes a fixed part and a part for each
-// token, of the order of 8,000 tokens a second.
+// Expected durations to which measured latencies are compared. Only their ratios matter, since an
+// upstream is rated relative to its peers. A prefill has a fixed cost and a cost per token; the
+// rate is on the order of 8,000 tokens per second.
 const (
-	prefillBase     = 10 * time.Millisecond
-	prefillPerToken = 125 * time.Microsecond
-	decodePerToken  = 50 * time.Millisecond
-	plainCall       = 50 * time.Millisecond
-	// minJudgedTokens is the shortest answer whose pace says something.
-	minJudgedTokens = 8
+	expectedPrefillBase     = 10 * time.Millisecond
+	expectedPrefillPerToken = 125 * time.Microsecond
+	expectedDecodePerToken  = 50 * time.Millisecond
+	expectedPlainCall       = 50 * time.Millisecond
+	// minRatedTokens is the minimum number of output tokens for the decode rate to be meaningful.
+	minRatedTokens = 8
 )
 
-// upstreamHealth judges a service's upstreams by the outcomes of their attempts,
-// each role among its like, and carries the weights to the group.
+// upstreamHealth rates a service's upstreams by the outcomes of their attempts. Each upstream is
+// compared to those of the same role.
 type upstreamHealth struct {
 	monitors map[object.Role]*health.Monitor
 	roles    map[string]object.Role
-	// trials are upstreams that get full weight until their next outcome: by
-	// weight alone an upstream that is out would not be tried while others have room.
-	trials map[string]bool
-	states map[string]health.State
-	// advisor watches which pool is the bottleneck.
-	advisor *balance.Advisor
-	advised time.Time
+	// probing is the set of upstreams that have full weight until their next outcome. With its
+	// regular weight, an upstream in state "out" would not receive a request as long as others have
+	// capacity.
+	probing      map[string]bool
+	loggedStates map[string]health.State
+	// advisor determines which pool is the bottleneck.
+	advisor    *balance.Advisor
+	lastSample time.Time
 }
 
 func newUpstreamHealth() *upstreamHealth {
 	h := &upstreamHealth{
-		monitors: make(map[object.Role]*health.Monitor), trials: make(map[string]bool),
-		states: make(map[string]health.State), advisor: balance.New(balance.DefaultConfig()),
+		monitors: make(map[object.Role]*health.Monitor), probing: make(map[string]bool),
+		loggedStates: make(map[string]health.State), advisor: balance.New(balance.DefaultConfig()),
 	}
 	for _, role := range []object.Role{object.RolePrefill, object.RoleDecode, object.RolePlain} {
 		h.monitors[role] = health.New(health.DefaultConfig())
@@ -60,19 +61,19 @@
 	}
 }
 
-// observe takes in the end of an attempt.
+// observe records the outcome of an attempt.
 func (h *upstreamHealth) observe(now time.Time, l *lease, o group.Outcome) {
 	switch o.Kind {
 	case group.OutcomePrefillFailed, group.OutcomeTransferFailed, group.OutcomeDecodeFailed, group.OutcomeUpstreamCrashed:
 		h.record(now, o.FailedUpstream, false, 0, 0)
 	case group.OutcomeDone:
 		if h.roles[l.decode] == object.RolePlain {
-			h.record(now, l.decode, true, o.FirstToken, plainCall)
+			h.record(now, l.decode, true, o.FirstToken, expectedPlainCall)
 			return
 		}
-		h.record(now, l.prefill, true, o.Prefill, prefillBase+time.Duration(l.promptTokens)*prefillPerToken)
-		if o.OutputTokens >= minJudgedTokens {
-			h.record(now, l.decode, true, o.Decode, time.Duration(o.OutputTokens)*decodePerToken)
+		h.record(now, l.prefill, true, o.Prefill, expectedPrefillBase+time.Duration(l.promptTokens)*expectedPrefillPerToken)
+		if o.OutputTokens >= minRatedTokens {
+			h.record(now, l.decode, true, o.Decode, time.Duration(o.OutputTokens)*expectedDecodePerToken)
 		}
 	}
 }
@@ -82,38 +83,38 @@
 	if monitor == nil {
 		return
 	}
-	delete(h.trials, upstream)
+	delete(h.probing, upstream)
 	monitor.Observe(now, upstream, ok, latency, expected)
 }
 
-// carry gives the group the weights, and logs each change of state.
-func (a *serviceActor) carryHealth(now time.Time) {
+// updateWeights passes the health weights to the group and logs state changes.
+func (a *serviceActor) updateWeights(now time.Time) {
 	for _, monitor := range a.health.monitors {
 		if name, due := monitor.NextProbe(now); due {
-			a.health.trials[name] = true
+			a.health.probing[name] = true
 		}
 		for _, w := range monitor.Weights() {
 			weight := w.Weight
-			if a.health.trials[w.Upstream] {
+			if a.health.probing[w.Upstream] {
 				weight = 1
 			}
 			a.group.SetHealth(now, w.Upstream, weight)
-			a.logHealth(w)
+			a.recordStateChange(w)
 		}
 	}
 }
 
-func (a *serviceActor) logHealth(w health.Weight) {
-	if a.health.states[w.Upstream] == w.State {
+func (a *serviceActor) recordStateChange(w health.Weight) {
+	if a.health.loggedStates[w.Upstream] == w.State {
 		return
 	}
-	a.health.states[w.Upstream] = w.State
+	a.health.loggedStates[w.Upstream] = w.State
 	a.metrics.Scope.Tagged(map[string]string{"upstream": w.Upstream, "state": w.State.String()}).Counter("upstream_health_changes").Inc(1)
 	a.log.Info("upstream health", zap.String("upstream", w.Upstream), zap.String("state", w.State.String()), zap.Float64("weight", w.Weight))
 }
 
-// describe returns each upstream's state in the words of the log.
-func (h *upstreamHealth) describe() map[string]string {
+// stateNames returns the name of each upstream's state, as used in the log.
+func (h *upstreamHealth) stateNames() map[string]string {
 	states := make(map[string]string, len(h.roles))
 	for _, monitor := range h.monitors {
 		for _, w := range monitor.Weights() {
@@ -123,39 +124,39 @@
 	return states
 }
 
-// adviseInterval is how often the pools' balance is sampled.
-const adviseInterval = time.Second
+// balanceSampleInterval is the interval between samples of the pools' utilisation.
+const balanceSampleInterval = time.Second
 
-// sampleBalance lets the advisor see how busy the pools are.
+// sampleBalance passes the current utilisation of the pools to the advisor.
 func (a *serviceActor) sampleBalance(now time.Time) {
-	if a.plain || now.Sub(a.health.advised) < adviseInterval {
+	if a.isPlain || now.Sub(a.health.lastSample) < balanceSampleInterval {
 		return
 	}
-	a.health.advised = now
+	a.health.lastSample = now
 	var sample []balance.Upstream
 	for _, u := range a.group.Status(now).Upstreams {
 		role := balance.Prefill
 		if u.Role == object.RoleDecode {
 			role = balance.Decode
 		}
-		sample = append(sample, balance.Upstream{Name: u.Name, Role: role, Utilisation: busyShare(u), Ineligible: u.Leaving})
+		sample = append(sample, balance.Upstream{Name: u.Name, Role: role, Utilisation: utilisation(u), Ineligible: u.Leaving})
 	}
 	a.health.advisor.Observe(now, sample)
 }
 
-// busyShare is the used share of slots or memory, whichever is higher.
-func busyShare(u group.UpstreamStatus) float64 {
-	busy := 0.0
+// utilisation returns the used fraction of slots or memory, whichever is higher.
+func utilisation(u group.UpstreamStatus) float64 {
+	used := 0.0
 	if u.Slots > 0 {
-		busy = float64(u.Running) / float64(u.Slots)
+		used = float64(u.Running) / float64(u.Slots)
 	}
 	if u.Pieces > 0 {
-		busy = max(busy, float64(u.PiecesUsed)/float64(u.Pieces))
+		used = max(used, float64(u.PiecesUsed)/float64(u.Pieces))
 	}
-	return min(busy, 1)
+	return min(used, 1)
 }
 
-// advice is a sentence for operators, empty when the pools are balanced.
+// advice returns a recommendation for operators, or an empty string if the pools are balanced.
 func (a *serviceActor) advice() string {
 	advice, ok := a.health.advisor.Advice()
 	if !ok {
--- a/scheduler/messages.go
+++ b/scheduler/messages.go
@@ -1,10 +1,10 @@
-// Package scheduler runs the group scheduler of a service on the instance that
-// rendezvous hashing picks, and gives the other instances a client for it.
+// Package scheduler runs the group scheduler of a service on the instance selected by rendezvous
+// hashing, and provides a client for the other instances.
 //
-// The scheduler's state is soft. A new scheduler learns what is running from the
-// upstreams' own lists and from the instances that renew their grants. Two
-// schedulers at once may ask more of an upstream than it has, which it refuses;
-// no promise depends on there being one.
+// The scheduler keeps only soft state. A new scheduler learns what is running from the stream lists
+// of the upstreams and from the instances that renew their grants. Two schedulers active at the
+// same time may overcommit an upstream, which then refuses the excess; no guarantee depends on
+// there being a single scheduler.
 package scheduler
 
 import (
@@ -18,8 +18,7 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// attemptKey names one attempt of one request, the thing that grants, renewals
-// and engine streams have in common.
+// attemptKey identifies one attempt of a request. Grants, renewals and engine streams share it.
 type attemptKey struct {
 	request string
 	attempt uint32
@@ -27,25 +26,26 @@
 
 func (k attemptKey) String() string { return fmt.Sprintf("%s/%d", k.request, k.attempt) }
 
-func keyOf(id port.StreamID) attemptKey { return attemptKey{id.RequestID, id.Attempt} }
+func attemptKeyOf(id port.StreamID) attemptKey { return attemptKey{id.RequestID, id.Attempt} }
 
-// reply answers a reservation: exactly one field is set.
-type reply struct {
+// reserveReply is the result of a reservation. Exactly one field is set.
+type reserveReply struct {
 	grant   *group.Grant
 	refusal *verdict.Verdict
 }
 
-// Messages of the service actor.
+// Messages to serviceActor.
 type (
 	reserveMsg struct {
 		key    attemptKey
 		req    group.Request
 		holder request.Holder
-		// answer has room for one reply, so that the actor never waits for a
-		// handler that has gone.
-		answer chan<- reply
+		// replyTo has a buffer of one, so that the actor never blocks on a handler that has
+		// returned.
+		replyTo chan<- reserveReply
 	}
-	// withdrawMsg is sent when a reservation's asker is gone, granted or not.
+	// withdrawMsg is sent when the client of a reservation has disconnected, whether or not the
+	// reservation was granted.
 	withdrawMsg    struct{ key attemptKey }
 	prefillDoneMsg struct{ key attemptKey }
 	releaseMsg     struct {
@@ -64,32 +64,33 @@
 	reportMsg struct {
 		upstream string
 		load     port.Load
-		// listed tells that streams is the upstream's list; listNow asks for one.
-		listed  bool
-		listNow chan<- struct{}
-		streams []port.StreamState
-		// asked is when the lists were asked for.
-		asked time.Time
+		// hasStreams is set if streams contains the upstream's stream list. requestList requests a
+		// list with the next poll.
+		hasStreams  bool
+		requestList chan<- struct{}
+		streams     []port.StreamState
+		// requestedAt is the time at which the poll was sent.
+		requestedAt time.Time
 	}
 	unreachableMsg struct{ upstream string }
-	cacheMsg       struct {
+	cacheEventsMsg struct {
 		upstream string
 		events   []port.CacheEvent
 		reset    bool
 	}
 	tickMsg   struct{}
-	statusMsg struct{ answer chan<- statusReply }
+	statusMsg struct{ replyTo chan<- statusReply }
 )
 
-// statusReply is what operators see of a service.
+// statusReply is the status of a service shown to operators.
 type statusReply struct {
 	status group.Status
 	advice string
-	// health is the monitors' state of each upstream.
+	// health is the state of each upstream according to its health monitor.
 	health map[string]string
 }
 
-// heldGrant is a grant that an instance renews.
+// heldGrant is a grant in a renewal from an instance.
 type heldGrant struct {
 	id           uint64
 	key          attemptKey
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -9,16 +9,17 @@
 	peerv1 "github.com/cairnworks/cairnworks/gen/cairnworks/peer/v1"
 )
 
-// Status implements the connect handler: the queue and the slots of one service.
+// Status implements peerv1connect.SchedulerServiceHandler. It returns the queue lengths of a
+// service and the state of its upstreams.
 func (s *Server) Status(ctx context.Context, req *connect.Request[peerv1.StatusRequest]) (*connect.Response[peerv1.StatusResponse], error) {
-	pid, err := s.actorOf(req.Msg.Service)
+	pid, err := s.actorFor(req.Msg.Service)
 	if err != nil {
 		return nil, err
 	}
-	answer := make(chan statusReply, 1)
-	s.system.Root.Send(pid, statusMsg{answer})
+	replyTo := make(chan statusReply, 1)
+	s.system.Root.Send(pid, statusMsg{replyTo})
 	select {
-	case r := <-answer:
+	case r := <-replyTo:
 		response := statusResponse(r)
 		response.Advice = r.advice
 		return connect.NewResponse(response), nil
@@ -41,8 +42,8 @@
 	return response
 }
 
-// healthOf is an upstream's state for operators. Weights would not do: an upstream
-// that is out has full weight while it is tried.
+// healthOf returns an upstream's state for operators. The weight is not suitable for this, since an
+// upstream in state "out" has full weight while it is being probed.
 func (r statusReply) healthOf(u group.UpstreamStatus) string {
 	if u.Leaving {
 		return "leaving"
@@ -50,13 +51,12 @@
 	return r.health[u.Name]
 }
 
-// Schedules reports whether any service is scheduled here.
+// Schedules reports whether this instance runs a scheduler for any service.
 func (s *Server) Schedules() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.services) > 0
 }
 
-// Waiting returns the number of reservations without an answer. A drain waits
-// for it to reach zero.
-func (s *Server) Waiting() int64 { return s.waiting.Load() }
+// Waiting returns the number of pending reservations. A drain waits until it is zero.
+func (s *Server) Waiting() int64 { return s.pending.Load() }
--- a/scheduler/renew.go
+++ b/scheduler/renew.go
@@ -24,17 +24,17 @@
 	}
 }
 
-// renewAll sends one renewal to each scheduler, all its grants in one message.
+// renewAll sends each scheduler a single renewal for all of its grants.
 func (c *Client) renewAll(ctx context.Context) {
 	byScheduler := make(map[string][]*peerv1.HeldGrant)
 	c.mu.Lock()
-	for key, held := range c.held {
-		wire := &peerv1.HeldGrant{
+	for key, held := range c.grants {
+		grant := &peerv1.HeldGrant{
 			Id: held.grant.ID, Service: held.grant.Service, RequestId: key.request, Attempt: key.attempt,
 			Prefill: held.grant.Prefill, Decode: held.grant.Decode, Organisation: held.organisation,
 		}
 		for _, address := range c.schedulersOf(held) {
-			byScheduler[address] = append(byScheduler[address], wire)
+			byScheduler[address] = append(byScheduler[address], grant)
 		}
 	}
 	c.mu.Unlock()
@@ -47,38 +47,38 @@
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	resp, err := c.cfg.Dial(address).Renew(ctx, connect.NewRequest(&peerv1.RenewRequest{
-		Holder: wireHolder(c.cfg.Self()), Grants: grants,
+		Holder: holderToProto(c.cfg.Self()), Grants: grants,
 	}))
 	if err != nil {
-		c.cfg.Log.Info("renewal failed", zap.String("scheduler", address), zap.Error(err))
+		c.cfg.Log.Info("grant renewal failed", zap.String("scheduler", address), zap.Error(err))
 		return
 	}
 	lost := make(map[uint64]bool, len(resp.Msg.Lost))
 	for _, id := range resp.Msg.Lost {
 		lost[id] = true
 	}
-	c.drop(lost)
+	c.dropLost(lost)
 }
 
-// drop ends the attempts whose grants a scheduler no longer honours.
-func (c *Client) drop(lost map[uint64]bool) {
+// dropLost ends the attempts whose grants the scheduler has revoked.
+func (c *Client) dropLost(lost map[uint64]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for key, held := range c.held {
+	for key, held := range c.grants {
 		if lost[held.grant.ID] {
-			delete(c.held, key)
+			delete(c.grants, key)
 			close(held.lost)
 		}
 	}
 }
 
-// DropAll ends every attempt. It is called when this instance finds that the
-// fleet has declared it dead: its slots have been given to others.
+// DropAll ends all attempts. It is called when this instance learns that the fleet has declared it
+// dead, because its slots have then been granted to others.
 func (c *Client) DropAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for key, held := range c.held {
-		delete(c.held, key)
+	for key, held := range c.grants {
+		delete(c.grants, key)
 		close(held.lost)
 	}
 }
--- a/scheduler/server.go
+++ b/scheduler/server.go
@@ -20,57 +20,57 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// Catalogue gives the services and upstreams in force.
+// Catalogue provides access to the services and upstreams of the active configuration.
 type Catalogue interface {
 	Service(name string) (*object.Service, bool)
 	Upstreams(service string) []*object.Upstream
 }
 
-// Config is what a scheduler server needs from its instance.
+// Config holds the dependencies of a Server.
 type Config struct {
 	Self request.Holder
-	// Catalogue returns the set in force, or nil while there is none.
+	// Catalogue returns the active configuration, or nil if none has been loaded.
 	Catalogue func() Catalogue
-	// Home returns the instance that should schedule a service by this
-	// instance's view of the fleet.
+	// Home returns the instance that should schedule a service according to this instance's view
+	// of the fleet.
 	Home func(service string) (request.Holder, bool)
-	// Dead reports whether the fleet has given up this run of an instance.
+	// Dead reports whether the fleet has declared this incarnation of an instance dead.
 	Dead    func(request.Holder) bool
 	Engines port.EngineDialer
-	// System runs the actors. Its owner shuts it down.
+	// System runs the actors. It is shut down by the caller, not by Server.Close.
 	System  *actor.ActorSystem
 	Log     *zap.Logger
 	Metrics *observe.Metrics
 }
 
-// Server serves SchedulerService for every service that askers bring to it.
-// Which instance that is follows from each asker's view; an asker with an old
-// view is served all the same, since two schedulers break no promise and sending
-// askers to and fro while views settle would cost their deadlines.
+// Server implements SchedulerService for every service that it receives requests for. Each client
+// selects the instance according to its own view of the fleet. Clients with an outdated view are
+// served as well: two schedulers at the same time violate no guarantee, whereas redirecting clients
+// until the views converge would make them miss their deadlines.
 type Server struct {
 	cfg    Config
 	system *actor.ActorSystem
 
-	// waiting counts reservations that have no answer yet.
-	waiting atomic.Int64
+	// pending is the number of reservations that have not been answered yet.
+	pending atomic.Int64
 
 	mu       sync.Mutex
-	services map[string]*running
+	services map[string]*runningService
 }
 
-// running is one service's actor and the watch over its upstreams.
-type running struct {
-	pid        *actor.PID
-	stop       context.CancelFunc
-	configured configureMsg
+// runningService is the actor of a service and the pollers of its upstreams.
+type runningService struct {
+	pid           *actor.PID
+	stopPollers   context.CancelFunc
+	lastConfigure configureMsg
 }
 
-// NewServer returns a server without any running service.
+// NewServer returns a server that runs no services yet.
 func NewServer(cfg Config) *Server {
-	return &Server{cfg: cfg, system: cfg.System, services: make(map[string]*running)}
+	return &Server{cfg: cfg, system: cfg.System, services: make(map[string]*runningService)}
 }
 
-// Close stops every service's actor. Waiting reservations are refused.
+// Close stops the actors of all services. Pending reservations are refused.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,14 +79,14 @@
 	}
 }
 
-func (s *Server) stopService(name string, r *running) {
-	r.stop()
+func (s *Server) stopService(name string, r *runningService) {
+	r.stopPollers()
 	s.system.Root.Stop(r.pid)
 	delete(s.services, name)
 }
 
-// actorOf returns the actor of a service, started at its first use.
-func (s *Server) actorOf(name string) (*actor.PID, error) {
+// actorFor returns the actor of a service, starting it on first use.
+func (s *Server) actorFor(name string) (*actor.PID, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r := s.services[name]; r != nil {
@@ -102,7 +102,7 @@
 	}
 	a := s.newActor(service)
 	pid := s.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor { return a }))
-	r := &running{pid: pid, stop: func() {}}
+	r := &runningService{pid: pid, stopPollers: func() {}}
 	s.services[name] = r
 	s.configure(r, service, catalogue.Upstreams(name))
 	return pid, nil
@@ -113,22 +113,22 @@
 		service: service.Name,
 		group: group.New(group.Config{
 			Kind: service.Kind, FirstGrantID: uint64(time.Now().UnixMilli()) << 20,
-			// The operators' bound on the wait, which is the target unless they say
-			// otherwise: a service whose callers may wait longer must not refuse at it.
+			// The maximum wait configured by the operators, which defaults to the target. A service
+			// whose callers may wait longer must not refuse requests at the target.
 			FirstToken: time.Duration(service.MaxWaitMS) * time.Millisecond,
 		}),
-		waiting: make(map[attemptKey]reserveMsg),
-		byKey:   make(map[attemptKey]*lease),
-		ended:   make(map[attemptKey]time.Time),
-		crashes: quarantine.New(quarantine.DefaultConfig()), processes: make(map[string]string),
-		excess:  make(map[string]int),
-		health:  newUpstreamHealth(),
-		addrs:   make(map[string]string),
-		home:    func() bool { return s.isHome(service.Name) },
-		dead:    s.cfg.Dead,
-		engines: s.cfg.Engines,
-		log:     s.cfg.Log.With(zap.String("service", service.Name)),
-		metrics: s.cfg.Metrics,
+		pending:      make(map[attemptKey]reserveMsg),
+		leases:       make(map[attemptKey]*lease),
+		endedAt:      make(map[attemptKey]time.Time),
+		crashTracker: quarantine.New(quarantine.DefaultConfig()), processes: make(map[string]string),
+		excessReports: make(map[string]int),
+		health:        newUpstreamHealth(),
+		addresses:     make(map[string]string),
+		isHome:        func() bool { return s.isHome(service.Name) },
+		isDead:        s.cfg.Dead,
+		engines:       s.cfg.Engines,
+		log:           s.cfg.Log.With(zap.String("service", service.Name)),
+		metrics:       s.cfg.Metrics,
 	}
 }
 
@@ -137,16 +137,16 @@
 	return ok && home.Instance == s.cfg.Self.Instance
 }
 
-// Refresh applies the object set in force and starts the services that this
-// instance is the home of, so that streams left behind by a dead scheduler's
-// callers are found even when nobody asks for a new grant.
+// Refresh applies the active configuration and starts the schedulers of the services for which this
+// instance is the home, so that the streams of a failed scheduler's callers are found even if no
+// new grant is requested.
 func (s *Server) Refresh(services []object.Service) {
 	for _, service := range services {
 		if !s.isHome(service.Name) {
 			continue
 		}
-		if _, err := s.actorOf(service.Name); err != nil {
-			s.cfg.Log.Info("scheduler not started", zap.String("service", service.Name), zap.Error(err))
+		if _, err := s.actorFor(service.Name); err != nil {
+			s.cfg.Log.Info("cannot start scheduler", zap.String("service", service.Name), zap.Error(err))
 		}
 	}
 	s.mu.Lock()
@@ -162,35 +162,36 @@
 	}
 }
 
-// configure gives a service's actor its upstreams and watches them. Unchanged
-// ones are left alone, as a new watch forgets how far it has read their events.
-func (s *Server) configure(r *running, service *object.Service, upstreams []*object.Upstream) {
+// configure sends a service's configuration to its actor and restarts the pollers of its upstreams.
+// It does nothing if the configuration has not changed, because a new poller loses the position in
+// the upstream's cache events.
+func (s *Server) configure(r *runningService, service *object.Service, upstreams []*object.Upstream) {
 	msg := configureMsg{service, upstreams}
-	if reflect.DeepEqual(msg, r.configured) {
+	if reflect.DeepEqual(msg, r.lastConfigure) {
 		return
 	}
-	r.configured = msg
-	r.stop()
+	r.lastConfigure = msg
+	r.stopPollers()
 	ctx, stop := context.WithCancel(context.Background())
-	r.stop = stop
+	r.stopPollers = stop
 	s.system.Root.Send(r.pid, msg)
-	s.watch(ctx, r.pid, service, upstreams)
+	s.startPollers(ctx, r.pid, service, upstreams)
 }
 
-// Reserve implements the connect handler.
+// Reserve implements peerv1connect.SchedulerServiceHandler.
 func (s *Server) Reserve(ctx context.Context, req *connect.Request[peerv1.ReserveRequest]) (*connect.Response[peerv1.ReserveResponse], error) {
 	m := req.Msg
-	pid, err := s.actorOf(m.Service)
+	pid, err := s.actorFor(m.Service)
 	if err != nil {
 		return nil, err
 	}
-	s.waiting.Add(1)
-	defer s.waiting.Add(-1)
+	s.pending.Add(1)
+	defer s.pending.Add(-1)
 	now := time.Now()
 	key := attemptKey{m.RequestId, m.Attempt}
-	answer := make(chan reply, 1)
+	replyTo := make(chan reserveReply, 1)
 	s.system.Root.Send(pid, reserveMsg{
-		key: key, holder: holderOf(m.Holder), answer: answer,
+		key: key, holder: holderFromProto(m.Holder), replyTo: replyTo,
 		req: group.Request{
 			ID: key.String(), Organisation: m.Organisation, KeyID: m.KeyId, Class: request.Class(m.Class),
 			PromptTokens: int(m.PromptTokens), MaxTokens: int(m.MaxTokens), PrefixHashes: m.PrefixHashes,
@@ -199,7 +200,7 @@
 		},
 	})
 	select {
-	case r := <-answer:
+	case r := <-replyTo:
 		return connect.NewResponse(reserveResponse(r, time.Now())), nil
 	case <-ctx.Done():
 		s.system.Root.Send(pid, withdrawMsg{key})
@@ -207,9 +208,9 @@
 	}
 }
 
-// PrefillDone implements the connect handler.
+// PrefillDone implements peerv1connect.SchedulerServiceHandler.
 func (s *Server) PrefillDone(_ context.Context, req *connect.Request[peerv1.PrefillDoneRequest]) (*connect.Response[peerv1.PrefillDoneResponse], error) {
-	pid, err := s.actorOf(req.Msg.Service)
+	pid, err := s.actorFor(req.Msg.Service)
 	if err != nil {
 		return nil, err
 	}
@@ -217,18 +218,18 @@
 	return connect.NewResponse(&peerv1.PrefillDoneResponse{}), nil
 }
 
-// Release implements the connect handler.
+// Release implements peerv1connect.SchedulerServiceHandler.
 func (s *Server) Release(_ context.Context, req *connect.Request[peerv1.ReleaseRequest]) (*connect.Response[peerv1.ReleaseResponse], error) {
-	pid, err := s.actorOf(req.Msg.Service)
+	pid, err := s.actorFor(req.Msg.Service)
 	if err != nil {
 		return nil, err
 	}
 	key := attemptKey{req.Msg.RequestId, req.Msg.Attempt}
-	s.system.Root.Send(pid, releaseMsg{key, groupOutcome(req.Msg.Outcome)})
+	s.system.Root.Send(pid, releaseMsg{key, outcomeFromProto(req.Msg.Outcome)})
 	return connect.NewResponse(&peerv1.ReleaseResponse{}), nil
 }
 
-// Renew implements the connect handler.
+// Renew implements peerv1connect.SchedulerServiceHandler.
 func (s *Server) Renew(ctx context.Context, req *connect.Request[peerv1.RenewRequest]) (*connect.Response[peerv1.RenewResponse], error) {
 	byService := make(map[string][]heldGrant)
 	for _, g := range req.Msg.Grants {
@@ -239,12 +240,12 @@
 	}
 	response := &peerv1.RenewResponse{SchedulerIncarnation: s.cfg.Self.Incarnation}
 	for service, grants := range byService {
-		pid, err := s.actorOf(service)
+		pid, err := s.actorFor(service)
 		if err != nil {
 			continue
 		}
 		lost := make(chan []uint64, 1)
-		s.system.Root.Send(pid, renewMsg{holderOf(req.Msg.Holder), grants, lost})
+		s.system.Root.Send(pid, renewMsg{holderFromProto(req.Msg.Holder), grants, lost})
 		select {
 		case ids := <-lost:
 			response.Lost = append(response.Lost, ids...)
--- a/scheduler/server_test.go
+++ b/scheduler/server_test.go
@@ -19,8 +19,8 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// listedEngine answers polls with one running stream, after a delay.
-type listedEngine struct {
+// fakeEngine reports the given streams and responds to load requests after a delay.
+type fakeEngine struct {
 	port.Engine
 	delay     time.Duration
 	cancelled chan port.StreamID
@@ -29,24 +29,24 @@
 	streams []port.StreamState
 }
 
-func (e *listedEngine) Load(ctx context.Context) (port.Load, error) {
+func (e *fakeEngine) Load(ctx context.Context) (port.Load, error) {
 	time.Sleep(e.delay)
 	return port.Load{Running: len(e.listed()), Slots: 1}, ctx.Err()
 }
 
-func (e *listedEngine) Streams(context.Context) ([]port.StreamState, error) { return e.listed(), nil }
+func (e *fakeEngine) Streams(context.Context) ([]port.StreamState, error) { return e.listed(), nil }
 
-func (e *listedEngine) listed() []port.StreamState {
+func (e *fakeEngine) listed() []port.StreamState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.streams
 }
 
-func (e *listedEngine) CacheEvents(context.Context, uint64) ([]port.CacheEvent, error) {
+func (e *fakeEngine) CacheEvents(context.Context, uint64) ([]port.CacheEvent, error) {
 	return nil, nil
 }
 
-func (e *listedEngine) Cancel(_ context.Context, id port.StreamID) error {
+func (e *fakeEngine) Cancel(_ context.Context, id port.StreamID) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cancelled <- id
@@ -54,34 +54,35 @@
 	return nil
 }
 
-// fixedSet is a catalogue of one model service with one slot.
-type fixedSet struct{}
+// testCatalogue contains one model service with one prefill and one decode upstream, each with one
+// slot.
+type testCatalogue struct{}
 
-func (fixedSet) Service(string) (*object.Service, bool) {
+func (testCatalogue) Service(string) (*object.Service, bool) {
 	return &object.Service{Name: "pisar", Kind: object.KindModel, MaxWaitMS: 60_000}, true
 }
 
-func (fixedSet) Upstreams(string) []*object.Upstream {
+func (testCatalogue) Upstreams(string) []*object.Upstream {
 	return []*object.Upstream{
 		{Name: "p", Service: "pisar", Role: object.RolePrefill, Address: "prefill", Slots: 1},
 		{Name: "d", Service: "pisar", Role: object.RoleDecode, Address: "decode", Slots: 1, Pieces: 400},
 	}
 }
 
-func newTestServer(t *testing.T, decode *listedEngine) *Server {
+func newTestServer(t *testing.T, decode *fakeEngine) *Server {
 	t.Helper()
 	metrics := observe.NewMetrics()
 	system := observe.NewActorSystem()
 	self := request.Holder{Instance: "a", Incarnation: 1}
 	s := NewServer(Config{
-		Self: self, Catalogue: func() Catalogue { return fixedSet{} },
+		Self: self, Catalogue: func() Catalogue { return testCatalogue{} },
 		Home: func(string) (request.Holder, bool) { return self, true },
 		Dead: func(request.Holder) bool { return false },
 		Engines: func(address string) port.Engine {
 			if address == "decode" {
 				return decode
 			}
-			return &listedEngine{}
+			return &fakeEngine{}
 		},
 		System: system, Log: zap.NewNop(), Metrics: metrics,
 	})
@@ -89,16 +90,16 @@
 		s.Close()
 		system.Shutdown()
 		_ = metrics.Close()
-		// A message to an actor that has just ended starts a wait of the actor system, which must
-		// be over before the bubble ends.
-		time.Sleep(deadLetterWait)
+		// A message to a stopped actor starts a timer in the actor system, which must expire before
+		// the synctest bubble ends.
+		time.Sleep(actorShutdownWait)
 	})
 	return s
 }
 
-// deadLetterWait is longer than the time over which the actor system counts messages to actors that
-// have ended.
-const deadLetterWait = 5 * time.Second
+// actorShutdownWait is longer than the interval in which the actor system counts dead letters, that
+// is, messages to stopped actors.
+const actorShutdownWait = 5 * time.Second
 
 func reserve(s *Server, id string) (*peerv1.ReserveResponse, error) {
 	resp, err := s.Reserve(context.Background(), connect.NewRequest(&peerv1.ReserveRequest{
@@ -111,34 +112,36 @@
 	return resp.Msg, nil
 }
 
-// A scheduler takes over while a request of its predecessor still holds the only
-// slot, and somebody asks before the engine's list has been read. Granted at once,
-// the newcomer's prefill would be paid for and its import refused.
-func TestANewSchedulerListensBeforeItGrants(t *testing.T) {
+// Guards against granting a slot that is still in use after a takeover. A reservation arrives
+// before the new scheduler has read the stream list, while a request granted by the previous
+// scheduler occupies the only slot. If it were granted immediately, its prefill would be wasted
+// because the engine would refuse the import.
+func TestNewSchedulerReadsStreamListsBeforeGranting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owner := request.Holder{Instance: "b", Incarnation: 7}
 		running := port.StreamState{Stream: port.StreamID{RequestID: "old", Attempt: 1, Owner: owner}, Phase: "decoding", Pieces: 1}
-		engine := &listedEngine{delay: 100 * time.Millisecond, streams: []port.StreamState{running}, cancelled: make(chan port.StreamID, 8)}
+		engine := &fakeEngine{delay: 100 * time.Millisecond, streams: []port.StreamState{running}, cancelled: make(chan port.StreamID, 8)}
 		s := newTestServer(t, engine)
-		began := time.Now()
+		start := time.Now()
 		granted := make(chan time.Duration, 1)
 		go func() {
 			resp, err := reserve(s, "new")
 			assert.Check(t, err == nil && resp.Grant != nil)
-			granted <- time.Since(began)
+			granted <- time.Since(start)
 		}()
-		// Nobody renews the old request, so its lease runs out, its stream is
-		// cancelled and only then is the slot free.
+		// The old request is not renewed: its lease expires and its stream is cancelled before the
+		// slot becomes free.
 		assert.Equal(t, <-engine.cancelled, running.Stream)
-		assert.Assert(t, <-granted >= LeaseTime)
+		assert.Assert(t, <-granted >= LeaseDuration)
 	})
 }
 
-// An upstream that is out gets full weight for the one request that tries it.
-// Operators who were shown the weight saw it as well in the middle of its illness.
-func TestStatusShowsHealthAndNotTheWeightOfATrial(t *testing.T) {
+// Guards against reporting a failing upstream as healthy. An upstream in state "out" has full
+// weight for the one request that probes it, so a status derived from the weight showed it as
+// healthy while it was still failing.
+func TestStatusReportsUnhealthyUpstreamDuringProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestServer(t, &listedEngine{cancelled: make(chan port.StreamID, 8)})
+		s := newTestServer(t, &fakeEngine{cancelled: make(chan port.StreamID, 8)})
 		for n := range 40 {
 			id := fmt.Sprint(n)
 			resp, err := reserve(s, id)
--- a/scheduler/takeover.go
+++ b/scheduler/takeover.go
@@ -13,19 +13,19 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// cancelTimeout bounds one cancel that the scheduler sends.
+// cancelTimeout is the timeout of a cancel sent by the scheduler.
 const cancelTimeout = 2 * time.Second
 
-// renew extends the leases of an instance's grants and takes over the ones that
-// another scheduler gave. It returns those that are no longer honoured here.
+// renew extends the leases of an instance's grants and adopts grants given by another scheduler. It
+// returns the IDs of the grants that are no longer valid.
 func (a *serviceActor) renew(now time.Time, msg renewMsg) []uint64 {
 	var lost []uint64
 	for _, held := range msg.grants {
-		if l := a.byKey[held.key]; l != nil {
-			l.expires, l.holder = now.Add(LeaseTime), msg.holder
+		if l := a.leases[held.key]; l != nil {
+			l.expires, l.holder = now.Add(LeaseDuration), msg.holder
 			continue
 		}
-		if _, ended := a.ended[held.key]; ended {
+		if _, ended := a.endedAt[held.key]; ended {
 			lost = append(lost, held.id)
 			continue
 		}
@@ -34,77 +34,78 @@
 	return lost
 }
 
-// adopt counts a running attempt that this scheduler did not grant.
+// adopt creates a lease for a running attempt that this scheduler did not grant.
 func (a *serviceActor) adopt(now time.Time, held heldGrant, holder request.Holder) {
-	a.nextHeld++
-	id := adoptedID | a.nextHeld
+	a.adoptedCount++
+	id := adoptedIDFlag | a.adoptedCount
 	a.group.Adopt(now, group.ActiveGrant{
 		ID: id, RequestID: held.key.String(), Organisation: held.organisation,
 		Prefill: held.prefill, Decode: held.decode, Pieces: held.pieces,
 	})
-	l := &lease{id: id, key: held.key, holder: holder, prefill: held.prefill, decode: held.decode, expires: now.Add(LeaseTime), fingerprint: held.fingerprint}
-	a.byKey[held.key] = l
+	l := &lease{id: id, key: held.key, holder: holder, prefill: held.prefill, decode: held.decode, expires: now.Add(LeaseDuration), fingerprint: held.fingerprint}
+	a.leases[held.key] = l
 	a.metrics.Scope.Counter("grants_adopted").Inc(1)
 }
 
-// adoptedID marks ids given to adopted grants, apart from those the group gives.
-const adoptedID = uint64(1) << 63
+// adoptedIDFlag is set in the IDs of adopted grants to distinguish them from the IDs that the group
+// assigns.
+const adoptedIDFlag = uint64(1) << 63
 
-// report takes in an upstream's load and its list of streams. A stream that no
-// lease covers is either running under a scheduler that is gone, and its owner
-// will renew it, or is left behind, and its lease here will run out.
-func (a *serviceActor) report(now time.Time, msg reportMsg) {
+// handleReport processes an upstream's load and stream list. A stream without a lease was either
+// granted by a previous scheduler, in which case its owner will renew it, or it is orphaned, in
+// which case the lease created here will expire.
+func (a *serviceActor) handleReport(now time.Time, msg reportMsg) {
 	a.group.Report(now, msg.upstream, group.LoadReport{
 		Running: msg.load.Running, Slots: msg.load.Slots, PiecesUsed: msg.load.PiecesUsed,
 		Pieces: msg.load.Pieces, Queued: msg.load.Queued, Leaving: msg.load.Leaving,
 	})
 	a.processes[msg.upstream] = msg.load.Start
-	a.warmup.heard(msg.upstream)
-	if !a.home() {
+	a.warmup.markReported(msg.upstream)
+	if !a.isHome() {
 		return
 	}
-	a.askForList(msg)
+	a.requestListOnExcess(msg)
 	for _, s := range msg.streams {
-		key := keyOf(s.Stream)
-		if a.byKey[key] != nil {
+		key := attemptKeyOf(s.Stream)
+		if a.leases[key] != nil {
 			continue
 		}
-		endedAt, ended := a.ended[key]
+		endedAt, ended := a.endedAt[key]
 		switch {
 		case !ended:
 			a.adopt(now, heldGrant{key: key, decode: msg.upstream, pieces: s.Pieces}, s.Stream.Owner)
-		case msg.asked.Sub(endedAt) > cancelAfterEnd:
+		case msg.requestedAt.Sub(endedAt) > lostCancelDelay:
 			a.metrics.Scope.Counter("orphans_cancelled").Inc(1)
-			a.log.Info("orphan cancelled", zap.String("request", key.request), zap.String("upstream", msg.upstream))
-			a.cancel(s.Stream, msg.upstream)
+			a.log.Info("orphaned stream cancelled", zap.String("request", key.request), zap.String("upstream", msg.upstream))
+			a.cancelStream(s.Stream, msg.upstream)
 		}
 	}
 }
 
-// askForList asks for an upstream's list when two reports in a row count more
-// streams than leases cover. One report alone lags behind streams that just ended.
-func (a *serviceActor) askForList(msg reportMsg) {
+// requestListOnExcess requests an upstream's stream list if two consecutive reports count more
+// streams than there are leases. A single report can still include streams that have just ended.
+func (a *serviceActor) requestListOnExcess(msg reportMsg) {
 	known := 0
-	for _, l := range a.byKey {
-		if l.decode == msg.upstream || l.prefill == msg.upstream && !l.prefilled {
+	for _, l := range a.leases {
+		if l.decode == msg.upstream || l.prefill == msg.upstream && !l.prefillDone {
 			known++
 		}
 	}
-	if msg.listed || msg.load.Running <= known {
-		a.excess[msg.upstream] = 0
+	if msg.hasStreams || msg.load.Running <= known {
+		a.excessReports[msg.upstream] = 0
 		return
 	}
-	a.excess[msg.upstream]++
-	if a.excess[msg.upstream] < 2 {
+	a.excessReports[msg.upstream]++
+	if a.excessReports[msg.upstream] < 2 {
 		return
 	}
 	select {
-	case msg.listNow <- struct{}{}:
-	default: // one has been asked for already
+	case msg.requestList <- struct{}{}:
+	default: // a list has already been requested
 	}
 }
 
-func (a *serviceActor) cache(now time.Time, msg cacheMsg) {
+func (a *serviceActor) applyCacheEvents(now time.Time, msg cacheEventsMsg) {
 	if msg.reset {
 		a.group.CacheReset(msg.upstream)
 	}
@@ -113,14 +114,14 @@
 	}
 }
 
-// cancel frees a stream at upstreams without holding up the actor. A lost cancel
-// shows in the upstream's next list and is sent again.
-func (a *serviceActor) cancel(id port.StreamID, upstreams ...string) {
-	if a.plain {
+// cancelStream cancels a stream at upstreams without blocking the actor. If the cancel is lost, the
+// upstream's next list still contains the stream and the cancel is sent again.
+func (a *serviceActor) cancelStream(id port.StreamID, upstreams ...string) {
+	if a.isPlain {
 		return
 	}
 	for _, name := range upstreams {
-		address, ok := a.addrs[name]
+		address, ok := a.addresses[name]
 		if !ok {
 			continue
 		}
--- a/scheduler/warmup.go
+++ b/scheduler/warmup.go
@@ -6,55 +6,54 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// warmupTime bounds how long a new scheduler listens before it grants. Polls of
-// upstreams that answer take a few milliseconds; one that does not answer in this
-// time must not hold up the service.
-const warmupTime = 500 * time.Millisecond
-
-// warmup holds reservations back until a new scheduler has read the upstreams'
-// lists. Granting at once would give away slots that the requests of its
-// predecessor still use: the upstream refuses the import, and the prefill that
-// went before is wasted.
+// warmupTimeout is the maximum time that a new scheduler waits for reports before it grants
+// reservations. Polls of responsive upstreams take a few milliseconds; an upstream that does not
+// respond within this time must not delay the service.
+const warmupTimeout = 500 * time.Millisecond
+
+// warmup defers reservations until a new scheduler has read the upstreams' stream lists. Granting
+// immediately would assign slots that are still used by requests granted by the previous scheduler:
+// the upstream would refuse the import, and the preceding prefill would be wasted.
 type warmup struct {
-	// unheard are the upstreams that have not reported yet.
-	unheard map[string]bool
-	ends    time.Time
-	parked  []reserveMsg
+	// unreported is the set of upstreams that have neither reported nor been found unreachable yet.
+	unreported map[string]bool
+	deadline   time.Time
+	deferred   []reserveMsg
 }
 
-// begin starts the wait; it has no effect once it is over.
-func (w *warmup) begin(now time.Time, upstreams []*object.Upstream) {
-	if w.unheard != nil {
+// start begins the warm-up on the first call. Further calls have no effect.
+func (w *warmup) start(now time.Time, upstreams []*object.Upstream) {
+	if w.unreported != nil {
 		return
 	}
-	w.ends = now.Add(warmupTime)
-	w.unheard = make(map[string]bool)
+	w.deadline = now.Add(warmupTimeout)
+	w.unreported = make(map[string]bool)
 	for _, u := range upstreams {
 		if u.Role != object.RolePlain {
-			w.unheard[u.Name] = true
+			w.unreported[u.Name] = true
 		}
 	}
 }
 
-func (w *warmup) heard(upstream string) { delete(w.unheard, upstream) }
+func (w *warmup) markReported(upstream string) { delete(w.unreported, upstream) }
 
-func (w *warmup) over(now time.Time) bool { return len(w.unheard) == 0 || !now.Before(w.ends) }
+func (w *warmup) done(now time.Time) bool { return len(w.unreported) == 0 || !now.Before(w.deadline) }
 
-// take returns the parked reservations once the wait is over.
-func (w *warmup) take(now time.Time) []reserveMsg {
-	if len(w.parked) == 0 || !w.over(now) {
+// takeDeferred returns the deferred reservations once the warm-up is done.
+func (w *warmup) takeDeferred(now time.Time) []reserveMsg {
+	if len(w.deferred) == 0 || !w.done(now) {
 		return nil
 	}
-	parked := w.parked
-	w.parked = nil
-	return parked
+	deferred := w.deferred
+	w.deferred = nil
+	return deferred
 }
 
-// drop removes a parked reservation whose asker is gone.
-func (w *warmup) drop(key attemptKey) {
-	for i, msg := range w.parked {
+// removeDeferred removes a deferred reservation whose client has disconnected.
+func (w *warmup) removeDeferred(key attemptKey) {
+	for i, msg := range w.deferred {
 		if msg.key == key {
-			w.parked = append(w.parked[:i], w.parked[i+1:]...)
+			w.deferred = append(w.deferred[:i], w.deferred[i+1:]...)
 			return
 		}
 	}
--- a/scheduler/watch.go
+++ b/scheduler/watch.go
@@ -11,66 +11,67 @@
 )
 
 const (
-	// watchInterval is how often an upstream is asked for its load and streams.
-	// Reports lag anyway; grants, not reports, say what is free. At 600 upstreams
-	// over 400 instances this is 1.5 polls a second an instance.
-	watchInterval = time.Second
-	// watchTimeout bounds one poll.
-	watchTimeout = time.Second
-	// fullEvery is how many polls there are to one that lists the streams. A list
-	// takes 188 bytes a stream, a load report some 260 in all; a report of more
-	// streams than are known here asks for the list at once.
-	fullEvery = 10
+	// pollInterval is the interval between polls of an upstream. Reports are always out of date, so
+	// free capacity is computed from grants and not from reports. With 600 upstreams and 400
+	// instances, this is 1.5 polls per second per instance.
+	pollInterval = time.Second
+	// pollTimeout is the timeout of one poll.
+	pollTimeout = time.Second
+	// pollsPerList is the number of polls per poll that requests the stream list. A list takes 188
+	// bytes per stream, a load report about 260 bytes in total. If the reports count more streams
+	// than are known here, the list is requested earlier.
+	pollsPerList = 10
 )
 
-// watch polls every upstream of a model service until ctx ends. The first poll
-// goes out at once: a scheduler that takes over learns from it what is running.
-func (s *Server) watch(ctx context.Context, pid *actor.PID, service *object.Service, upstreams []*object.Upstream) {
+// startPollers polls every upstream of a model service until ctx is done. The first poll is sent
+// immediately, because a scheduler that takes over learns from it which streams are running.
+func (s *Server) startPollers(ctx context.Context, pid *actor.PID, service *object.Service, upstreams []*object.Upstream) {
 	if service.Kind == object.KindPlain {
 		return
 	}
 	for _, u := range upstreams {
-		w := &upstreamWatch{
-			server: s, pid: pid, upstream: u, engine: s.cfg.Engines(u.Address), listNow: make(chan struct{}, 1),
+		w := &upstreamPoller{
+			server: s, pid: pid, upstream: u, engine: s.cfg.Engines(u.Address), listRequested: make(chan struct{}, 1),
 		}
 		go w.run(ctx)
 	}
 }
 
-type upstreamWatch struct {
+type upstreamPoller struct {
 	server   *Server
 	pid      *actor.PID
 	upstream *object.Upstream
 	engine   port.Engine
-	// listNow asks for the streams' list with the next poll, which it brings forward.
-	listNow chan struct{}
-	// cacheSeq is the last cache event seen; start is the engine's process.
-	cacheSeq uint64
-	start    string
+	// listRequested triggers an immediate poll that includes the stream list.
+	listRequested chan struct{}
+	// lastCacheSeq is the sequence number of the last cache event read, and processStart identifies
+	// the engine process that it came from.
+	lastCacheSeq uint64
+	processStart string
 }
 
-func (w *upstreamWatch) run(ctx context.Context) {
-	ticker := time.NewTicker(watchInterval)
+func (w *upstreamPoller) run(ctx context.Context) {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
-		w.poll(ctx, n%fullEvery == 0)
+		w.poll(ctx, n%pollsPerList == 0)
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.listNow:
+		case <-w.listRequested:
 			w.poll(ctx, true)
 		case <-ticker.C:
 		}
 	}
 }
 
-// poll asks for the load and, if full, for the streams.
-func (w *upstreamWatch) poll(ctx context.Context, full bool) {
-	ctx, stop := context.WithTimeout(ctx, watchTimeout)
+// poll requests the load and, if withStreams is set, the stream list.
+func (w *upstreamPoller) poll(ctx context.Context, withStreams bool) {
+	ctx, stop := context.WithTimeout(ctx, pollTimeout)
 	defer stop()
-	msg := reportMsg{upstream: w.upstream.Name, asked: time.Now(), listed: full, listNow: w.listNow}
+	msg := reportMsg{upstream: w.upstream.Name, requestedAt: time.Now(), hasStreams: withStreams, requestList: w.listRequested}
 	var err error
-	if msg.load, err = w.engine.Load(ctx); err == nil && full {
+	if msg.load, err = w.engine.Load(ctx); err == nil && withStreams {
 		msg.streams, err = w.engine.Streams(ctx)
 	}
 	if err != nil {
@@ -83,26 +84,26 @@
 	}
 }
 
-// pollCache reads the prefix cache's events. After a gap or a restart nothing
-// believed so far holds; the belief is dropped and grows anew.
-func (w *upstreamWatch) pollCache(ctx context.Context, start string) {
-	msg := cacheMsg{upstream: w.upstream.Name}
-	if start != w.start {
-		w.start, w.cacheSeq, msg.reset = start, 0, true
+// pollCache reads the events of the prefix cache. After a gap or a restart of the engine, the known
+// cache contents are discarded and rebuilt from new events.
+func (w *upstreamPoller) pollCache(ctx context.Context, start string) {
+	msg := cacheEventsMsg{upstream: w.upstream.Name}
+	if start != w.processStart {
+		w.processStart, w.lastCacheSeq, msg.reset = start, 0, true
 	}
-	events, err := w.engine.CacheEvents(ctx, w.cacheSeq)
+	events, err := w.engine.CacheEvents(ctx, w.lastCacheSeq)
 	if err != nil {
 		return
 	}
 	for _, e := range events {
-		if w.cacheSeq != 0 && e.Seq != w.cacheSeq+1 {
+		if w.lastCacheSeq != 0 && e.Seq != w.lastCacheSeq+1 {
 			msg.reset = true
 			msg.events = msg.events[:0]
 		}
-		w.cacheSeq = e.Seq
+		w.lastCacheSeq = e.Seq
 		msg.events = append(msg.events, e)
 	}
 	w.send(msg)
 }
 
-func (w *upstreamWatch) send(msg any) { w.server.system.Root.Send(w.pid, msg) }
+func (w *upstreamPoller) send(msg any) { w.server.system.Root.Send(w.pid, msg) }
