--- a/instance/drain.go
+++ b/instance/drain.go
@@ -86,7 +86,7 @@
 // waitUnused waits until no request is open and none of this instance's
 // schedulers has askers waiting.
 func (i *Instance) waitUnused(ctx context.Context) {
-	for i.door.Open() > 0 || i.sched.Waiting() > 0 {
+	for i.door.Open() > 0 || i.sched.PendingReservations() > 0 {
 		if !sleep(ctx, drainPoll) {
 			return
 		}
--- a/instance/path.go
+++ b/instance/path.go
@@ -15,7 +15,7 @@
 // buildPath joins the stages of a request.
 func (i *Instance) buildPath() error {
 	i.sched = scheduler.NewServer(scheduler.Config{
-		Self: i.self(), Catalogue: i.catalogue, Home: i.schedulerHome, Dead: i.givenUp,
+		Self: i.self(), Catalogue: i.catalogue, Home: i.schedulerHome, IsDead: i.givenUp,
 		Engines: i.engines, System: i.actors, Log: i.log, Metrics: i.metrics,
 	})
 	i.placer = scheduler.NewClient(scheduler.ClientConfig{
--- a/instance/upstreams.go
+++ b/instance/upstreams.go
@@ -37,7 +37,7 @@
 	for sleep(ctx, upstreamListInterval) {
 		// Only schedulers use the list. At 400 instances and 600 upstreams each
 		// reading costs 64 KB.
-		if !i.sched.Schedules() {
+		if !i.sched.HasServices() {
 			continue
 		}
 		listed, err := i.platform.list.Upstreams(ctx)
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -51,12 +51,12 @@
 	return r.health[u.Name]
 }
 
-// Schedules reports whether this instance runs a scheduler for any service.
-func (s *Server) Schedules() bool {
+// HasServices reports whether this instance runs a scheduler for any service.
+func (s *Server) HasServices() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.services) > 0
 }
 
-// Waiting returns the number of pending reservations. A drain waits until it is zero.
-func (s *Server) Waiting() int64 { return s.pending.Load() }
+// PendingReservations returns the number of pending reservations. A drain waits until it is zero.
+func (s *Server) PendingReservations() int64 { return s.pending.Load() }
--- a/scheduler/server.go
+++ b/scheduler/server.go
@@ -34,8 +34,8 @@
 	// Home returns the instance that should schedule a service according to this instance's view
 	// of the fleet.
 	Home func(service string) (request.Holder, bool)
-	// Dead reports whether the fleet has declared this incarnation of an instance dead.
-	Dead    func(request.Holder) bool
+	// IsDead reports whether the fleet has declared this incarnation of an instance dead.
+	IsDead  func(request.Holder) bool
 	Engines port.EngineDialer
 	// System runs the actors. It is shut down by the caller, not by Server.Close.
 	System  *actor.ActorSystem
@@ -125,7 +125,7 @@
 		health:        newUpstreamHealth(),
 		addresses:     make(map[string]string),
 		isHome:        func() bool { return s.isHome(service.Name) },
-		isDead:        s.cfg.Dead,
+		isDead:        s.cfg.IsDead,
 		engines:       s.cfg.Engines,
 		log:           s.cfg.Log.With(zap.String("service", service.Name)),
 		metrics:       s.cfg.Metrics,
--- a/scheduler/server_test.go
+++ b/scheduler/server_test.go
@@ -76,8 +76,8 @@
 	self := request.Holder{Instance: "a", Incarnation: 1}
 	s := NewServer(Config{
 		Self: self, Catalogue: func() Catalogue { return testCatalogue{} },
-		Home: func(string) (request.Holder, bool) { return self, true },
-		Dead: func(request.Holder) bool { return false },
+		Home:   func(string) (request.Holder, bool) { return self, true },
+		IsDead: func(request.Holder) bool { return false },
 		Engines: func(address string) port.Engine {
 			if address == "decode" {
 				return decode
