--- a/route/attempt.go
+++ b/route/attempt.go
@@ -12,7 +12,7 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// modelAttempt is one pass over prefill, transfer and decode under one grant.
+// modelAttempt is one execution of prefill, KV transfer and decode under a grant.
 type modelAttempt struct {
 	*modelRun
 	grant   *Grant
@@ -21,53 +21,54 @@
 	outcome Outcome
 }
 
-// run passes through the steps and leaves nothing behind at the engines.
+// run executes the steps of the attempt. If a step fails, it cancels the stream at the engines that
+// may still hold resources for it.
 func (a *modelAttempt) run(ctx context.Context) error {
-	ctx, stop := a.endWithGrant(ctx)
+	ctx, stop := a.cancelOnLostGrant(ctx)
 	defer stop()
 	prefillAddress, ok1 := a.Address(a.grant.Prefill)
 	decodeAddress, ok2 := a.Address(a.grant.Decode)
 	if !ok1 || !ok2 {
 		a.outcome.Kind = OutcomeCancelled
-		return verdict.Refuse(verdict.ReasonNoUpstream, time.Second, "the granted upstream left the configuration")
+		return verdict.Refuse(verdict.ReasonNoUpstream, time.Second, "the granted upstream is no longer in the configuration")
 	}
 	prefill, decode := a.Engines(prefillAddress), a.Engines(decodeAddress)
 
 	result, err := a.prefill(ctx, prefill)
 	if err != nil {
 		go cancelStream(prefill, a.stream, a.log)
-		return a.ended(ctx, err)
+		return a.attemptError(ctx, err)
 	}
 	if err := a.transfer(ctx, decode, prefillAddress, result); err != nil {
 		go cancelStream(prefill, a.stream, a.log)
 		go cancelStream(decode, a.stream, a.log)
-		return a.ended(ctx, err)
+		return a.attemptError(ctx, err)
 	}
 	if err := a.decode(ctx, decode); err != nil {
 		go cancelStream(decode, a.stream, a.log)
-		return a.ended(ctx, err)
+		return a.attemptError(ctx, err)
 	}
 	a.outcome.Kind = OutcomeDone
 	return nil
 }
 
-// endWithGrant ends the attempt when the scheduler takes its grant back. Going
-// on would hold a slot that the scheduler has already given to somebody else.
-func (a *modelAttempt) endWithGrant(ctx context.Context) (context.Context, context.CancelFunc) {
+// cancelOnLostGrant returns a context that is cancelled when the scheduler revokes the grant. If
+// the attempt continued, it would occupy a slot that has already been granted to another request.
+func (a *modelAttempt) cancelOnLostGrant(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	go func() {
 		select {
 		case <-a.grant.Lost:
-			cancel(verdict.Fail(verdict.MayHaveRun, verdict.ReasonGrantLost, nil, "the scheduler took the grant back"))
+			cancel(verdict.Fail(verdict.MayHaveRun, verdict.ReasonGrantLost, nil, "the scheduler revoked the grant"))
 		case <-ctx.Done():
 		}
 	}()
 	return ctx, func() { cancel(nil) }
 }
 
-// ended gives the verdict of a failed step: a lost grant explains the failure
-// better than the broken connection that it caused.
-func (a *modelAttempt) ended(ctx context.Context, err error) error {
+// attemptError returns the error of a failed step. If the grant was lost, it returns that error
+// instead of the connection error that resulted from it.
+func (a *modelAttempt) attemptError(ctx context.Context, err error) error {
 	var lost *verdict.Verdict
 	if errors.As(context.Cause(ctx), &lost) {
 		a.outcome.Kind = OutcomeCancelled
@@ -89,7 +90,7 @@
 	})
 	a.outcome.Prefill = time.Since(a.started)
 	if err != nil {
-		a.fail(OutcomePrefillFailed, a.grant.Prefill, err)
+		a.recordFailure(OutcomePrefillFailed, a.grant.Prefill, err)
 		return result, err
 	}
 	a.Placer.PrefillDone(a.grant)
@@ -109,75 +110,76 @@
 		Stream: a.stream, Model: a.req.Model, Source: source, Handle: result.Handle, MaxTokens: a.req.MaxTokens,
 	})
 	if err != nil {
-		a.fail(OutcomeTransferFailed, a.grant.Decode, err)
-		// The prefill has run, whatever the decode engine says of the import.
+		a.recordFailure(OutcomeTransferFailed, a.grant.Decode, err)
+		// The prefill has run, regardless of what the decode engine reports for the import.
 		return atLeastMayHaveRun(err)
 	}
 	return nil
 }
 
-// transferStart is when a transfer begins: when the link is planned to be free,
-// but with half of the KV cache's life left for the transfer itself. Plans rest on
-// estimates; waiting for one past the cache's life wastes the whole prefill, while
-// a transfer that starts early only shares the link.
-func transferStart(now, planned time.Time, life time.Duration) time.Time {
-	if latest := now.Add(life / 2); planned.After(latest) {
+// transferStart returns the time at which to start a transfer: the planned time, but not later than
+// half of the KV cache's remaining lifetime, which leaves the other half for the transfer. The
+// planned time is an estimate: waiting beyond the lifetime of the cache wastes the whole prefill,
+// whereas a transfer that starts too early only shares the link.
+func transferStart(now, planned time.Time, lifetime time.Duration) time.Time {
+	if latest := now.Add(lifetime / 2); planned.After(latest) {
 		return latest
 	}
 	return planned
 }
 
-// decode forwards the answer. A broken stream is resumed once on the same engine,
-// which still holds its memory, before the attempt is given up. An engine that
-// fell silent is not asked again: it would be silent for as long a second time.
+// decode forwards the answer. An interrupted stream is resumed once on the same engine, which still
+// holds its KV cache, before the attempt fails. A stalled stream is not resumed, since the engine
+// would stall for the same time again.
 func (a *modelAttempt) decode(ctx context.Context, engine port.Engine) error {
 	before := a.answer.OutputTokens
-	err := a.forward(ctx, engine)
+	err := a.streamTokens(ctx, engine)
 	if err != nil && ctx.Err() == nil && !errors.Is(err, errStalled) && a.answer.OutputTokens > before {
-		a.log.Info("resume", zap.Uint32("attempt", a.stream.Attempt), zap.Int("from", a.answer.OutputTokens), zap.Error(err))
+		a.log.Info("resuming stream", zap.Uint32("attempt", a.stream.Attempt), zap.Int("from", a.answer.OutputTokens), zap.Error(err))
 		a.Metrics.Retried(a.req.Service, verdict.From(err).Reason)
-		err = resumeFailed(err, a.forward(ctx, engine))
+		err = resumeError(err, a.streamTokens(ctx, engine))
 	}
 	a.outcome.Decode = time.Since(a.started) - a.outcome.FirstToken
 	a.outcome.OutputTokens = a.answer.OutputTokens
 	if err != nil {
-		a.fail(OutcomeDecodeFailed, a.grant.Decode, err)
+		a.recordFailure(OutcomeDecodeFailed, a.grant.Decode, err)
 		return atLeastMayHaveRun(err)
 	}
 	return nil
 }
 
-// resumeFailed names the failure of a resumed stream. An engine that crashed and
-// started again refuses the resume, since it knows nothing of the stream; that
-// refusal would hide the crash from those who count crashes.
-func resumeFailed(broke, resumed error) error {
+// resumeError selects the error to report for a resumed stream. An engine that has crashed and
+// restarted refuses to resume the stream because it does not know it. In that case the original
+// error is returned, since the refusal would hide the crash from crash tracking.
+func resumeError(original, resumed error) error {
 	if resumed != nil && verdict.From(resumed).Reason == verdict.ReasonUpstreamRefused {
-		return broke
+		return original
 	}
 	return resumed
 }
 
-// errStalled ends a stream that has been silent for too long.
+// errStalled is the error of a stream that sent no token within stallTimeout.
 var errStalled = verdict.Fail(verdict.MayHaveRun, verdict.ReasonTimeout, nil, "no token for %v", stallTimeout)
 
-// forward reads one decode stream from the first token the caller lacks.
-func (a *modelAttempt) forward(ctx context.Context, engine port.Engine) error {
+// streamTokens forwards a decode stream from the first token that has not been forwarded yet.
+func (a *modelAttempt) streamTokens(ctx context.Context, engine port.Engine) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	// A frozen engine keeps its connection open and sends nothing; without the
-	// timer the caller would wait for ever and the slot would stay taken.
-	stalled := time.AfterFunc(stallTimeout, func() { cancel(errStalled) })
-	defer stalled.Stop()
-	err := a.read(ctx, engine, stalled)
+	// A frozen engine keeps its connection open but sends nothing. Without the timer, the caller
+	// would wait forever and the slot would remain occupied.
+	stallTimer := time.AfterFunc(stallTimeout, func() { cancel(errStalled) })
+	defer stallTimer.Stop()
+	err := a.forwardFrames(ctx, engine, stallTimer)
 	if err != nil && errors.Is(context.Cause(ctx), errStalled) {
-		// The adapter saw a cancelled context, which would read as a caller that left.
+		// The engine adapter reports a cancelled context, which would look as if the caller had
+		// disconnected.
 		return errStalled
 	}
 	return err
 }
 
-// read forwards the frames of one connection; every frame winds the timer up.
-func (a *modelAttempt) read(ctx context.Context, engine port.Engine, stalled *time.Timer) error {
+// forwardFrames forwards the frames of one connection. Every accepted frame resets the stall timer.
+func (a *modelAttempt) forwardFrames(ctx context.Context, engine port.Engine, stallTimer *time.Timer) error {
 	frames, err := engine.Decode(ctx, port.DecodeRequest{
 		Stream: a.stream, Model: a.req.Model, MaxTokens: a.req.MaxTokens,
 		ResumeFrom: a.answer.OutputTokens, Priority: int(a.req.Class),
@@ -186,11 +188,11 @@
 		return err
 	}
 	defer frames.Close()
-	filter := frameFilter{stream: a.stream, next: a.answer.OutputTokens, dropped: a.dropped}
+	filter := frameFilter{stream: a.stream, nextSeq: a.answer.OutputTokens, onDrop: a.recordDroppedFrame}
 	for {
 		frame, err := frames.Next()
 		if err != nil {
-			return streamEnded(err)
+			return streamEndError(err)
 		}
 		ok, err := filter.accept(frame)
 		if err != nil {
@@ -199,36 +201,36 @@
 		if !ok {
 			continue
 		}
-		stalled.Reset(stallTimeout)
+		stallTimer.Reset(stallTimeout)
 		if frame.Done {
 			a.answer.FinishReason = frame.FinishReason
 			return nil
 		}
-		if err := a.token(frame.Token); err != nil {
+		if err := a.forwardToken(frame.Token); err != nil {
 			return err
 		}
 	}
 }
 
-func (a *modelAttempt) token(text string) error {
+func (a *modelAttempt) forwardToken(text string) error {
 	if a.outcome.FirstToken == 0 {
 		a.outcome.FirstToken = time.Since(a.started)
 	}
 	if err := a.sink.Token(text); err != nil {
-		return verdict.Fail(verdict.HasRun, verdict.ReasonCancelled, err, "the caller is gone")
+		return verdict.Fail(verdict.HasRun, verdict.ReasonCancelled, err, "the caller disconnected")
 	}
 	a.answer.OutputTokens++
 	a.generated = append(a.generated, text)
 	return nil
 }
 
-func (a *modelAttempt) dropped(cause string) {
+func (a *modelAttempt) recordDroppedFrame(cause string) {
 	a.Metrics.Scope.Tagged(map[string]string{"cause": cause}).Counter("frames_dropped").Inc(1)
 	a.log.Warn("frame dropped", zap.String("cause", cause), zap.String("upstream", a.grant.Decode))
 }
 
-// fail notes which upstream failed and how, for the scheduler.
-func (a *modelAttempt) fail(kind group.OutcomeKind, upstream string, err error) {
+// recordFailure sets the outcome reported to the scheduler: which upstream failed and how.
+func (a *modelAttempt) recordFailure(kind group.OutcomeKind, upstream string, err error) {
 	v := verdict.From(err)
 	if v.Reason == verdict.ReasonCancelled {
 		a.outcome.Kind = OutcomeCancelled
@@ -243,8 +245,8 @@
 		zap.String("reason", string(v.Reason)), zap.String("ran", v.Ran.String()), zap.Error(err))
 }
 
-// atLeastMayHaveRun corrects a "not run" that speaks of one step only: the
-// request's prefill has run by then.
+// atLeastMayHaveRun raises a verdict of "not run", which refers to a single step only, to "may have
+// run": the request's prefill has already run.
 func atLeastMayHaveRun(err error) error {
 	v := *verdict.From(err)
 	v.Ran = max(v.Ran, verdict.MayHaveRun)
--- a/route/cancel.go
+++ b/route/cancel.go
@@ -9,21 +9,21 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// Tries and time of one cancel. A cancel normally takes one round trip, about a
-// millisecond; the later tries cover an answer lost on the way. What still fails
-// is left to the scheduler, which cancels streams without a live grant.
+// Retry policy of cancels. A cancel normally takes one round trip, about one millisecond; the
+// retries cover lost responses. If all tries fail, the scheduler cancels the stream when it finds
+// that the stream has no valid grant.
 const (
-	cancelTries   = 4
-	cancelTimeout = 500 * time.Millisecond
-	cancelBackoff = 50 * time.Millisecond
+	maxCancelTries       = 4
+	cancelTimeout        = 500 * time.Millisecond
+	initialCancelBackoff = 50 * time.Millisecond
 )
 
-// cancelStream frees what an engine holds for a stream. It does not use the
-// request's context: that one is usually the reason for the cancel, and a cancel
-// under it would never be sent, leaving engine memory held for nobody.
+// cancelStream releases the resources that an engine holds for a stream. It does not use the
+// request's context: its cancellation is usually the reason for this call, so the cancel would not
+// be sent and the engine's memory would not be freed.
 func cancelStream(engine port.Engine, id port.StreamID, log *zap.Logger) {
-	wait := cancelBackoff
-	for try := 1; try <= cancelTries; try++ {
+	wait := initialCancelBackoff
+	for try := 1; try <= maxCancelTries; try++ {
 		ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 		err := engine.Cancel(ctx, id)
 		stop()
--- a/route/frames.go
+++ b/route/frames.go
@@ -8,53 +8,52 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// frameFilter keeps a caller's answer whole and its own. Frames can arrive
-// doubled after a resume, late from an attempt that was given up, or crossed
-// with another request's by a broken upstream; any of them forwarded would give
-// the caller a wrong answer. Only the next token of the named stream passes.
+// frameFilter accepts only the next token of its stream. Frames can be duplicated after a resume,
+// arrive late from an abandoned attempt, or belong to another request if an upstream is faulty.
+// Forwarding any of them would give the caller a wrong answer.
 type frameFilter struct {
 	stream port.StreamID
-	// next is the sequence number of the next token the caller needs.
-	next int
-	// dropped is told the cause of each frame that is not forwarded.
-	dropped func(cause string)
+	// nextSeq is the sequence number of the next token to forward.
+	nextSeq int
+	// onDrop is called with the cause for each frame that is dropped.
+	onDrop func(cause string)
 }
 
-// Causes for which frames are dropped, also metric tags.
+// Causes for which frames are dropped. They are also used as metric tags.
 const (
 	dropOtherRequest = "other_request"
 	dropOldAttempt   = "old_attempt"
 	dropRepeated     = "repeated"
 )
 
-// accept reports whether the frame is the next one of the answer. A gap is an
-// error: the missing tokens cannot come later on an ordered stream.
+// accept reports whether the frame is the next one of the answer. A gap is an error, since the
+// missing tokens cannot arrive later on an ordered stream.
 func (f *frameFilter) accept(frame port.Frame) (bool, error) {
 	if frame.RequestID != f.stream.RequestID {
-		f.dropped(dropOtherRequest)
+		f.onDrop(dropOtherRequest)
 		return false, nil
 	}
 	if frame.Attempt != f.stream.Attempt {
-		f.dropped(dropOldAttempt)
+		f.onDrop(dropOldAttempt)
 		return false, nil
 	}
-	if frame.Seq < f.next {
-		f.dropped(dropRepeated)
+	if frame.Seq < f.nextSeq {
+		f.onDrop(dropRepeated)
 		return false, nil
 	}
-	if frame.Seq > f.next {
+	if frame.Seq > f.nextSeq {
 		return false, verdict.Fail(verdict.MayHaveRun, verdict.ReasonTruncated, nil,
-			"token %d arrived in place of token %d", frame.Seq, f.next)
+			"received token %d instead of token %d", frame.Seq, f.nextSeq)
 	}
 	if !frame.Done {
-		f.next++
+		f.nextSeq++
 	}
 	return true, nil
 }
 
-// streamEnded turns the end of a stream without a terminator into a verdict. An
-// answer that merely stops looks whole to a caller, who would act on half of it.
-func streamEnded(err error) error {
+// streamEndError converts the end of a stream without a terminator to a verdict. Otherwise the
+// caller would take a truncated answer for a complete one and act on it.
+func streamEndError(err error) error {
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
@@ -62,5 +61,5 @@
 	if errors.As(err, &v) {
 		return err
 	}
-	return verdict.Fail(verdict.MayHaveRun, verdict.ReasonTruncated, err, "the stream ended without its terminator")
+	return verdict.Fail(verdict.MayHaveRun, verdict.ReasonTruncated, err, "the stream ended without a terminator")
 }
--- a/route/model.go
+++ b/route/model.go
@@ -12,28 +12,27 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Bounds of the steps of one attempt.
+// Timeouts of the steps of an attempt.
 const (
-	// prefillTimeout bounds a prefill. The longest accepted prompts take several
-	// seconds; a prefill that takes longer than this sits on a frozen engine.
+	// prefillTimeout is the timeout of a prefill. The longest accepted prompts take several
+	// seconds; if a prefill takes longer than this, the engine is frozen.
 	prefillTimeout = 30 * time.Second
-	// importTimeout bounds a KV transfer. A result lives under a second, so a
-	// transfer that takes longer has failed.
+	// importTimeout is the timeout of a KV transfer. A prefill result expires in less than a
+	// second, so a transfer that takes longer has failed.
 	importTimeout = 2 * time.Second
-	// stallTimeout is the longest silence between two tokens. It is about sixty
-	// times the target of 53 ms, so that a full batch or a collection pause does
-	// not end streams, and short enough that a frozen engine is left while the
-	// caller still waits.
+	// stallTimeout is the maximum time between two tokens. It is about sixty times the target of
+	// 53 ms, so that a full batch or a garbage collection pause does not end a stream, but short
+	// enough to abandon a frozen engine while the caller is still waiting.
 	stallTimeout = 3 * time.Second
 )
 
 // Sink receives a model's answer. Its methods are called from one goroutine.
 type Sink interface {
-	// Token forwards one token. An error means that the caller is gone.
+	// Token forwards one token. An error means that the caller has disconnected.
 	Token(text string) error
 }
 
-// Answer is what a finished model request produced.
+// Answer is the result of a model request.
 type Answer struct {
 	FinishReason string
 	PromptTokens int
@@ -42,8 +41,8 @@
 	Attempts     int
 }
 
-// ModelRunner runs model requests: a grant, prefill, KV transfer, decode, and
-// further attempts where that is allowed.
+// ModelRunner runs model requests. Each attempt consists of a reservation, prefill, KV transfer and
+// decode; failed attempts are retried if the Retrier allows it.
 type ModelRunner struct {
 	Self    func() request.Holder
 	Placer  Placer
@@ -55,41 +54,41 @@
 	Metrics *observe.Metrics
 }
 
-// modelRun is the progress of one request over its attempts.
+// modelRun is the state of a request across its attempts.
 type modelRun struct {
 	*ModelRunner
 	req    *request.Request
 	sink   Sink
 	answer Answer
-	// generated are the tokens forwarded so far; a later attempt goes on after them.
+	// generated contains the tokens forwarded so far. A later attempt continues after them.
 	generated []string
-	// ran is the strongest claim any attempt so far has made necessary. A later
-	// attempt's "not run" refusal must not hide that an earlier one ran.
-	ran   verdict.Ran
-	avoid []string
-	log   *zap.Logger
+	// maxRan is the maximum Ran value of all attempts so far. A later attempt's refusal with "not
+	// run" must not hide that an earlier attempt may have run.
+	maxRan verdict.Ran
+	avoid  []string
+	log    *zap.Logger
 }
 
-// Run answers the request into sink. It returns a verdict when there is no whole
-// answer; tokens may have been forwarded by then, and the caller must be told
-// that the answer is not whole.
+// Run executes the request and writes the answer to sink. It returns a verdict if the answer is not
+// complete. Tokens may have been forwarded by then, so the caller must be told that the answer is
+// incomplete.
 func (m *ModelRunner) Run(ctx context.Context, req *request.Request, sink Sink) (Answer, error) {
 	run := &modelRun{ModelRunner: m, req: req, sink: sink, log: m.Log.With(zap.String("request", req.ID))}
 	for attempt := uint32(1); ; attempt++ {
 		run.answer.Attempts = int(attempt)
-		err := run.attempt(ctx, attempt)
+		err := run.runAttempt(ctx, attempt)
 		if err == nil {
 			m.Retrier.Succeeded(req.Service)
 			return run.answer, nil
 		}
-		if !run.again(ctx, int(attempt), err) {
-			return run.answer, run.final(ctx, err)
+		if !run.waitForRetry(ctx, int(attempt), err) {
+			return run.answer, run.finalError(ctx, err)
 		}
 	}
 }
 
-// again decides whether to try once more and waits out the backoff.
-func (r *modelRun) again(ctx context.Context, attempt int, err error) bool {
+// waitForRetry decides whether to retry and, if so, waits for the backoff.
+func (r *modelRun) waitForRetry(ctx context.Context, attempt int, err error) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -99,12 +98,12 @@
 	}
 	wait, reason, ok := r.Retrier.Next(r.req.Service, attempt, v, time.Now(), r.retryDeadline())
 	if !ok {
-		r.log.Info("no retry", zap.Int("attempt", attempt), zap.String("reason", string(v.Reason)),
+		r.log.Info("not retrying", zap.Int("attempt", attempt), zap.String("reason", string(v.Reason)),
 			zap.String("because", string(reason)))
 		return false
 	}
 	r.Metrics.Retried(r.req.Service, v.Reason)
-	r.log.Info("retry", zap.Int("attempt", attempt), zap.String("reason", string(v.Reason)),
+	r.log.Info("retrying", zap.Int("attempt", attempt), zap.String("reason", string(v.Reason)),
 		zap.String("detail", v.Detail), zap.Duration("backoff", wait))
 	select {
 	case <-ctx.Done():
@@ -114,9 +113,9 @@
 	}
 }
 
-// retryDeadline is how late an attempt may start. Once tokens have been
-// forwarded the first-token deadline is met, and resuming serves the caller as
-// long as the stream itself would have been allowed to stall.
+// retryDeadline returns the latest start time of an attempt. Once tokens have been forwarded, the
+// first-token deadline has been met, and the stream may be resumed for as long as it would have
+// been allowed to stall.
 func (r *modelRun) retryDeadline() time.Time {
 	if r.answer.OutputTokens > 0 {
 		return time.Now().Add(stallTimeout)
@@ -124,22 +123,22 @@
 	return r.req.Deadline
 }
 
-// final is the verdict of the whole request, which covers every attempt.
-func (r *modelRun) final(ctx context.Context, err error) error {
+// finalError returns the verdict of the request, taking all attempts into account.
+func (r *modelRun) finalError(ctx context.Context, err error) error {
 	v := *verdict.From(err)
 	if ctx.Err() != nil {
 		v.Reason = verdict.ReasonCancelled
 	}
-	v.Ran = max(v.Ran, r.ran)
+	v.Ran = max(v.Ran, r.maxRan)
 	if r.answer.OutputTokens > 0 {
 		v.Ran = verdict.HasRun
 	}
 	return &v
 }
 
-// remaining is the request as a further attempt asks for it: what has been
-// generated is prefilled with the prompt and need not be decoded again.
-func (r *modelRun) remaining() *request.Request {
+// remainingRequest returns the request for the next attempt: the tokens generated so far are
+// prefilled with the prompt and not decoded again.
+func (r *modelRun) remainingRequest() *request.Request {
 	req := *r.req
 	req.PromptTokens += len(r.generated)
 	req.MaxTokens = max(req.MaxTokens-len(r.generated), 1)
@@ -149,9 +148,9 @@
 	return &req
 }
 
-// attempt runs the request once on a fresh grant.
-func (r *modelRun) attempt(ctx context.Context, attempt uint32) error {
-	grant, err := r.Placer.Reserve(ctx, r.remaining(), attempt, r.avoid)
+// runAttempt runs the request once with a new grant.
+func (r *modelRun) runAttempt(ctx context.Context, attempt uint32) error {
+	grant, err := r.Placer.Reserve(ctx, r.remainingRequest(), attempt, r.avoid)
 	if err != nil {
 		return err
 	}
@@ -168,7 +167,7 @@
 		r.avoid = append(r.avoid, a.outcome.FailedUpstream)
 	}
 	if err != nil {
-		r.ran = max(r.ran, verdict.From(err).Ran)
+		r.maxRan = max(r.maxRan, verdict.From(err).Ran)
 	}
 	return err
 }
--- a/route/plain.go
+++ b/route/plain.go
@@ -16,36 +16,35 @@
 )
 
 const (
-	// plainCallTimeout bounds one call. It is longer than any caller waits, so
-	// that a guarded call whose caller left still gets its outcome recorded.
+	// plainCallTimeout is the timeout of an at-most-once call, including its retries. It is longer
+	// than any caller waits, so that the outcome is recorded even if the caller has disconnected.
 	plainCallTimeout = 30 * time.Second
-	// maxPlainAnswer bounds a plain service's answer in bytes. Answers are read
-	// whole before the caller sees a byte, so that a broken one can still become
-	// a true error or a retry.
-	maxPlainAnswer = 8 << 20
-	// finishTimeout bounds the recording of an outcome. A caller's answer does
-	// not wait longer than this for the log.
-	finishTimeout = 2 * time.Second
+	// maxPlainAnswerBytes is the maximum size of a plain service's answer. Answers are read
+	// completely before they are sent to the caller, so that a truncated answer can still be turned
+	// into an error or a retry.
+	maxPlainAnswerBytes = 8 << 20
+	// recordTimeout is the timeout for recording an outcome. It limits how long the answer to the
+	// caller is delayed by the log.
+	recordTimeout = 2 * time.Second
 )
 
-// PlainCall is one call of a plain service.
+// PlainCall is a call of a plain service.
 type PlainCall struct {
 	Request    *request.Request
 	Call       port.ServiceRequest
 	Idempotent bool
 }
 
-// PlainAnswer is a plain service's whole answer.
+// PlainAnswer is the complete answer of a plain service.
 type PlainAnswer struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// Replayed tells that the answer was recorded by an earlier run of the call.
+	// Replayed is set if the answer was recorded by an earlier execution of the call.
 	Replayed bool
 }
 
-// PlainRunner runs calls of plain services, at most once where they may not be
-// repeated.
+// PlainRunner runs calls of plain services. Calls that are not idempotent run at most once.
 type PlainRunner struct {
 	Placer   Placer
 	Guard    Guard
@@ -57,22 +56,22 @@
 	Metrics *observe.Metrics
 }
 
-// Run answers the call or returns a verdict.
+// Run executes the call. It returns the answer or a verdict.
 func (p *PlainRunner) Run(ctx context.Context, call PlainCall) (PlainAnswer, error) {
 	if call.Idempotent {
-		return p.attempts(ctx, call, mayRepeat)
+		return p.runWithRetries(ctx, call, retryAlways)
 	}
 	if call.Call.IdempotencyKey == "" {
-		return p.attempts(ctx, call, onlyIfNotRun)
+		return p.runWithRetries(ctx, call, retryIfNotRun)
 	}
-	return p.runGuarded(ctx, call)
+	return p.runAtMostOnce(ctx, call)
 }
 
-// runGuarded claims the call in the log before it is dispatched. From the claim
-// on, the caller's departure does not stop it: an outcome that nobody recorded
-// would leave every resend with "may have run".
-func (p *PlainRunner) runGuarded(ctx context.Context, call PlainCall) (PlainAnswer, error) {
-	ticket, recorded, err := p.Guard.Begin(ctx, guardedCall(call))
+// runAtMostOnce claims the call in the log before it dispatches it. From then on the call continues
+// even if the caller disconnects: without a recorded outcome, every resend would be answered with
+// "may have run".
+func (p *PlainRunner) runAtMostOnce(ctx context.Context, call PlainCall) (PlainAnswer, error) {
+	ticket, recorded, err := p.Guard.Begin(ctx, newGuardedCall(call))
 	if err != nil {
 		return PlainAnswer{}, err
 	}
@@ -81,14 +80,14 @@
 	}
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), plainCallTimeout)
 	defer stop()
-	answer, err := p.attempts(ctx, call, onlyIfNotRun)
-	p.settle(ctx, ticket, answer, err)
+	answer, err := p.runWithRetries(ctx, call, retryIfNotRun)
+	p.recordOutcome(ctx, ticket, answer, err)
 	return answer, err
 }
 
-// settle records what became of a guarded call.
-func (p *PlainRunner) settle(ctx context.Context, ticket *Ticket, answer PlainAnswer, err error) {
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), finishTimeout)
+// recordOutcome records the outcome of a guarded call.
+func (p *PlainRunner) recordOutcome(ctx context.Context, ticket *Ticket, answer PlainAnswer, err error) {
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer stop()
 	var recordErr error
 	switch {
@@ -100,11 +99,11 @@
 		recordErr = p.Guard.Unanswered(ctx, ticket, verdict.From(err).Ran)
 	}
 	if recordErr != nil {
-		p.Log.Warn("outcome not recorded", zap.String("request", ticket.Call.RequestID), zap.Error(recordErr))
+		p.Log.Warn("cannot record outcome", zap.String("request", ticket.Call.RequestID), zap.Error(recordErr))
 	}
 }
 
-func guardedCall(call PlainCall) GuardedCall {
+func newGuardedCall(call PlainCall) GuardedCall {
 	return GuardedCall{
 		Organisation:   call.Request.Organisation,
 		Service:        call.Request.Service,
@@ -114,8 +113,8 @@
 	}
 }
 
-// hashCall covers everything that makes one call another, each part with its
-// length, so that no two calls share a hash by sliding bytes between parts.
+// hashCall returns a hash of all parts that distinguish calls. Each part is preceded by its length,
+// so that moving bytes from one part to another changes the hash.
 func hashCall(call port.ServiceRequest) [32]byte {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(call.Method), []byte(call.Path), []byte(call.RawQuery), []byte(call.ContentType), call.Body} {
@@ -127,48 +126,49 @@
 	return [32]byte(h.Sum(nil))
 }
 
-// repeatRule says whether a failed attempt may be followed by another.
-type repeatRule func(*verdict.Verdict) bool
+// retryRule reports whether a failed attempt may be retried.
+type retryRule func(*verdict.Verdict) bool
 
-func mayRepeat(*verdict.Verdict) bool { return true }
+func retryAlways(*verdict.Verdict) bool { return true }
 
-func onlyIfNotRun(v *verdict.Verdict) bool { return v.Ran == verdict.NotRun }
+func retryIfNotRun(v *verdict.Verdict) bool { return v.Ran == verdict.NotRun }
 
-func (p *PlainRunner) attempts(ctx context.Context, call PlainCall, repeat repeatRule) (PlainAnswer, error) {
+func (p *PlainRunner) runWithRetries(ctx context.Context, call PlainCall, mayRetry retryRule) (PlainAnswer, error) {
 	ran := verdict.NotRun
 	var avoid []string
 	for attempt := uint32(1); ; attempt++ {
-		answer, failed, err := p.attempt(ctx, call, attempt, avoid)
+		answer, failedUpstream, err := p.runAttempt(ctx, call, attempt, avoid)
 		if err == nil {
 			p.Retrier.Succeeded(call.Request.Service)
 			return answer, nil
 		}
-		if failed != "" {
-			avoid = append(avoid, failed)
+		if failedUpstream != "" {
+			avoid = append(avoid, failedUpstream)
 		}
 		v := *verdict.From(err)
-		again := ctx.Err() == nil && repeat(&v) && p.backoff(ctx, call.Request, int(attempt), &v)
+		retry := ctx.Err() == nil && mayRetry(&v) && p.waitForRetry(ctx, call.Request, int(attempt), &v)
 		ran = max(ran, v.Ran)
-		if !again {
+		if !retry {
 			v.Ran = ran
 			return PlainAnswer{}, &v
 		}
 	}
 }
 
-func (p *PlainRunner) backoff(ctx context.Context, req *request.Request, attempt int, v *verdict.Verdict) bool {
+func (p *PlainRunner) waitForRetry(ctx context.Context, req *request.Request, attempt int, v *verdict.Verdict) bool {
 	wait, _, ok := p.Retrier.Next(req.Service, attempt, v, time.Now(), req.Deadline)
 	if !ok {
 		return false
 	}
 	p.Metrics.Retried(req.Service, v.Reason)
-	p.Log.Info("retry", zap.String("request", req.ID), zap.Int("attempt", attempt),
+	p.Log.Info("retrying", zap.String("request", req.ID), zap.Int("attempt", attempt),
 		zap.String("reason", string(v.Reason)), zap.String("detail", v.Detail))
 	return sleepUntil(ctx, time.Now().Add(wait)) == nil
 }
 
-// attempt makes one call; on failure it names the upstream that failed, if any.
-func (p *PlainRunner) attempt(ctx context.Context, call PlainCall, attempt uint32, avoid []string) (PlainAnswer, string, error) {
+// runAttempt makes a single attempt. On failure, it also returns the name of the upstream that
+// failed, if any.
+func (p *PlainRunner) runAttempt(ctx context.Context, call PlainCall, attempt uint32, avoid []string) (PlainAnswer, string, error) {
 	grant, err := p.Placer.Reserve(ctx, call.Request, attempt, avoid)
 	if err != nil {
 		return PlainAnswer{}, "", err
@@ -178,10 +178,10 @@
 	address, ok := p.Address(grant.Decode)
 	if !ok {
 		outcome.Kind = OutcomeCancelled
-		return PlainAnswer{}, "", verdict.Refuse(verdict.ReasonNoUpstream, time.Second, "the granted upstream left the configuration")
+		return PlainAnswer{}, "", verdict.Refuse(verdict.ReasonNoUpstream, time.Second, "the granted upstream is no longer in the configuration")
 	}
 	started := time.Now()
-	answer, err := readWhole(p.Services(address).Call(ctx, call.Call))
+	answer, err := readAnswer(p.Services(address).Call(ctx, call.Call))
 	outcome.FirstToken = time.Since(started)
 	if err == nil {
 		return answer, "", nil
@@ -194,19 +194,19 @@
 	return PlainAnswer{}, grant.Decode, err
 }
 
-// readWhole reads an answer to its end. A body cut short after the call ran is
-// "may have run": the service did act, but its answer is lost.
-func readWhole(resp *port.ServiceResponse, err error) (PlainAnswer, error) {
+// readAnswer reads an answer completely. The verdict of a truncated body is "may have run", since
+// the service has processed the call but its answer is lost.
+func readAnswer(resp *port.ServiceResponse, err error) (PlainAnswer, error) {
 	if err != nil {
 		return PlainAnswer{}, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainAnswerBytes+1))
 	if err != nil {
-		return PlainAnswer{}, verdict.Fail(verdict.MayHaveRun, verdict.ReasonTruncated, err, "the answer broke off")
+		return PlainAnswer{}, verdict.Fail(verdict.MayHaveRun, verdict.ReasonTruncated, err, "the answer was truncated")
 	}
-	if len(body) > maxPlainAnswer {
-		return PlainAnswer{}, verdict.Fail(verdict.HasRun, verdict.ReasonTruncated, nil, "the answer is longer than %d bytes", maxPlainAnswer)
+	if len(body) > maxPlainAnswerBytes {
+		return PlainAnswer{}, verdict.Fail(verdict.HasRun, verdict.ReasonTruncated, nil, "the answer exceeds %d bytes", maxPlainAnswerBytes)
 	}
 	return PlainAnswer{Status: resp.Status, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/route/plain_test.go
+++ b/route/plain_test.go
@@ -19,26 +19,29 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// fakePlace grants upstream after upstream and remembers how grants ended.
-type fakePlace struct {
-	grants   int
-	outcomes []group.OutcomeKind
-	refuse   *verdict.Verdict
+// fakePlacer grants all reservations, or refuses retries with retryRefusal, and records the
+// outcomes of the grants.
+type fakePlacer struct {
+	grants       int
+	outcomes     []group.OutcomeKind
+	retryRefusal *verdict.Verdict
 }
 
-func (p *fakePlace) Reserve(_ context.Context, req *request.Request, attempt uint32, _ []string) (*Grant, error) {
-	if p.refuse != nil && attempt > 1 {
-		return nil, p.refuse
+func (p *fakePlacer) Reserve(_ context.Context, req *request.Request, attempt uint32, _ []string) (*Grant, error) {
+	if p.retryRefusal != nil && attempt > 1 {
+		return nil, p.retryRefusal
 	}
 	p.grants++
 	return &Grant{ID: uint64(p.grants), Service: req.Service, RequestID: req.ID, Attempt: attempt, Decode: "u"}, nil
 }
 
-func (p *fakePlace) PrefillDone(*Grant) {}
+func (p *fakePlacer) PrefillDone(*Grant) {}
 
-func (p *fakePlace) Release(_ *Grant, outcome Outcome) { p.outcomes = append(p.outcomes, outcome.Kind) }
+func (p *fakePlacer) Release(_ *Grant, outcome Outcome) {
+	p.outcomes = append(p.outcomes, outcome.Kind)
+}
 
-// fakeGuard records what became of a ticket.
+// fakeGuard counts finished and abandoned tickets.
 type fakeGuard struct{ finished, abandoned int }
 
 func (g *fakeGuard) Begin(_ context.Context, call GuardedCall) (*Ticket, *RecordedAnswer, error) {
@@ -51,22 +54,22 @@
 
 func (g *fakeGuard) Abandon(context.Context, *Ticket) error { g.abandoned++; return nil }
 
-// alwaysAgain would retry everything three times.
-type alwaysAgain struct{}
+// alwaysRetry allows up to three attempts, whatever the verdict.
+type alwaysRetry struct{}
 
-func (alwaysAgain) Next(_ string, attempt int, v *verdict.Verdict, _, _ time.Time) (time.Duration, verdict.Reason, bool) {
+func (alwaysRetry) Next(_ string, attempt int, v *verdict.Verdict, _, _ time.Time) (time.Duration, verdict.Reason, bool) {
 	return 0, v.Reason, attempt < 3
 }
 
-func (alwaysAgain) Succeeded(string) {}
+func (alwaysRetry) Succeeded(string) {}
 
-// scripted is a plain service that gives its answers in turn.
-type scripted struct {
+// scriptedService is a plain service that returns its answers in order.
+type scriptedService struct {
 	answers []any
 	calls   int
 }
 
-func (s *scripted) Call(context.Context, port.ServiceRequest) (*port.ServiceResponse, error) {
+func (s *scriptedService) Call(context.Context, port.ServiceRequest) (*port.ServiceResponse, error) {
 	answer := s.answers[s.calls]
 	s.calls++
 	switch a := answer.(type) {
@@ -75,18 +78,18 @@
 	case string:
 		return &port.ServiceResponse{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(a))}, nil
 	default:
-		return &port.ServiceResponse{Status: http.StatusOK, Header: http.Header{}, Body: brokenBody{}}, nil
+		return &port.ServiceResponse{Status: http.StatusOK, Header: http.Header{}, Body: truncatedBody{}}, nil
 	}
 }
 
-type brokenBody struct{}
+type truncatedBody struct{}
 
-func (brokenBody) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (truncatedBody) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-func (brokenBody) Close() error { return nil }
+func (truncatedBody) Close() error { return nil }
 
-func TestPlainCallsRunAgainOnlyWhereThatIsSafe(t *testing.T) {
-	unreached := verdict.Fail(verdict.NotRun, verdict.ReasonUpstreamUnreachable, errors.New("dial"), "dial failed")
+func TestPlainCallsAreRetriedOnlyIfSafe(t *testing.T) {
+	unreachable := verdict.Fail(verdict.NotRun, verdict.ReasonUpstreamUnreachable, errors.New("dial"), "dial failed")
 	crashed := verdict.Fail(verdict.MayHaveRun, verdict.ReasonUpstreamCrashed, io.EOF, "broke")
 	for _, test := range []struct {
 		name                string
@@ -99,21 +102,21 @@
 		finished, abandoned int
 	}{
 		{"lookup after a crash", true, "", []any{crashed, "ok"}, 2, 0, "ok", 0, 0},
-		{"lookup after a broken body", true, "", []any{nil, "ok"}, 2, 0, "ok", 0, 0},
+		{"lookup after a truncated body", true, "", []any{nil, "ok"}, 2, 0, "ok", 0, 0},
 		{"booking without a key after a crash", false, "", []any{crashed, "ok"}, 1, verdict.MayHaveRun, "", 0, 0},
-		{"booking without a key after a failed dial", false, "", []any{unreached, "ok"}, 2, 0, "ok", 0, 0},
+		{"booking without a key after a failed dial", false, "", []any{unreachable, "ok"}, 2, 0, "ok", 0, 0},
 		{"booking with a key", false, "k", []any{"ok"}, 1, 0, "ok", 1, 0},
 		{"booking with a key after a crash", false, "k", []any{crashed, "ok"}, 1, verdict.MayHaveRun, "", 0, 0},
-		{"booking with a key whose answer broke off", false, "k", []any{nil, "ok"}, 1, verdict.MayHaveRun, "", 0, 0},
-		{"booking with a key that reached nobody", false, "k", []any{unreached, unreached, unreached}, 3, verdict.NotRun, "", 0, 1},
-		{"lookup that may have run and then reached nobody", true, "", []any{crashed, unreached, unreached}, 3, verdict.MayHaveRun, "", 0, 0},
+		{"booking with a key and a truncated answer", false, "k", []any{nil, "ok"}, 1, verdict.MayHaveRun, "", 0, 0},
+		{"booking with a key after failed dials", false, "k", []any{unreachable, unreachable, unreachable}, 3, verdict.NotRun, "", 0, 1},
+		{"lookup after a crash and failed dials", true, "", []any{crashed, unreachable, unreachable}, 3, verdict.MayHaveRun, "", 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			service, guard, place := &scripted{answers: test.answers}, &fakeGuard{}, &fakePlace{}
+			service, guard, placer := &scriptedService{answers: test.answers}, &fakeGuard{}, &fakePlacer{}
 			metrics := observe.NewMetrics()
 			defer metrics.Close()
 			p := &PlainRunner{
-				Placer: place, Guard: guard, Retrier: alwaysAgain{}, Log: zap.NewNop(), Metrics: metrics,
+				Placer: placer, Guard: guard, Retrier: alwaysRetry{}, Log: zap.NewNop(), Metrics: metrics,
 				Services: func(string) port.PlainService { return service },
 				Address:  func(string) (string, bool) { return "127.0.0.1:1", true },
 			}
@@ -123,7 +126,7 @@
 				Idempotent: test.idempotent,
 			})
 			assert.Equal(t, service.calls, test.calls)
-			assert.Equal(t, len(place.outcomes), place.grants, "a grant was not given back")
+			assert.Equal(t, len(placer.outcomes), placer.grants, "a grant was not released")
 			assert.Equal(t, guard.finished, test.finished)
 			assert.Equal(t, guard.abandoned, test.abandoned)
 			if test.body != "" {
@@ -136,15 +139,16 @@
 	}
 }
 
-// The first attempt of a lookup may have run, and the second is refused by a full
-// pool as "not run". Told so, the caller would believe that nothing has happened.
-func TestALaterRefusalDoesNotHideAnEarlierRun(t *testing.T) {
+// Guards against reporting "not run" to the caller if the first attempt may have run and the retry
+// is refused, for example because the pool is full. The caller would conclude that the call had no
+// effect.
+func TestRefusedRetryKeepsMayHaveRun(t *testing.T) {
 	metrics := observe.NewMetrics()
 	defer metrics.Close()
-	service := &scripted{answers: []any{verdict.Fail(verdict.MayHaveRun, verdict.ReasonUpstreamCrashed, io.EOF, "broke")}}
+	service := &scriptedService{answers: []any{verdict.Fail(verdict.MayHaveRun, verdict.ReasonUpstreamCrashed, io.EOF, "broke")}}
 	p := &PlainRunner{
-		Placer: &fakePlace{refuse: verdict.Refuse(verdict.ReasonQueueTimeout, time.Second, "full")}, Guard: &fakeGuard{},
-		Retrier: alwaysAgain{}, Log: zap.NewNop(), Metrics: metrics,
+		Placer: &fakePlacer{retryRefusal: verdict.Refuse(verdict.ReasonQueueTimeout, time.Second, "full")}, Guard: &fakeGuard{},
+		Retrier: alwaysRetry{}, Log: zap.NewNop(), Metrics: metrics,
 		Services: func(string) port.PlainService { return service },
 		Address:  func(string) (string, bool) { return "127.0.0.1:1", true },
 	}
@@ -153,9 +157,9 @@
 	assert.Equal(t, verdict.From(err).Reason, verdict.ReasonQueueTimeout)
 }
 
-// Two calls share a key by sliding a byte from the path to the query. Their
-// hashes must differ, or the second would get the first one's answer.
-func TestHashOfACallCoversItsParts(t *testing.T) {
+// Guards against hash collisions between calls that differ only in which part a byte belongs to.
+// The second call would receive the answer of the first.
+func TestHashCallSeparatesParts(t *testing.T) {
 	a := hashCall(port.ServiceRequest{Method: "POST", Path: "/book", RawQuery: "x"})
 	b := hashCall(port.ServiceRequest{Method: "POST", Path: "/bookx"})
 	assert.Assert(t, a != b)
