--- a/scheduler/actor.go
+++ b/scheduler/actor.go
@@ -234,7 +234,8 @@
 
 // expireLeases releases the grants whose holders stopped renewing them and cancels their streams:
 // the holder is dead, paused or partitioned, and its caller no longer receives the answer. If the
-// fleet has declared a holder dead, its grants are released without waiting for the lease to expire.
+// fleet has declared a holder dead, its grants are released without waiting for the lease to
+// expire.
 func (a *serviceActor) expireLeases(now time.Time) {
 	dead := make(map[request.Holder]bool)
 	for key, l := range a.leases {
--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -18,8 +18,8 @@
 
 const (
 	// lookupRetryInterval is the delay before a scheduler is looked up again after a lookup failed
-	// or the scheduler could not be reached. The failure of an instance is detected within about two
-	// seconds.
+	// or the scheduler could not be reached. The failure of an instance is detected within about
+	// two seconds.
 	lookupRetryInterval = 50 * time.Millisecond
 	// callTimeout is the timeout of the calls PrefillDone, Release and Renew.
 	callTimeout = time.Second
@@ -85,8 +85,8 @@
 }
 
 func (c *Client) reserveFrom(ctx context.Context, home request.Holder, req *request.Request, attempt uint32, avoid []string, budget time.Duration) (*route.Grant, error) {
-	// The additional time allows the scheduler's own refusal, with its accurate retry time, to arrive
-	// before the call times out here.
+	// The additional time allows the scheduler's own refusal, with its accurate retry time, to
+	// arrive before the call times out here.
 	ctx, stop := context.WithTimeout(ctx, budget+callTimeout)
 	defer stop()
 	resp, err := c.cfg.Dial(home.Address).Reserve(ctx, connect.NewRequest(&peerv1.ReserveRequest{
