--- a/route/attempt.go
+++ b/route/attempt.go
@@ -135,7 +135,7 @@
 	before := a.answer.OutputTokens
 	err := a.streamTokens(ctx, engine)
 	if err != nil && ctx.Err() == nil && !errors.Is(err, errStalled) && a.answer.OutputTokens > before {
-		a.log.Info("resuming stream", zap.Uint32("attempt", a.stream.Attempt), zap.Int("from", a.answer.OutputTokens), zap.Error(err))
+		a.log.Info("resume", zap.Uint32("attempt", a.stream.Attempt), zap.Int("from", a.answer.OutputTokens), zap.Error(err))
 		a.Metrics.Retried(a.req.Service, verdict.From(err).Reason)
 		err = resumeError(err, a.streamTokens(ctx, engine))
 	}
--- a/route/model.go
+++ b/route/model.go
@@ -98,12 +98,12 @@
 	}
 	wait, reason, ok := r.Retrier.Next(r.req.Service, attempt, v, time.Now(), r.retryDeadline())
 	if !ok {
-		r.log.Info("not retrying", zap.Int("attempt", attempt), zap.String("reason", string(v.Reason)),
+		r.log.Info("no retry", zap.Int("attempt", attempt), zap.String("reason", string(v.Reason)),
 			zap.String("because", string(reason)))
 		return false
 	}
 	r.Metrics.Retried(r.req.Service, v.Reason)
-	r.log.Info("retrying", zap.Int("attempt", attempt), zap.String("reason", string(v.Reason)),
+	r.log.Info("retry", zap.Int("attempt", attempt), zap.String("reason", string(v.Reason)),
 		zap.String("detail", v.Detail), zap.Duration("backoff", wait))
 	select {
 	case <-ctx.Done():
