--- a/fleet/ask.go
+++ b/fleet/ask.go
@@ -52,7 +52,7 @@
 
 // grant answers an ask.
 func (x *Exchange) grant(now time.Duration, r *Report, from netip.AddrPort) {
-	g := x.handler.Asked(now, r.run(), *r.Ask)
+	g := x.handler.HandleAsk(now, r.run(), *r.Ask)
 	x.sendAlone(r.Instance, from, &Report{Grant: &g})
 }
 
--- a/fleet/exchange.go
+++ b/fleet/exchange.go
@@ -51,16 +51,16 @@
 	Fill(now time.Duration, r *Report)
 	// FillFor completes a report by what is for one receiver.
 	FillFor(now time.Duration, to Run, r *Report)
-	// Answer completes the answer to a poll.
-	Answer(now time.Duration, poll, r *Report)
-	// Take takes in a report that has just arrived.
-	Take(now time.Duration, r *Report)
-	// Asked answers an ask.
-	Asked(now time.Duration, from Run, a Ask) Grant
-	// Claimed takes in another instance's claim, and answers it now or later.
-	Claimed(now time.Duration, instance string, c Claim, answer func(Place))
-	// TakeLoads takes in what has just changed of what another instance has placed.
-	TakeLoads(now time.Duration, instance string, loads map[Hash]Load)
+	// FillAnswer completes the answer to a poll.
+	FillAnswer(now time.Duration, poll, r *Report)
+	// HandleReport takes in a report that has just arrived.
+	HandleReport(now time.Duration, r *Report)
+	// HandleAsk answers an ask.
+	HandleAsk(now time.Duration, from Run, a Ask) Grant
+	// HandleClaim takes in another instance's claim, and answers it now or later.
+	HandleClaim(now time.Duration, instance string, c Claim, answer func(Place))
+	// HandleLoads takes in what has just changed of what another instance has placed.
+	HandleLoads(now time.Duration, instance string, loads map[Hash]Load)
 }
 
 // Exchange sends this instance's reports and takes those of others.
@@ -81,7 +81,7 @@
 	// listRead tells whether the list of instances has been read, if set.
 	listRead func() bool
 	// fleet is nil where every report is taken.
-	fleet *fleetid.Keeper
+	fleet *fleetid.Verifier
 
 	mu    sync.Mutex
 	peers map[string]*peer
@@ -176,9 +176,9 @@
 	}
 }
 
-// Kick asks for a report soon, since something changed. In a large fleet the next poll tells
+// TriggerReport asks for a report soon, since something changed. In a large fleet the next poll tells
 // it.
-func (x *Exchange) Kick() { signal(x.kick) }
+func (x *Exchange) TriggerReport() { signal(x.kick) }
 
 // Announce asks for a report to all who pass things on, since there is something that every
 // instance waits for.
@@ -202,21 +202,21 @@
 // OnReport sets what is told of every report's sender. It must be called before Run.
 func (x *Exchange) OnReport(introduce func(Member)) { x.introduce = introduce }
 
-// OnVouched sets what is told of instances that hubs name. It must be called before Run.
-func (x *Exchange) OnVouched(vouched func(Member)) { x.vouched = vouched }
+// OnMention sets what is told of instances that hubs name. It must be called before Run.
+func (x *Exchange) OnMention(vouched func(Member)) { x.vouched = vouched }
 
-// OnlyFrom sets what tells whether a run is the one that holds an instance's name; reports of
+// SetRunFilter sets what tells whether a run is the one that holds an instance's name; reports of
 // others are dropped. It must be called before Run.
-func (x *Exchange) OnlyFrom(current func(name string, incarnation uint64) bool) {
+func (x *Exchange) SetRunFilter(current func(name string, incarnation uint64) bool) {
 	x.current = current
 }
 
 // OnExpire sets what drops instances that are gone. It must be called before Run.
 func (x *Exchange) OnExpire(expire func()) { x.expire = expire }
 
-// OnceListed sets what tells whether the list of instances has been read. The size of the fleet is
+// SetHasSynced sets what tells whether the list of instances has been read. The size of the fleet is
 // not known before that. It must be called before Run.
-func (x *Exchange) OnceListed(listRead func() bool) { x.listRead = listRead }
+func (x *Exchange) SetHasSynced(listRead func() bool) { x.listRead = listRead }
 
 // Run sends and takes reports until ctx ends.
 func (x *Exchange) Run(ctx context.Context) error {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -102,16 +102,16 @@
 
 func (k *taker) FillFor(_ time.Duration, to Run, r *Report) { r.Bills = []Bill{{1, int64(to)}} }
 
-func (k *taker) Answer(_ time.Duration, _, r *Report) { r.Loads = map[Hash]Load{2: {Tokens: 2}} }
+func (k *taker) FillAnswer(_ time.Duration, _, r *Report) { r.Loads = map[Hash]Load{2: {Tokens: 2}} }
 
-func (k *taker) Asked(_ time.Duration, _ Run, a Ask) Grant {
+func (k *taker) HandleAsk(_ time.Duration, _ Run, a Ask) Grant {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.asked++
 	return Grant{ID: a.ID, Granted: true, Level: float64(a.Tokens)}
 }
 
-func (k *taker) Claimed(_ time.Duration, _ string, c Claim, answer func(Place)) {
+func (k *taker) HandleClaim(_ time.Duration, _ string, c Claim, answer func(Place)) {
 	k.mu.Lock()
 	k.claims = append(k.claims, c)
 	k.mu.Unlock()
@@ -120,13 +120,13 @@
 	}
 }
 
-func (k *taker) TakeLoads(_ time.Duration, _ string, loads map[Hash]Load) {
+func (k *taker) HandleLoads(_ time.Duration, _ string, loads map[Hash]Load) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.loads = append(k.loads, loads)
 }
 
-func (k *taker) Take(_ time.Duration, r *Report) {
+func (k *taker) HandleReport(_ time.Duration, r *Report) {
 	k.mu.Lock()
 	k.taken = append(k.taken, r)
 	k.mu.Unlock()
@@ -206,7 +206,7 @@
 }
 
 func record(name string, incarnation, beat uint64) port.KeyedRecord {
-	value, _ := json.Marshal(Member{Incarnation: incarnation, Address: "1.2.3.4:5", Beat: beat})
+	value, _ := json.Marshal(Member{Incarnation: incarnation, Address: "1.2.3.4:5", Renewals: beat})
 	return port.KeyedRecord{Key: name, Value: value}
 }
 
@@ -219,12 +219,12 @@
 	m.Proven(0)
 	assert.Equal(t, len(last), 2)
 	old := m.others["b"]
-	old.changed -= Lapse + time.Second
+	old.changed -= EntryTTL + time.Second
 	m.others["b"] = old
 	m.Lost()
 	m.Proven(0)
 	assert.Equal(t, len(last), 2)
-	old.changed = boottime.Now() - Lapse - time.Second
+	old.changed = boottime.Now() - EntryTTL - time.Second
 	m.others["b"] = old
 	m.Proven(0)
 	assert.Equal(t, len(last), 1)
@@ -237,10 +237,10 @@
 	var last []Member
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { last = list })
 	m.Add(record("b", 1, 1))
-	m.Introduce(Member{Name: "b", Incarnation: 2, Address: "1.2.3.4:6"})
+	m.RecordReport(Member{Name: "b", Incarnation: 2, Address: "1.2.3.4:6"})
 	assert.Equal(t, len(last), 1)
 	assert.Equal(t, last[0].Incarnation, uint64(2))
-	m.Introduce(Member{Name: "a", Incarnation: 9, Address: "1.2.3.4:7"})
+	m.RecordReport(Member{Name: "a", Incarnation: 9, Address: "1.2.3.4:7"})
 	assert.Equal(t, len(last), 1)
 }
 
--- a/fleet/hubs.go
+++ b/fleet/hubs.go
@@ -59,8 +59,8 @@
 
 func (x *Exchange) large() bool { return x.Size().Large() }
 
-// Alone reports whether no other instance is heard.
-func (x *Exchange) Alone() bool { return !x.hears(boottime.Now()) }
+// Isolated reports whether no other instance is heard.
+func (x *Exchange) Isolated() bool { return !x.hears(boottime.Now()) }
 
 // hears reports whether any other instance was heard lately.
 func (x *Exchange) hears(now time.Duration) bool {
--- a/fleet/hubs_test.go
+++ b/fleet/hubs_test.go
@@ -115,12 +115,12 @@
 		x, _ := newExchange(t, fmt.Sprint("i", i))
 		x.self.Machine.Millicores = 100 + 700*(i%2)
 		m := NewMembers(x.self, nil, zap.NewNop(), x.SetMembers)
-		x.OnReport(m.Introduce)
-		x.OnVouched(m.Vouch)
+		x.OnReport(m.RecordReport)
+		x.OnMention(m.RecordMention)
 		if i > 0 {
 			// Each knows one of those that started before.
 			before := exchanges[i/2].self
-			m.Introduce(before)
+			m.RecordReport(before)
 		}
 		exchanges = append(exchanges, x)
 	}
@@ -194,11 +194,11 @@
 func TestUnknownFleetHasNoHubs(t *testing.T) {
 	x := fleetOf(t, 10)
 	read := false
-	x.OnceListed(func() bool { return read })
+	x.SetHasSynced(func() bool { return read })
 	x.chosen.at = 0
 	assert.Equal(t, x.Size(), Size{})
 	assert.Equal(t, x.Size().String(), "unknown")
-	assert.Equal(t, x.Size().Part(9), 0.0)
+	assert.Equal(t, x.Size().PerInstance(9), 0.0)
 	assert.Equal(t, len(x.Hubs()), 0)
 	assert.Assert(t, !x.IsHub() && x.Rank("s") > 0)
 	assert.Equal(t, x.begin(boottime.Now()).Instances, 0)
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -29,10 +29,10 @@
 	firstList = time.Second
 	// unlistedLook is how often an instance without an entry looks whether it needs one.
 	unlistedLook = time.Second
-	// Lapse is how long an entry holds that is not renewed. An instance that cannot
+	// EntryTTL is how long an entry holds that is not renewed. An instance that cannot
 	// reach the store stops serving requests with a key before that, since it no
 	// longer knows which keys hold.
-	Lapse = 12 * time.Second
+	EntryTTL = 12 * time.Second
 	// replacedAfter is the silence after which a run gives its name up to one with a lower
 	// incarnation. One that lives reports several times within it.
 	replacedAfter = 1500 * time.Millisecond
@@ -51,8 +51,8 @@
 	// Address for reports, IP:port over UDP.
 	Address string  `json:"address"`
 	Machine Machine `json:"machine"`
-	// Beat grows with each renewal.
-	Beat uint64 `json:"beat"`
+	// Renewals grows with each renewal.
+	Renewals uint64 `json:"beat"`
 	// changed is when this instance saw the entry change, heard when the last report came.
 	changed, heard time.Duration
 	// listed tells that an entry in the store names this run.
@@ -77,13 +77,13 @@
 	log     port.KeyedLog
 	logger  *zap.Logger
 	changed func([]Member)
-	// Unlisted reports whether this instance needs no entry now; nil means that it always does.
+	// SkipEntry reports whether this instance needs no entry now; nil means that it always does.
 	// ReadFirst tells that the list is read before the first entry is written. Neither may be
 	// changed once the list is in use.
-	Unlisted  func() bool
+	SkipEntry func() bool
 	ReadFirst bool
-	// Informs returns what tells of instances that are gone; nil means the logger.
-	Informs func() func(string, ...zap.Field)
+	// GoneLogger returns what tells of instances that are gone; nil means the logger.
+	GoneLogger func() func(string, ...zap.Field)
 
 	mu     sync.Mutex
 	others map[string]Member
@@ -120,7 +120,7 @@
 
 // renew renews the entry, if there is to be one, and returns the time until the next look.
 func (m *Members) renew(ctx context.Context) time.Duration {
-	if m.Unlisted != nil && m.Unlisted() {
+	if m.SkipEntry != nil && m.SkipEntry() {
 		return unlistedLook
 	}
 	if err := m.beat(ctx); err != nil {
@@ -148,7 +148,7 @@
 func (m *Members) beat(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
 	defer cancel()
-	m.self.Beat++
+	m.self.Renewals++
 	value, err := json.Marshal(m.self)
 	if err != nil {
 		return err
@@ -166,10 +166,10 @@
 	}
 }
 
-// Introduce takes in an instance that reports before its entry was read here. Until
+// RecordReport takes in an instance that reports before its entry was read here. Until
 // the next read an instance that has just started would otherwise neither be counted
 // nor told of anything.
-func (m *Members) Introduce(sender Member) {
+func (m *Members) RecordReport(sender Member) {
 	now := boottime.Now()
 	m.mu.Lock()
 	old, known := m.others[sender.Name]
@@ -182,8 +182,8 @@
 	m.takeIn(now, sender, now)
 }
 
-// Vouch takes in an instance that another hears.
-func (m *Members) Vouch(named Member) {
+// RecordMention takes in an instance that another hears.
+func (m *Members) RecordMention(named Member) {
 	now := boottime.Now()
 	m.mu.Lock()
 	old, known := m.others[named.Name]
@@ -231,12 +231,12 @@
 // drop drops instances that are gone and reports whether there were any; the lock is held.
 func (m *Members) drop(now time.Duration) (gone bool) {
 	for name, member := range m.others {
-		if silent := now - member.seen(); silent > Lapse {
+		if silent := now - member.seen(); silent > EntryTTL {
 			delete(m.others, name)
 			gone = true
 			tell := m.logger.Info
-			if m.Informs != nil {
-				tell = m.Informs()
+			if m.GoneLogger != nil {
+				tell = m.GoneLogger()
 			}
 			tell("instance gone", zap.String("peer", name), zap.Duration("silent", silent))
 		}
@@ -272,8 +272,8 @@
 	return true
 }
 
-// Current reports whether a run is the one that holds an instance's name.
-func (m *Members) Current(name string, incarnation uint64) bool {
+// IsCurrent reports whether a run is the one that holds an instance's name.
+func (m *Members) IsCurrent(name string, incarnation uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known, ok := m.others[name]
@@ -331,7 +331,7 @@
 		return
 	}
 	old, known := m.others[record.Key]
-	if known && old.Incarnation == member.Incarnation && old.Beat == member.Beat {
+	if known && old.Incarnation == member.Incarnation && old.Renewals == member.Renewals {
 		return
 	}
 	now := boottime.Now()
@@ -376,9 +376,9 @@
 	}
 }
 
-// Settled reports whether it is known who is in the fleet. A list that names nobody else counts
+// HasSynced reports whether it is known who is in the fleet. A list that names nobody else counts
 // only once it has been read again: where all start together, the first to read it finds it empty.
-func (m *Members) Settled() bool { return m.settled.Load() }
+func (m *Members) HasSynced() bool { return m.settled.Load() }
 
 // Lost implements follow.Reader.
 func (m *Members) Lost() {
--- a/fleet/members_test.go
+++ b/fleet/members_test.go
@@ -18,18 +18,18 @@
 	var last []Member
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { last = list })
 	m.Add(record("b", 1, 4))
-	m.Introduce(Member{Name: "b", Incarnation: 2, Address: "1.2.3.4:6"})
-	m.Introduce(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5"})
+	m.RecordReport(Member{Name: "b", Incarnation: 2, Address: "1.2.3.4:6"})
+	m.RecordReport(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5"})
 	assert.Equal(t, last[0].Incarnation, uint64(2))
 	assert.Equal(t, last[0].Address, "1.2.3.4:6")
-	assert.Assert(t, m.Current("b", 2) && !m.Current("b", 1))
+	assert.Assert(t, m.IsCurrent("b", 2) && !m.IsCurrent("b", 1))
 	// Its entry in the store is the earlier run's until it has written its own.
 	m.Add(record("b", 1, 5))
 	m.Proven(0)
 	assert.Equal(t, last[0].Incarnation, uint64(2))
 	m.Add(record("b", 2, 1))
 	m.Proven(0)
-	assert.Equal(t, last[0].Beat, uint64(1))
+	assert.Equal(t, last[0].Renewals, uint64(1))
 }
 
 // The time of day was set back before an instance started again, so that its run seems older
@@ -37,14 +37,14 @@
 func TestARunWithAnEarlierClockIsKnownOnceTheOtherIsSilent(t *testing.T) {
 	var last []Member
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { last = list })
-	m.Introduce(Member{Name: "b", Incarnation: 5, Address: "1.2.3.4:5"})
-	m.Introduce(Member{Name: "b", Incarnation: 3, Address: "1.2.3.4:6"})
+	m.RecordReport(Member{Name: "b", Incarnation: 5, Address: "1.2.3.4:5"})
+	m.RecordReport(Member{Name: "b", Incarnation: 3, Address: "1.2.3.4:6"})
 	assert.Equal(t, last[0].Incarnation, uint64(5))
 	ended := m.others["b"]
 	ended.changed -= replacedAfter + time.Second
 	ended.heard -= replacedAfter + time.Second
 	m.others["b"] = ended
-	m.Introduce(Member{Name: "b", Incarnation: 3, Address: "1.2.3.4:6"})
+	m.RecordReport(Member{Name: "b", Incarnation: 3, Address: "1.2.3.4:6"})
 	assert.Equal(t, last[0].Incarnation, uint64(3))
 }
 
@@ -54,18 +54,18 @@
 func TestAnInstanceThatIsHeardDoesNotLapse(t *testing.T) {
 	var last []Member
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { last = list })
-	m.Introduce(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5"})
+	m.RecordReport(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5"})
 	m.Replace(nil)
 	m.Proven(0)
 	assert.Equal(t, len(last), 1)
 	silent := m.others["b"]
-	silent.changed -= 2 * Lapse
+	silent.changed -= 2 * EntryTTL
 	m.others["b"] = silent
-	m.Introduce(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5"})
+	m.RecordReport(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5"})
 	m.Proven(0)
 	assert.Equal(t, len(last), 1)
 	silent = m.others["b"]
-	silent.heard = boottime.Now() - 2*Lapse
+	silent.heard = boottime.Now() - 2*EntryTTL
 	m.others["b"] = silent
 	m.Proven(0)
 	assert.Equal(t, len(last), 0)
@@ -77,7 +77,7 @@
 	count := 0
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { count = len(list) })
 	for i := range 3 * maxUnlisted {
-		m.Introduce(Member{Name: fmt.Sprint("b", i), Incarnation: 1, Address: "1.2.3.4:5"})
+		m.RecordReport(Member{Name: fmt.Sprint("b", i), Incarnation: 1, Address: "1.2.3.4:5"})
 	}
 	assert.Equal(t, count, maxUnlisted)
 	m.Add(record("listed", 1, 1))
@@ -100,8 +100,8 @@
 	strong := Machine{DataCentre: "x", Millicores: 800}
 	var last []Member
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { last = list })
-	m.Introduce(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5", Machine: strong})
-	m.Introduce(Member{Name: "b", Incarnation: 2, Address: "1.2.3.4:5"})
+	m.RecordReport(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5", Machine: strong})
+	m.RecordReport(Member{Name: "b", Incarnation: 2, Address: "1.2.3.4:5"})
 	assert.Equal(t, last[0].Incarnation, uint64(2))
 	assert.Equal(t, last[0].Machine, strong)
 }
@@ -110,17 +110,17 @@
 // the list was empty when they read it first.
 func TestEmptyListCountsOnceItWasReadAgain(t *testing.T) {
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func([]Member) {})
-	m.Introduce(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5"})
-	assert.Assert(t, !m.Settled(), "nothing was read")
+	m.RecordReport(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5"})
+	assert.Assert(t, !m.HasSynced(), "nothing was read")
 	m = NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func([]Member) {})
 	m.Replace(nil)
 	m.Proven(0)
-	assert.Assert(t, !m.Settled())
+	assert.Assert(t, !m.HasSynced())
 	m.firstRead -= aloneAfter
 	m.Proven(0)
-	assert.Assert(t, m.Settled())
+	assert.Assert(t, m.HasSynced())
 	m = NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func([]Member) {})
 	m.Add(record("b", 1, 4))
 	m.Proven(0)
-	assert.Assert(t, m.Settled())
+	assert.Assert(t, m.HasSynced())
 }
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -14,9 +14,9 @@
 // answersHeld is how many answers to one claim may wait to be read; further ones say the same.
 const answersHeld = 4
 
-// ClaimLife is how long a claim that is not sent again waits at its home: three refreshes in a
+// ClaimTTL is how long a claim that is not sent again waits at its home: three refreshes in a
 // row are seldom lost.
-const ClaimLife = 3*claimRefresh + 50*time.Millisecond
+const ClaimTTL = 3*claimRefresh + 50*time.Millisecond
 
 // Claim asks a hub for a place at an engine, and waits until it is given or refused.
 func (x *Exchange) Claim(ctx context.Context, hub string, c Claim) (Place, error) {
@@ -80,7 +80,7 @@
 		return
 	}
 	to := r.Instance
-	x.handler.Claimed(now, to, *r.Claim, func(place Place) { x.sendAlone(to, from, &Report{Place: &place}) })
+	x.handler.HandleClaim(now, to, *r.Claim, func(place Place) { x.sendAlone(to, from, &Report{Place: &place}) })
 }
 
 // placed hands an answer to the one who waits for it, if anybody does.
@@ -122,7 +122,7 @@
 	}
 	x.mu.Unlock()
 	if newer {
-		x.handler.TakeLoads(now, r.Instance, r.Loads)
+		x.handler.HandleLoads(now, r.Instance, r.Loads)
 	}
 }
 
--- a/fleet/receive.go
+++ b/fleet/receive.go
@@ -63,7 +63,7 @@
 	}
 	r.Earliest = x.earliest(now, r)
 	x.note(now, r)
-	x.handler.Take(now, r)
+	x.handler.HandleReport(now, r)
 	if r.Poll != nil {
 		x.answer(now, r, from)
 	}
@@ -77,7 +77,7 @@
 		// The poller does not know this run yet.
 		r.Machine = x.self.Machine
 	}
-	x.handler.Answer(now, poll, r)
+	x.handler.FillAnswer(now, poll, r)
 	if best := x.choose(now).hubs; digest(best) != poll.Poll.Hubs {
 		r.Hubs = best
 	}
--- a/fleet/sender.go
+++ b/fleet/sender.go
@@ -6,9 +6,9 @@
 	"github.com/cairnworks/cairnworks/fleetid"
 )
 
-// Of sets the fleet whose reports are taken, and is to be called before Run. Without it
+// SetFleet sets the fleet whose reports are taken, and is to be called before Run. Without it
 // whoever sends a readable datagram counts as an instance.
-func (x *Exchange) Of(fleet *fleetid.Keeper) { x.fleet = fleet }
+func (x *Exchange) SetFleet(fleet *fleetid.Verifier) { x.fleet = fleet }
 
 // identity is what this instance says of its fleet.
 func (x *Exchange) identity() fleetid.Identity {
@@ -32,7 +32,7 @@
 		// A version that does not tell its fleet is known by the store's list.
 		return x.listed(RunOf(r.Instance, r.Incarnation), r.Instance)
 	default:
-		return x.fleet.Meet(r.Fleet, r.Instance, from.String()) == fleetid.SameFleet
+		return x.fleet.Check(r.Fleet, r.Instance, from.String()) == fleetid.SameFleet
 	}
 }
 
--- a/fleet/sender_test.go
+++ b/fleet/sender_test.go
@@ -15,7 +15,7 @@
 func of(t *testing.T, instance string, id fleetid.ID, name string) (*Exchange, *taker) {
 	t.Helper()
 	x, taken := newExchange(t, instance)
-	x.Of(fleetidtest.Keeper(t, id, name))
+	x.SetFleet(fleetidtest.Verifier(t, id, name))
 	t.Cleanup(func() { x.conn.Close() })
 	return x, taken
 }
--- a/fleet/size.go
+++ b/fleet/size.go
@@ -19,8 +19,8 @@
 // Large reports whether the fleet is known to be so large that reports go by way of hubs.
 func (s Size) Large() bool { return s.instances > hub.MaxFullMesh }
 
-// Part is one instance's equal part of what the fleet shares, nothing where the size is not known.
-func (s Size) Part(whole float64) float64 {
+// PerInstance is one instance's equal part of what the fleet shares, nothing where the size is not known.
+func (s Size) PerInstance(whole float64) float64 {
 	if s.instances == 0 {
 		return 0
 	}
--- a/fleetid/fleetidtest/fleetidtest.go
+++ b/fleetid/fleetidtest/fleetidtest.go
@@ -1,4 +1,4 @@
-// Package fleetidtest gives tests keepers whose fleet's id is known, or cannot be.
+// Package fleetidtest gives tests verifiers whose fleet's id is known, or cannot be.
 package fleetidtest
 
 import (
@@ -23,10 +23,10 @@
 	return fleetid.ID(s), nil
 }
 
-// Keeper returns a keeper of a fleet's identity. With id 0 it has not read the id.
-func Keeper(t testing.TB, id fleetid.ID, name string) *fleetid.Keeper {
+// Verifier returns a verifier of a fleet's identity. With id 0 it has not read the id.
+func Verifier(t testing.TB, id fleetid.ID, name string) *fleetid.Verifier {
 	t.Helper()
-	k := fleetid.NewKeeper(fleetid.KeeperConfig{Store: store(id), Name: name, Logger: zap.NewNop()})
+	k := fleetid.NewVerifier(fleetid.VerifierConfig{Store: store(id), Name: name, Logger: zap.NewNop()})
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() { _ = k.Run(ctx) }()
--- a/fleetid/identity.go
+++ b/fleetid/identity.go
@@ -98,11 +98,11 @@
 	}
 }
 
-// Key returns the key under which an instance signs what it sends: the secret that instances
+// SigningKey returns the key under which an instance signs what it sends: the secret that instances
 // share, bound to the fleet's name as its settings give it. The receiver derives it from the
 // name that it is told, so that a fleet whose instances spell their name differently still
 // holds together, and one that was told nothing from its own.
-func Key(secret, name string) string {
+func SigningKey(secret, name string) string {
 	mac := hmac.New(sha256.New, []byte(secret))
 	mac.Write([]byte(name))
 	return hex.EncodeToString(mac.Sum(nil))
--- a/fleetid/keeper.go
+++ b/fleetid/keeper.go
@@ -37,8 +37,8 @@
 	jitter = 0.25
 )
 
-// KeeperConfig is what a Keeper needs.
-type KeeperConfig struct {
+// VerifierConfig is the configuration of a Verifier.
+type VerifierConfig struct {
 	Store Store
 	// Name is the fleet's name in this instance's settings.
 	Name string
@@ -53,9 +53,9 @@
 	Metrics tally.Scope
 }
 
-// Keeper knows the identity of this instance's fleet and judges others by it.
-type Keeper struct {
-	cfg      KeeperConfig
+// Verifier knows the identity of this instance's fleet and judges others by it.
+type Verifier struct {
+	cfg      VerifierConfig
 	id       atomic.Uint64
 	doubt    chan struct{}
 	known    chan struct{}
@@ -66,12 +66,12 @@
 	reported map[Identity]time.Time
 }
 
-// NewKeeper returns a keeper that knows no id until Run has read it.
-func NewKeeper(cfg KeeperConfig) *Keeper {
+// NewVerifier returns a verifier that knows no id until Run has read it.
+func NewVerifier(cfg VerifierConfig) *Verifier {
 	if cfg.Metrics == nil {
 		cfg.Metrics = tally.NoopScope
 	}
-	k := &Keeper{cfg: cfg, doubt: make(chan struct{}, 1), known: make(chan struct{}), meetings: make(map[Relation]tally.Counter), reported: make(map[Identity]time.Time)}
+	k := &Verifier{cfg: cfg, doubt: make(chan struct{}, 1), known: make(chan struct{}), meetings: make(map[Relation]tally.Counter), reported: make(map[Identity]time.Time)}
 	for _, r := range []Relation{Stranger, Undecided, SameName} {
 		k.meetings[r] = cfg.Metrics.Tagged(map[string]string{"relation": r.String()}).Counter("fleet_meetings")
 	}
@@ -79,15 +79,15 @@
 }
 
 // Identity returns what this instance says of its fleet.
-func (k *Keeper) Identity() Identity {
+func (k *Verifier) Identity() Identity {
 	return Identity{ID: ID(k.id.Load()), Name: k.cfg.Name}
 }
 
 // Known returns a channel that is closed once the id has been read.
-func (k *Keeper) Known() <-chan struct{} { return k.known }
+func (k *Verifier) Known() <-chan struct{} { return k.known }
 
 // Run reads the id and goes on reading it until ctx ends.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Verifier) Run(ctx context.Context) error {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval, pause.MaxInterval = retryMin, retryMax
 	wait(ctx, time.Duration(rand.Float64()*float64(k.cfg.Spread)), nil)
@@ -105,7 +105,7 @@
 }
 
 // awaitNext waits until the id is to be read again.
-func (k *Keeper) awaitNext(ctx context.Context) {
+func (k *Verifier) awaitNext(ctx context.Context) {
 	if k.cfg.Interval == 0 {
 		select {
 		case <-ctx.Done():
@@ -128,7 +128,7 @@
 	}
 }
 
-func (k *Keeper) load(ctx context.Context) error {
+func (k *Verifier) load(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	id, err := k.cfg.Store.Load(ctx)
@@ -144,9 +144,9 @@
 	return nil
 }
 
-// Meet judges another instance by what it says of its fleet; it reports strangers to people
+// Check judges another instance by what it says of its fleet; it reports strangers to people
 // and sees to it that the own id is read again, as the log may be a new one.
-func (k *Keeper) Meet(other Identity, instance, address string) Relation {
+func (k *Verifier) Check(other Identity, instance, address string) Relation {
 	own := k.Identity()
 	relation := own.Relation(other)
 	if relation == SameFleet {
@@ -172,7 +172,7 @@
 }
 
 // due reports whether another fleet is to be logged now.
-func (k *Keeper) due(other Identity) bool {
+func (k *Verifier) due(other Identity) bool {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/fleetid/keeper_test.go
+++ b/fleetid/keeper_test.go
@@ -39,10 +39,10 @@
 }
 
 // inKeeper runs a test beside a keeper, in simulated time.
-func inKeeper(t *testing.T, store *kept, test func(*Keeper, *observer.ObservedLogs)) {
+func inKeeper(t *testing.T, store *kept, test func(*Verifier, *observer.ObservedLogs)) {
 	synctest.Test(t, func(t *testing.T) {
 		core, logs := observer.New(zap.InfoLevel)
-		k := NewKeeper(KeeperConfig{Store: store, Name: "rota", Logger: zap.New(core)})
+		k := NewVerifier(VerifierConfig{Store: store, Name: "rota", Logger: zap.New(core)})
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan error)
 		go func() { ended <- k.Run(ctx) }()
@@ -56,15 +56,15 @@
 // heard, or an instance that restarts during the outage would serve nobody; others are not.
 func TestTheNameStandsInForTheIDUntilItIsRead(t *testing.T) {
 	store := &kept{}
-	inKeeper(t, store, func(k *Keeper, _ *observer.ObservedLogs) {
-		assert.Equal(t, k.Meet(Identity{ID: 7, Name: "rota"}, "b", "x"), SameName)
-		assert.Equal(t, k.Meet(Identity{ID: 7, Name: "other"}, "b", "x"), Undecided)
+	inKeeper(t, store, func(k *Verifier, _ *observer.ObservedLogs) {
+		assert.Equal(t, k.Check(Identity{ID: 7, Name: "rota"}, "b", "x"), SameName)
+		assert.Equal(t, k.Check(Identity{ID: 7, Name: "other"}, "b", "x"), Undecided)
 		store.set(7)
 		time.Sleep(2 * retryMax)
 		assert.Equal(t, k.Identity().ID, ID(7))
-		assert.Equal(t, k.Meet(Identity{ID: 7, Name: "other"}, "b", "x"), SameFleet)
-		assert.Equal(t, k.Meet(Identity{ID: 8, Name: "rota"}, "b", "x"), Stranger)
-		assert.Equal(t, k.Meet(Identity{Name: "rota"}, "b", "x"), SameName)
+		assert.Equal(t, k.Check(Identity{ID: 7, Name: "other"}, "b", "x"), SameFleet)
+		assert.Equal(t, k.Check(Identity{ID: 8, Name: "rota"}, "b", "x"), Stranger)
+		assert.Equal(t, k.Check(Identity{Name: "rota"}, "b", "x"), SameName)
 	})
 }
 
@@ -72,12 +72,12 @@
 // that run must take it too, or the fleet stays split until they are restarted.
 func TestAStrangerIsReasonToReadTheIDAgain(t *testing.T) {
 	store := &kept{id: 7}
-	inKeeper(t, store, func(k *Keeper, _ *observer.ObservedLogs) {
+	inKeeper(t, store, func(k *Verifier, _ *observer.ObservedLogs) {
 		time.Sleep(time.Minute)
 		store.set(8)
-		assert.Equal(t, k.Meet(Identity{ID: 8, Name: "rota"}, "b", "x"), Stranger)
+		assert.Equal(t, k.Check(Identity{ID: 8, Name: "rota"}, "b", "x"), Stranger)
 		synctest.Wait()
-		assert.Equal(t, k.Meet(Identity{ID: 8, Name: "rota"}, "b", "x"), SameFleet)
+		assert.Equal(t, k.Check(Identity{ID: 8, Name: "rota"}, "b", "x"), SameFleet)
 	})
 }
 
@@ -85,10 +85,10 @@
 // the log file; one line must tell both names and ids and where it is.
 func TestAStrangerCostsLittle(t *testing.T) {
 	store := &kept{id: 7}
-	inKeeper(t, store, func(k *Keeper, logs *observer.ObservedLogs) {
+	inKeeper(t, store, func(k *Verifier, logs *observer.ObservedLogs) {
 		for range 6000 {
 			time.Sleep(10 * time.Millisecond)
-			k.Meet(Identity{ID: 8, Name: "tickets"}, "instance-2", "127.0.0.1:99")
+			k.Check(Identity{ID: 8, Name: "tickets"}, "instance-2", "127.0.0.1:99")
 		}
 		store.mu.Lock()
 		loads := store.loads
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -75,7 +75,7 @@
 	s := b.service(service)
 	s.asks = since(s.asks, now-b.limit.Window)
 	s.repeats = since(s.repeats, now-b.limit.Window)
-	slack := b.members().Part(b.limit.Slack)
+	slack := b.members().PerInstance(b.limit.Slack)
 	if now < b.slackFrom {
 		slack = 0
 	}
--- a/gateway/desk.go
+++ b/gateway/desk.go
@@ -195,7 +195,7 @@
 func (k *desk) dropStale() {
 	now := boottime.Now()
 	for item, t := range k.tickets {
-		if t.remote != nil && t.remote.stale(now, fleet.ClaimLife) {
+		if t.remote != nil && t.remote.stale(now, fleet.ClaimTTL) {
 			k.queue.Remove(item)
 			delete(k.tickets, item)
 			k.gateway.desks.forget(t.remote)
--- a/gateway/places_test.go
+++ b/gateway/places_test.go
@@ -58,7 +58,7 @@
 	places := make(chan fleet.Place, 100)
 	claim := func() { f.gateways[0].Claimed(boottime.Now(), h.name(), c, func(p fleet.Place) { places <- p }) }
 	claim()
-	refresh := time.NewTicker(fleet.ClaimLife / 3)
+	refresh := time.NewTicker(fleet.ClaimTTL / 3)
 	defer refresh.Stop()
 	for {
 		select {
@@ -227,7 +227,7 @@
 		_, v := f.desk(4).place(ctx, want{item: item(time.Minute)})
 		assert.Assert(t, v != nil)
 		gone := fleet.Claim{ID: 1 << 41, Service: fleet.HashOf("model"), Tokens: 250, Objective: time.Minute, Left: time.Minute}
-		home.claimed(boottime.Now()-2*fleet.ClaimLife, "i5", gone, func(fleet.Place) {})
+		home.claimed(boottime.Now()-2*fleet.ClaimTTL, "i5", gone, func(fleet.Place) {})
 		f.desk(0).leave(upstream.Entry{ID: "d0"}, 250)
 		entry, v := f.desk(6).place(t.Context(), want{item: item(time.Second)})
 		assert.Assert(t, v == nil && entry.ID == "d0", "the place goes to one who still waits")
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -53,7 +53,7 @@
 	engines  port.EngineDialer
 	services port.ServiceDialer
 	platform platformClients
-	fleet    *fleetid.Keeper
+	fleet    *fleetid.Verifier
 	rate     *rate.Service
 	guard    *once.Service
 	orders   *order.Service
--- a/instance/join.go
+++ b/instance/join.go
@@ -39,7 +39,7 @@
 // knowFleet prepares what tells this fleet's instances from others.
 func (i *Instance) knowFleet() {
 	store := fleetid.NewLogStore(i.platform.log, i.logRetention())
-	i.fleet = fleetid.NewKeeper(fleetid.KeeperConfig{
+	i.fleet = fleetid.NewVerifier(fleetid.VerifierConfig{
 		Store: store, Name: i.settings.FleetName(), Interval: store.Interval(), Logger: i.log, Metrics: i.metrics.Scope,
 	})
 }
--- a/instance/routed/readers.go
+++ b/instance/routed/readers.go
@@ -54,9 +54,9 @@
 // readSlowly is how much more seldom than in a small fleet the list of instances is read.
 func (i *Instance) readSlowly() float64 {
 	switch {
-	case !i.members.Settled():
+	case !i.members.HasSynced():
 		return firstReads
-	case i.exchange.Alone():
+	case i.exchange.Isolated():
 		return aloneReads
 	case i.fleetSize().Large():
 		return calmReads
@@ -103,8 +103,8 @@
 	i.gateway.FillFor(now, to, r)
 }
 
-// Answer implements fleet.Handler.
-func (i *Instance) Answer(now time.Duration, poll, r *fleet.Report) {
+// FillAnswer implements fleet.Handler.
+func (i *Instance) FillAnswer(now time.Duration, poll, r *fleet.Report) {
 	i.gateway.Answer(now, poll, r)
 	for _, f := range i.shared {
 		known, told := poll.Known[f.Topic]
@@ -117,23 +117,23 @@
 	}
 }
 
-// Asked implements fleet.Handler.
-func (i *Instance) Asked(now time.Duration, _ fleet.Run, a fleet.Ask) fleet.Grant {
+// HandleAsk implements fleet.Handler.
+func (i *Instance) HandleAsk(now time.Duration, _ fleet.Run, a fleet.Ask) fleet.Grant {
 	return i.quotas.Asked(now, a)
 }
 
-// Claimed implements fleet.Handler.
-func (i *Instance) Claimed(now time.Duration, instance string, c fleet.Claim, answer func(fleet.Place)) {
+// HandleClaim implements fleet.Handler.
+func (i *Instance) HandleClaim(now time.Duration, instance string, c fleet.Claim, answer func(fleet.Place)) {
 	i.gateway.Claimed(now, instance, c, answer)
 }
 
-// TakeLoads implements fleet.Handler.
-func (i *Instance) TakeLoads(now time.Duration, instance string, loads map[fleet.Hash]fleet.Load) {
+// HandleLoads implements fleet.Handler.
+func (i *Instance) HandleLoads(now time.Duration, instance string, loads map[fleet.Hash]fleet.Load) {
 	i.gateway.TakeLoads(now, instance, loads)
 }
 
-// Take implements fleet.Handler.
-func (i *Instance) Take(now time.Duration, r *fleet.Report) {
+// HandleReport implements fleet.Handler.
+func (i *Instance) HandleReport(now time.Duration, r *fleet.Report) {
 	i.gateway.Take(now, r)
 	for _, n := range r.Notes {
 		for _, f := range i.shared {
--- a/instance/routed/routed.go
+++ b/instance/routed/routed.go
@@ -101,7 +101,7 @@
 	gateway  *gateway.Gateway
 	members  *fleet.Members
 	exchange *fleet.Exchange
-	fleet    *fleetid.Keeper
+	fleet    *fleetid.Verifier
 	// shared are the topics that a few instances read for all.
 	shared []*follow.Follower
 	began  time.Time
@@ -146,17 +146,17 @@
 	i.quotas.Connect(exchange)
 	i.gateway.Connect(exchange)
 	i.members = fleet.NewMembers(self, outside.Log, log, i.setMembers)
-	i.members.Unlisted, i.members.ReadFirst = i.unlisted, !s.FirstStart
-	i.members.Informs = i.informs
-	exchange.OnReport(i.members.Introduce)
-	exchange.OnVouched(i.members.Vouch)
+	i.members.SkipEntry, i.members.ReadFirst = i.unlisted, !s.FirstStart
+	i.members.GoneLogger = i.informs
+	exchange.OnReport(i.members.RecordReport)
+	exchange.OnMention(i.members.RecordMention)
 	exchange.OnExpire(i.members.Expire)
-	exchange.OnlyFrom(i.members.Current)
-	exchange.OnceListed(i.members.Settled)
-	i.fleet = fleetid.NewKeeper(fleetid.KeeperConfig{
+	exchange.SetRunFilter(i.members.IsCurrent)
+	exchange.SetHasSynced(i.members.HasSynced)
+	i.fleet = fleetid.NewVerifier(fleetid.VerifierConfig{
 		Store: fleetid.NewKeyedStore(outside.Log), Spread: idSpread(s.FirstStart), Name: s.FleetName(), Logger: log, Metrics: metrics.Scope,
 	})
-	exchange.Of(i.fleet)
+	exchange.SetFleet(i.fleet)
 	return i, nil
 }
 
@@ -184,7 +184,7 @@
 
 func (i *Instance) kick() {
 	if i.exchange != nil {
-		i.exchange.Kick()
+		i.exchange.TriggerReport()
 	}
 }
 
@@ -202,7 +202,7 @@
 // setMembers takes over the list of other instances.
 func (i *Instance) setMembers(members []fleet.Member) {
 	i.exchange.SetMembers(members)
-	if i.members.Settled() {
+	if i.members.HasSynced() {
 		i.state.InstancesRead()
 	}
 }
--- a/membership/codec.go
+++ b/membership/codec.go
@@ -97,7 +97,7 @@
 	if c.fleet == nil {
 		return secret
 	}
-	return []byte(fleetid.Key(string(secret), fleetName))
+	return []byte(fleetid.SigningKey(string(secret), fleetName))
 }
 
 func mac(secret, body []byte) []byte {
--- a/membership/config.go
+++ b/membership/config.go
@@ -38,7 +38,7 @@
 	AlsoAccepted [][]byte
 	// Fleet tells datagrams of this fleet from those of others that hold the same secret;
 	// nil hears whoever holds it.
-	Fleet *fleetid.Keeper
+	Fleet *fleetid.Verifier
 	// Hints returns further addresses of instances, such as those that the fleet's log
 	// names; nil has none.
 	Hints func() []string
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -16,7 +16,7 @@
 // inFleet returns a service's side that hears datagrams, of a fleet with an id and a name.
 func inFleet(t *testing.T, id fleetid.ID, name string) *Service {
 	t.Helper()
-	cfg := Config{Secret: []byte("0123456789abcdef"), Fleet: fleetidtest.Keeper(t, id, name)}
+	cfg := Config{Secret: []byte("0123456789abcdef"), Fleet: fleetidtest.Verifier(t, id, name)}
 	return &Service{cfg: cfg, codec: newCodec(cfg), metrics: newMetrics(tally.NoopScope)}
 }
 
@@ -58,7 +58,7 @@
 	before := func(name string) []byte {
 		body, err := proto.Marshal(&membershipv1.Packet{Kind: membershipv1.Kind_KIND_PING, From: "b"})
 		assert.NilError(t, err)
-		return append(body, mac([]byte(fleetid.Key("0123456789abcdef", name)), body)...)
+		return append(body, mac([]byte(fleetid.SigningKey("0123456789abcdef", name)), body)...)
 	}
 	_, ok := own.read(before("rota"), "127.0.0.1:1")
 	assert.Assert(t, ok)
@@ -68,7 +68,7 @@
 	datagram, err := own.codec.encode(gossip.Packet{Kind: gossip.Ping, From: "a"})
 	assert.NilError(t, err)
 	body := datagram[:len(datagram)-macBytes]
-	assert.DeepEqual(t, datagram[len(body):], mac([]byte(fleetid.Key("0123456789abcdef", "rota")), body))
+	assert.DeepEqual(t, datagram[len(body):], mac([]byte(fleetid.SigningKey("0123456789abcdef", "rota")), body))
 }
 
 // A name that is told and not signed under is a forgery.
@@ -76,7 +76,7 @@
 	own := inFleet(t, 7, "rota")
 	body, err := proto.Marshal(&membershipv1.Packet{Kind: membershipv1.Kind_KIND_PING, From: "b", FleetId: 7, FleetName: "tickets"})
 	assert.NilError(t, err)
-	forged := append(body, mac([]byte(fleetid.Key("0123456789abcdef", "rota")), body)...)
+	forged := append(body, mac([]byte(fleetid.SigningKey("0123456789abcdef", "rota")), body)...)
 	_, ok := own.read(forged, "127.0.0.1:1")
 	assert.Assert(t, !ok)
 }
--- a/membership/service.go
+++ b/membership/service.go
@@ -243,7 +243,7 @@
 		return true
 	}
 	other := fleetid.Identity{ID: fleetid.ID(message.FleetId), Name: message.FleetName}
-	return s.cfg.Fleet.Meet(other, message.From, from).Member()
+	return s.cfg.Fleet.Check(other, message.From, from).Member()
 }
 
 // transmit sends packets; a failed send is a lost datagram.
--- a/peer/pass.go
+++ b/peer/pass.go
@@ -22,13 +22,13 @@
 type Option func(*pass)
 
 // WithFleet tells calls of this fleet from those of others that hold the same secret.
-func WithFleet(fleet *fleetid.Keeper) Option { return func(p *pass) { p.fleet = fleet } }
+func WithFleet(fleet *fleetid.Verifier) Option { return func(p *pass) { p.fleet = fleet } }
 
 // pass is what an instance shows and asks for between instances.
 type pass struct {
 	secret string
 	// fleet is nil where the secret alone decides.
-	fleet *fleetid.Keeper
+	fleet *fleetid.Verifier
 }
 
 func newPass(secret string, options []Option) pass {
@@ -49,7 +49,7 @@
 		return
 	}
 	own := p.fleet.Identity()
-	h.Set(secretHeader, fleetid.Key(p.secret, own.Name))
+	h.Set(secretHeader, fleetid.SigningKey(p.secret, own.Name))
 	h.Set(fleetIDHeader, own.ID.String())
 	h.Set(fleetNameHeader, url.PathEscape(own.Name))
 }
@@ -74,7 +74,7 @@
 			next.ServeHTTP(w, r)
 			return
 		}
-		relation := p.fleet.Meet(other, "", r.RemoteAddr)
+		relation := p.fleet.Check(other, "", r.RemoteAddr)
 		if !relation.Member() {
 			http.Error(w, "this instance belongs to fleet "+p.fleet.Identity().ID.String()+", not "+other.ID.String(), http.StatusForbidden)
 			return
@@ -95,7 +95,7 @@
 	if id, err := fleetid.ParseID(h.Get(fleetIDHeader)); err == nil {
 		other.ID = id
 	}
-	return other, fleetid.Key(p.secret, other.Name)
+	return other, fleetid.SigningKey(p.secret, other.Name)
 }
 
 // OneLog serves only callers that are known to use the log that this instance uses. It is
--- a/peer/pass_test.go
+++ b/peer/pass_test.go
@@ -21,7 +21,7 @@
 	done := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.Handle("/any", done)
 	mux.Handle("/once", OneLog(done))
-	server := NewServer(mux, nil, "secret", WithFleet(fleetidtest.Keeper(t, 7, "rota na obali")))
+	server := NewServer(mux, nil, "secret", WithFleet(fleetidtest.Verifier(t, 7, "rota na obali")))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	go func() { _ = server.Serve(listener) }() // ends with Close
@@ -32,14 +32,14 @@
 		transport *Transport
 		any, once int
 	}{
-		{"same log", NewTransport(nil, "secret", WithFleet(fleetidtest.Keeper(t, 7, "rota na obali"))), 200, 200},
-		{"same log by another name", NewTransport(nil, "secret", WithFleet(fleetidtest.Keeper(t, 7, "obala"))), 200, 200},
-		{"another log by the same name", NewTransport(nil, "secret", WithFleet(fleetidtest.Keeper(t, 8, "rota na obali"))), 403, 403},
-		{"log not read yet", NewTransport(nil, "secret", WithFleet(fleetidtest.Keeper(t, 0, "rota na obali"))), 200, 403},
-		{"log not read yet, another name", NewTransport(nil, "secret", WithFleet(fleetidtest.Keeper(t, 0, "obala"))), 403, 403},
-		{"another secret", NewTransport(nil, "guess", WithFleet(fleetidtest.Keeper(t, 7, "rota na obali"))), 401, 401},
-		{"a version before ids", NewTransport(nil, fleetid.Key("secret", "rota na obali")), 200, 403},
-		{"a version before ids, another name", NewTransport(nil, fleetid.Key("secret", "obala")), 401, 401},
+		{"same log", NewTransport(nil, "secret", WithFleet(fleetidtest.Verifier(t, 7, "rota na obali"))), 200, 200},
+		{"same log by another name", NewTransport(nil, "secret", WithFleet(fleetidtest.Verifier(t, 7, "obala"))), 200, 200},
+		{"another log by the same name", NewTransport(nil, "secret", WithFleet(fleetidtest.Verifier(t, 8, "rota na obali"))), 403, 403},
+		{"log not read yet", NewTransport(nil, "secret", WithFleet(fleetidtest.Verifier(t, 0, "rota na obali"))), 200, 403},
+		{"log not read yet, another name", NewTransport(nil, "secret", WithFleet(fleetidtest.Verifier(t, 0, "obala"))), 403, 403},
+		{"another secret", NewTransport(nil, "guess", WithFleet(fleetidtest.Verifier(t, 7, "rota na obali"))), 401, 401},
+		{"a version before ids", NewTransport(nil, fleetid.SigningKey("secret", "rota na obali")), 200, 403},
+		{"a version before ids, another name", NewTransport(nil, fleetid.SigningKey("secret", "obala")), 401, 401},
 	} {
 		assert.Equal(t, status(t, test.transport, address, "/any"), test.any, test.what)
 		assert.Equal(t, status(t, test.transport, address, "/once"), test.once, test.what)
--- a/soak/stranger.go
+++ b/soak/stranger.go
@@ -74,7 +74,7 @@
 
 // list writes an instance's entry as if it had written it itself.
 func list(store *standin.Store, i *instance, beat uint64) error {
-	value, err := json.Marshal(fleet.Member{Incarnation: 1, Address: i.settings.Reports, Beat: beat})
+	value, err := json.Marshal(fleet.Member{Incarnation: 1, Address: i.settings.Reports, Renewals: beat})
 	if err != nil {
 		return err
 	}
