--- a/fleetid/identity.go
+++ b/fleetid/identity.go
@@ -1,16 +1,17 @@
-// Package fleetid tells the instances of one fleet from those of another.
+// Package fleetid distinguishes the instances of one fleet from those of another.
 //
-// Instances of one fleet decide together, and each relies on what the others have read and
-// written: who ran a call that may run once, what an organisation has spent, which
-// configuration is the newest. All of that stands in one log, so the log is what makes a
-// fleet, and the id that it keeps is what instances compare. Without it an instance that
-// reads another log is taken for a member as soon as it is reached, by an address that was
-// given to it since or by a seed that was never right: a call then runs once a log, and each
-// fleet spends the other's quotas.
+// The instances of a fleet decide together, and each relies on what the others have read and
+// written: which instance ran an at-most-once call, how much of its quota an organisation has
+// used, and which configuration is the newest. All of this state is in one shared log, so the
+// log defines the fleet, and instances compare the ID that is stored in it. Without that check,
+// an instance that reads a different log would be accepted as a member as soon as it is reached,
+// for example because it was assigned an address that a former member used, or because of a
+// wrong seed address. An at-most-once call would then run once per log, and each fleet would
+// consume the other's quotas.
 //
-// The name that the settings give is only shown to people, and stands in for the id until
-// the log has been read. One log may be reached at several addresses and a fleet may be
-// renamed while it serves; the id is the same then.
+// The fleet name in the settings is shown to operators, and is compared in place of the ID only
+// until the log has been read. A log may be reachable at several addresses, and a fleet may be
+// renamed while it serves requests; the ID is the same in both cases.
 package fleetid
 
 import (
@@ -22,13 +23,13 @@
 	"strconv"
 )
 
-// ID names a fleet. It is drawn at random when a log is first used; 0 is no id.
+// ID identifies a fleet. It is generated at random when a log is first used; 0 means no ID.
 type ID uint64
 
-// NewID draws an id.
+// NewID generates a random ID.
 func NewID() ID { return ID(rand.Uint64N(1<<64-1) + 1) }
 
-// String returns the id in hexadecimal, or "unknown" for none.
+// String returns the ID in hexadecimal, or "unknown" if there is none.
 func (id ID) String() string {
 	if id == 0 {
 		return "unknown"
@@ -38,41 +39,42 @@
 
 const idBase = 16
 
-var errNoID = errors.New("fleetid: not an id of a fleet")
+var errInvalidID = errors.New("fleetid: invalid fleet ID")
 
-// ParseID reads what String wrote.
+// ParseID parses the output of String.
 func ParseID(s string) (ID, error) {
 	if s == ID(0).String() {
 		return 0, nil
 	}
 	id, err := strconv.ParseUint(s, idBase, 64)
 	if err != nil || id == 0 {
-		return 0, errNoID
+		return 0, errInvalidID
 	}
 	return ID(id), nil
 }
 
-// Identity is what an instance says of its fleet.
+// Identity is the fleet that an instance claims to belong to.
 type Identity struct {
-	// ID is 0 while the instance has not read it.
+	// ID is 0 until the instance has loaded it.
 	ID ID
 	// Name is the fleet's name in the instance's settings.
 	Name string
 }
 
-// Relation is what two identities have to do with one another.
+// Relation is the result of comparing two identities.
 type Relation uint8
 
 const (
-	// Stranger: the ids differ.
+	// Stranger means that the IDs differ.
 	Stranger Relation = iota
-	// Undecided: the names differ, and an id is not known yet.
+	// Undecided means that the names differ and at least one ID is not known yet.
 	Undecided
-	// SameName: an id is not known yet, and the names are the same. That is enough to
-	// exchange what a mistake would only make less fair, such as who is alive and has
-	// spent what, and not enough to decide for one another what may run once.
+	// SameName means that at least one ID is not known yet and the names are equal. That is
+	// enough to exchange data where a mistake only reduces fairness, such as liveness and
+	// quota usage. It is not enough to decide for the other instance whether an
+	// at-most-once call may run.
 	SameName
-	// SameFleet: the ids are the same.
+	// SameFleet means that the IDs are equal.
 	SameFleet
 )
 
@@ -81,10 +83,10 @@
 	return [...]string{"stranger", "undecided", "same_name", "same_fleet"}[r]
 }
 
-// Member reports whether the other counts as an instance of the fleet.
+// Member reports whether the other instance is treated as a member of the fleet.
 func (r Relation) Member() bool { return r >= SameName }
 
-// Relation compares an instance's own identity with what another says of itself.
+// Relation compares an instance's own identity with the one that another instance sent.
 func (i Identity) Relation(other Identity) Relation {
 	switch {
 	case i.ID != 0 && i.ID == other.ID:
@@ -98,10 +100,10 @@
 	}
 }
 
-// SigningKey returns the key under which an instance signs what it sends: the secret that instances
-// share, bound to the fleet's name as its settings give it. The receiver derives it from the
-// name that it is told, so that a fleet whose instances spell their name differently still
-// holds together, and one that was told nothing from its own.
+// SigningKey returns the key with which an instance signs its messages: the shared secret, bound
+// to the fleet name from the instance's settings. The receiver derives the key from the name in
+// the message, so that instances whose settings spell the fleet name differently accept each
+// other's messages. If the message has no name, the receiver uses its own.
 func SigningKey(secret, name string) string {
 	mac := hmac.New(sha256.New, []byte(secret))
 	mac.Write([]byte(name))
--- a/fleetid/keeper.go
+++ b/fleetid/keeper.go
@@ -12,28 +12,28 @@
 	"go.uber.org/zap"
 )
 
-// Store is where the instances of a fleet keep its id.
+// Store persists the ID of a fleet.
 type Store interface {
-	// Load returns the id that is kept, after drawing and keeping one where there is none.
+	// Load returns the stored ID. If there is none, it generates and stores one first.
 	Load(ctx context.Context) (ID, error)
 }
 
 const (
-	// loadTimeout bounds one Load.
+	// loadTimeout is the timeout of one Load call.
 	loadTimeout = 1500 * time.Millisecond
-	// retryMin and retryMax bound the pause after a failed Load. An instance that waits for
-	// its fleet's id serves nobody.
+	// retryMin and retryMax are the bounds of the retry delay after a failed Load. An instance
+	// does not serve requests until it has the fleet ID.
 	retryMin = 200 * time.Millisecond
 	retryMax = 600 * time.Millisecond
-	// doubtInterval is the least time between two reads because of a stranger, which may
-	// go on sending for as long as it likes.
-	doubtInterval = 5 * time.Second
-	// reportInterval is the time between two log lines about one other fleet.
-	reportInterval = time.Minute
-	// maxReported bounds the other fleets that are remembered for that.
-	maxReported = 64
-	// jitter is the part by which the time between two reads varies, so that not all
-	// instances of a large fleet read at once.
+	// reloadInterval is the minimum time between two loads triggered by an instance of another
+	// fleet, which may send messages at any rate.
+	reloadInterval = 5 * time.Second
+	// logInterval is the minimum time between two log lines about the same other fleet.
+	logInterval = time.Minute
+	// maxLoggedFleets is the maximum number of other fleets whose last log time is kept.
+	maxLoggedFleets = 64
+	// jitter is the fraction by which the load interval varies, so that the instances of a
+	// large fleet do not all read at once.
 	jitter = 0.25
 )
 
@@ -42,82 +42,83 @@
 	Store Store
 	// Name is the fleet's name in this instance's settings.
 	Name string
-	// Interval is the time between two reads of the id once it is known; 0 reads it again
-	// only when another instance names a different one.
+	// Interval is the time between two loads once the ID is known. If 0, the ID is loaded
+	// again only when another instance sends a different one.
 	Interval time.Duration
-	// Spread is the time over which the first reads of instances that start together are
-	// spread.
+	// Spread is the time over which the initial loads of instances that start together are
+	// distributed.
 	Spread time.Duration
 	Logger *zap.Logger
-	// Metrics counts meetings by what came of them; nil counts nothing.
+	// Metrics counts the results of Check other than SameFleet, by relation. If nil, nothing
+	// is counted.
 	Metrics tally.Scope
 }
 
-// Verifier knows the identity of this instance's fleet and judges others by it.
+// Verifier tracks the identity of this instance's fleet and checks other instances against it.
 type Verifier struct {
-	cfg      VerifierConfig
-	id       atomic.Uint64
-	doubt    chan struct{}
-	known    chan struct{}
-	meetings map[Relation]tally.Counter
+	cfg    VerifierConfig
+	id     atomic.Uint64
+	reload chan struct{}
+	known  chan struct{}
+	checks map[Relation]tally.Counter
 
 	mu sync.Mutex
-	// reported is when another fleet was last logged.
-	reported map[Identity]time.Time
+	// lastLogged is when each other fleet was last logged.
+	lastLogged map[Identity]time.Time
 }
 
-// NewVerifier returns a verifier that knows no id until Run has read it.
+// NewVerifier returns a verifier without an ID; Run loads it.
 func NewVerifier(cfg VerifierConfig) *Verifier {
 	if cfg.Metrics == nil {
 		cfg.Metrics = tally.NoopScope
 	}
-	k := &Verifier{cfg: cfg, doubt: make(chan struct{}, 1), known: make(chan struct{}), meetings: make(map[Relation]tally.Counter), reported: make(map[Identity]time.Time)}
+	v := &Verifier{cfg: cfg, reload: make(chan struct{}, 1), known: make(chan struct{}), checks: make(map[Relation]tally.Counter), lastLogged: make(map[Identity]time.Time)}
 	for _, r := range []Relation{Stranger, Undecided, SameName} {
-		k.meetings[r] = cfg.Metrics.Tagged(map[string]string{"relation": r.String()}).Counter("fleet_meetings")
+		v.checks[r] = cfg.Metrics.Tagged(map[string]string{"relation": r.String()}).Counter("fleet_meetings")
 	}
-	return k
+	return v
 }
 
-// Identity returns what this instance says of its fleet.
-func (k *Verifier) Identity() Identity {
-	return Identity{ID: ID(k.id.Load()), Name: k.cfg.Name}
+// Identity returns this instance's fleet identity.
+func (v *Verifier) Identity() Identity {
+	return Identity{ID: ID(v.id.Load()), Name: v.cfg.Name}
 }
 
-// Known returns a channel that is closed once the id has been read.
-func (k *Verifier) Known() <-chan struct{} { return k.known }
+// Known returns a channel that is closed once the ID has been loaded.
+func (v *Verifier) Known() <-chan struct{} { return v.known }
 
-// Run reads the id and goes on reading it until ctx ends.
-func (k *Verifier) Run(ctx context.Context) error {
+// Run loads the ID and keeps reloading it until ctx ends.
+func (v *Verifier) Run(ctx context.Context) error {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval, pause.MaxInterval = retryMin, retryMax
-	wait(ctx, time.Duration(rand.Float64()*float64(k.cfg.Spread)), nil)
+	wait(ctx, time.Duration(rand.Float64()*float64(v.cfg.Spread)), nil)
 	for ctx.Err() == nil {
-		if err := k.load(ctx); err != nil {
-			k.cfg.Logger.Warn("fleet id not read", zap.Stringer("fleet_id", k.Identity().ID), zap.Error(err))
+		if err := v.load(ctx); err != nil {
+			v.cfg.Logger.Warn("fleet id not read", zap.Stringer("fleet_id", v.Identity().ID), zap.Error(err))
 			wait(ctx, pause.NextBackOff(), nil)
 			continue
 		}
 		pause.Reset()
-		wait(ctx, doubtInterval, nil)
-		k.awaitNext(ctx)
+		wait(ctx, reloadInterval, nil)
+		v.waitForReload(ctx)
 	}
 	return ctx.Err()
 }
 
-// awaitNext waits until the id is to be read again.
-func (k *Verifier) awaitNext(ctx context.Context) {
-	if k.cfg.Interval == 0 {
+// waitForReload waits until the ID should be loaded again.
+func (v *Verifier) waitForReload(ctx context.Context) {
+	if v.cfg.Interval == 0 {
 		select {
 		case <-ctx.Done():
-		case <-k.doubt:
+		case <-v.reload:
 		}
 		return
 	}
 	varied := 1 + jitter*(2*rand.Float64()-1)
-	wait(ctx, time.Duration(varied*float64(k.cfg.Interval)), k.doubt)
+	wait(ctx, time.Duration(varied*float64(v.cfg.Interval)), v.reload)
 }
 
-// wait returns after d, or earlier when ctx ends or early tells something.
+// wait waits for d, or until ctx ends or early receives a value or is closed.
 func wait(ctx context.Context, d time.Duration, early <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -128,42 +129,43 @@
 	}
 }
 
-func (k *Verifier) load(ctx context.Context) error {
+func (v *Verifier) load(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	id, err := k.cfg.Store.Load(ctx)
+	id, err := v.cfg.Store.Load(ctx)
 	if err != nil {
 		return err
 	}
-	if before := ID(k.id.Swap(uint64(id))); before != id {
-		k.cfg.Logger.Info("fleet known", zap.String("fleet", k.cfg.Name), zap.Stringer("fleet_id", id), zap.Stringer("before", before))
+	if before := ID(v.id.Swap(uint64(id))); before != id {
+		v.cfg.Logger.Info("fleet known", zap.String("fleet", v.cfg.Name), zap.Stringer("fleet_id", id), zap.Stringer("before", before))
 		if before == 0 {
-			close(k.known)
+			close(v.known)
 		}
 	}
 	return nil
 }
 
-// Check judges another instance by what it says of its fleet; it reports strangers to people
-// and sees to it that the own id is read again, as the log may be a new one.
-func (k *Verifier) Check(other Identity, instance, address string) Relation {
-	own := k.Identity()
+// Check compares another instance's identity with this instance's own. For an instance of another
+// fleet it logs an error, at most once per logInterval and fleet. If the IDs differ, it also triggers
+// a reload of the own ID, because the log may have been replaced.
+func (v *Verifier) Check(other Identity, instance, address string) Relation {
+	own := v.Identity()
 	relation := own.Relation(other)
 	if relation == SameFleet {
 		return relation
 	}
-	k.meetings[relation].Inc(1)
+	v.checks[relation].Inc(1)
 	if relation.Member() {
 		return relation
 	}
 	if relation == Stranger {
 		select {
-		case k.doubt <- struct{}{}:
+		case v.reload <- struct{}{}:
 		default:
 		}
 	}
-	if k.due(other) {
-		k.cfg.Logger.Error("instance of another fleet is not heard", zap.Stringer("relation", relation),
+	if v.logDue(other) {
+		v.cfg.Logger.Error("instance of another fleet is not heard", zap.Stringer("relation", relation),
 			zap.String("fleet", own.Name), zap.Stringer("fleet_id", own.ID),
 			zap.String("other_fleet", other.Name), zap.Stringer("other_id", other.ID),
 			zap.String("other", instance), zap.String("address", address))
@@ -171,17 +173,17 @@
 	return relation
 }
 
-// due reports whether another fleet is to be logged now.
-func (k *Verifier) due(other Identity) bool {
+// logDue reports whether to log another fleet now, and records the time if so.
+func (v *Verifier) logDue(other Identity) bool {
 	now := time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if last, known := k.reported[other]; known && now.Sub(last) < reportInterval {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if last, known := v.lastLogged[other]; known && now.Sub(last) < logInterval {
 		return false
 	}
-	if len(k.reported) >= maxReported {
-		clear(k.reported)
+	if len(v.lastLogged) >= maxLoggedFleets {
+		clear(v.lastLogged)
 	}
-	k.reported[other] = now
+	v.lastLogged[other] = now
 	return true
 }
--- a/fleetid/keeper_test.go
+++ b/fleetid/keeper_test.go
@@ -15,85 +15,85 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// kept is a store whose id a test sets.
-type kept struct {
+// fakeStore is a Store with a settable ID. Load fails while the ID is 0.
+type fakeStore struct {
 	mu    sync.Mutex
 	id    ID
 	loads int
 }
 
-func (k *kept) Load(context.Context) (ID, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.loads++
-	if k.id == 0 {
+func (s *fakeStore) Load(context.Context) (ID, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.loads++
+	if s.id == 0 {
 		return 0, errors.New("down")
 	}
-	return k.id, nil
+	return s.id, nil
 }
 
-func (k *kept) set(id ID) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.id = id
+func (s *fakeStore) set(id ID) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.id = id
 }
 
-// inKeeper runs a test beside a keeper, in simulated time.
-func inKeeper(t *testing.T, store *kept, test func(*Verifier, *observer.ObservedLogs)) {
+// runVerifier runs test with a running Verifier in a synctest bubble.
+func runVerifier(t *testing.T, store *fakeStore, test func(*Verifier, *observer.ObservedLogs)) {
 	synctest.Test(t, func(t *testing.T) {
 		core, logs := observer.New(zap.InfoLevel)
-		k := NewVerifier(VerifierConfig{Store: store, Name: "rota", Logger: zap.New(core)})
+		v := NewVerifier(VerifierConfig{Store: store, Name: "rota", Logger: zap.New(core)})
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan error)
-		go func() { ended <- k.Run(ctx) }()
-		test(k, logs)
+		go func() { ended <- v.Run(ctx) }()
+		test(v, logs)
 		stop()
 		<-ended
 	})
 }
 
-// The log cannot be reached at the start. Until it can, those who give the same name are
-// heard, or an instance that restarts during the outage would serve nobody; others are not.
-func TestTheNameStandsInForTheIDUntilItIsRead(t *testing.T) {
-	store := &kept{}
-	inKeeper(t, store, func(k *Verifier, _ *observer.ObservedLogs) {
-		assert.Equal(t, k.Check(Identity{ID: 7, Name: "rota"}, "b", "x"), SameName)
-		assert.Equal(t, k.Check(Identity{ID: 7, Name: "other"}, "b", "x"), Undecided)
+// While the log is unreachable at startup, instances with the same fleet name must be accepted, or
+// an instance that restarts during the outage could not serve requests. Others must be rejected.
+func TestNameIsComparedUntilIDIsLoaded(t *testing.T) {
+	store := &fakeStore{}
+	runVerifier(t, store, func(v *Verifier, _ *observer.ObservedLogs) {
+		assert.Equal(t, v.Check(Identity{ID: 7, Name: "rota"}, "b", "x"), SameName)
+		assert.Equal(t, v.Check(Identity{ID: 7, Name: "other"}, "b", "x"), Undecided)
 		store.set(7)
 		time.Sleep(2 * retryMax)
-		assert.Equal(t, k.Identity().ID, ID(7))
-		assert.Equal(t, k.Check(Identity{ID: 7, Name: "other"}, "b", "x"), SameFleet)
-		assert.Equal(t, k.Check(Identity{ID: 8, Name: "rota"}, "b", "x"), Stranger)
-		assert.Equal(t, k.Check(Identity{Name: "rota"}, "b", "x"), SameName)
+		assert.Equal(t, v.Identity().ID, ID(7))
+		assert.Equal(t, v.Check(Identity{ID: 7, Name: "other"}, "b", "x"), SameFleet)
+		assert.Equal(t, v.Check(Identity{ID: 8, Name: "rota"}, "b", "x"), Stranger)
+		assert.Equal(t, v.Check(Identity{Name: "rota"}, "b", "x"), SameName)
 	})
 }
 
-// The log was replaced by an empty one: instances that started since go by its new id. Those
-// that run must take it too, or the fleet stays split until they are restarted.
-func TestAStrangerIsReasonToReadTheIDAgain(t *testing.T) {
-	store := &kept{id: 7}
-	inKeeper(t, store, func(k *Verifier, _ *observer.ObservedLogs) {
+// If the log is replaced by an empty one, instances that start later use the new ID. Running
+// instances must load it too, or the fleet stays split until they are restarted.
+func TestStrangerTriggersReload(t *testing.T) {
+	store := &fakeStore{id: 7}
+	runVerifier(t, store, func(v *Verifier, _ *observer.ObservedLogs) {
 		time.Sleep(time.Minute)
 		store.set(8)
-		assert.Equal(t, k.Check(Identity{ID: 8, Name: "rota"}, "b", "x"), Stranger)
+		assert.Equal(t, v.Check(Identity{ID: 8, Name: "rota"}, "b", "x"), Stranger)
 		synctest.Wait()
-		assert.Equal(t, k.Check(Identity{ID: 8, Name: "rota"}, "b", "x"), SameFleet)
+		assert.Equal(t, v.Check(Identity{ID: 8, Name: "rota"}, "b", "x"), SameFleet)
 	})
 }
 
-// A stranger sends as often as it likes. It must not have the log read each time, nor fill
-// the log file; one line must tell both names and ids and where it is.
-func TestAStrangerCostsLittle(t *testing.T) {
-	store := &kept{id: 7}
-	inKeeper(t, store, func(k *Verifier, logs *observer.ObservedLogs) {
+// An instance of another fleet may send at any rate. It must not trigger a load each time or fill
+// the log file, and the log line must contain both names, both IDs and its address.
+func TestStrangerReloadsAndLogLinesAreLimited(t *testing.T) {
+	store := &fakeStore{id: 7}
+	runVerifier(t, store, func(v *Verifier, logs *observer.ObservedLogs) {
 		for range 6000 {
 			time.Sleep(10 * time.Millisecond)
-			k.Check(Identity{ID: 8, Name: "tickets"}, "instance-2", "127.0.0.1:99")
+			v.Check(Identity{ID: 8, Name: "tickets"}, "instance-2", "127.0.0.1:99")
 		}
 		store.mu.Lock()
 		loads := store.loads
 		store.mu.Unlock()
-		assert.Assert(t, loads <= int(time.Minute/doubtInterval)+1, "%d reads in a minute", loads)
+		assert.Assert(t, loads <= int(time.Minute/reloadInterval)+1, "%d reads in a minute", loads)
 		lines := logs.FilterMessage("instance of another fleet is not heard").All()
 		assert.Assert(t, len(lines) >= 1 && len(lines) <= 2, "%d lines in a minute", len(lines))
 		fields := lines[0].ContextMap()
@@ -106,38 +106,38 @@
 	})
 }
 
-// keyed is a topic of a keyed store; before is called ahead of each write.
-type keyed struct {
+// fakeKeyedLog is a keyed log with a single topic. beforePut is called once, before the next write.
+type fakeKeyedLog struct {
 	port.KeyedLog
-	records []port.KeyedRecord
-	end     uint64
-	before  func()
+	records   []port.KeyedRecord
+	end       uint64
+	beforePut func()
 }
 
-func (k *keyed) Newest(context.Context, port.Topic) ([]port.KeyedRecord, uint64, error) {
-	return k.records, k.end, nil
+func (l *fakeKeyedLog) Newest(context.Context, port.Topic) ([]port.KeyedRecord, uint64, error) {
+	return l.records, l.end, nil
 }
 
-func (k *keyed) PutAt(_ context.Context, _ port.Topic, at uint64, key string, value []byte) error {
-	if k.before != nil {
-		before := k.before
-		k.before = nil
+func (l *fakeKeyedLog) PutAt(_ context.Context, _ port.Topic, at uint64, key string, value []byte) error {
+	if l.beforePut != nil {
+		before := l.beforePut
+		l.beforePut = nil
 		before()
 	}
-	if at != k.end {
+	if at != l.end {
 		return port.ErrConflict
 	}
-	k.records = []port.KeyedRecord{{Key: key, Value: value, Offset: at}}
-	k.end++
+	l.records = []port.KeyedRecord{{Key: key, Value: value, Offset: at}}
+	l.end++
 	return nil
 }
 
-// All instances of a deployment start within a moment and find no id. The first proposal
-// holds and all read it.
-func TestOneIDOfAKeyedStore(t *testing.T) {
-	log := &keyed{}
+// Instances that start concurrently find no ID and each propose one. The first proposal must win,
+// and all instances must read it.
+func TestConcurrentStartsAgreeOnKeyedStoreID(t *testing.T) {
+	log := &fakeKeyedLog{}
 	var second ID
-	log.before = func() {
+	log.beforePut = func() {
 		var err error
 		second, err = NewKeyedStore(log).Load(t.Context())
 		assert.NilError(t, err)
@@ -151,5 +151,5 @@
 	assert.Equal(t, third, first)
 	log.records[0].Value = []byte("nonsense")
 	_, err = NewKeyedStore(log).Load(t.Context())
-	assert.ErrorContains(t, err, "not an id")
+	assert.ErrorContains(t, err, "invalid fleet ID")
 }
--- a/fleetid/keyedstore.go
+++ b/fleetid/keyedstore.go
@@ -9,19 +9,19 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// idKey is the key under which the fleet's id stands in its topic.
+// idKey is the key of the fleet ID in its topic.
 const idKey = "id"
 
-// KeyedStore keeps a fleet's id in a store of keyed topics.
+// KeyedStore stores a fleet ID in a keyed log.
 type KeyedStore struct {
 	log port.KeyedLog
 }
 
-// NewKeyedStore returns the store of a keyed log.
+// NewKeyedStore returns a store that uses log.
 func NewKeyedStore(log port.KeyedLog) *KeyedStore { return &KeyedStore{log} }
 
-// Load implements Store. Instances that start together propose an id each; the one that
-// gets the topic's next offset keeps it, and the others read it.
+// Load implements Store. Instances that start concurrently each propose an ID at the topic's next
+// offset. One write succeeds, and the other instances read its ID.
 func (s *KeyedStore) Load(ctx context.Context) (ID, error) {
 	id, next, err := s.read(ctx)
 	if err != nil || id != 0 {
@@ -32,14 +32,14 @@
 		return 0, err
 	}
 	if id == 0 {
-		return 0, oops.In("fleetid").Wrap(errors.Join(errNotKept, putErr))
+		return 0, oops.In("fleetid").Wrap(errors.Join(errNotStored, putErr))
 	}
 	return id, nil
 }
 
-var errNotKept = errors.New("the id proposed for the fleet is not kept")
+var errNotStored = errors.New("the proposed fleet ID was not stored")
 
-// read returns the id, 0 if there is none, and the topic's end.
+// read returns the stored ID, or 0 if there is none, and the end offset of the topic.
 func (s *KeyedStore) read(ctx context.Context) (ID, uint64, error) {
 	records, next, err := s.log.Newest(ctx, port.TopicFleet)
 	if err != nil {
--- a/fleetid/logstore.go
+++ b/fleetid/logstore.go
@@ -12,87 +12,88 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// Stream is the log stream that keeps the fleet's id.
+// Stream is the log stream that stores the fleet ID.
 const Stream = "fleet"
 
 const (
-	// renewalsKept is how many records of the id a log's retention holds: some may fail.
-	renewalsKept = 4
-	// maxRenewal bounds the time between two records of the id, for logs that keep records
-	// for less than the settings say.
-	maxRenewal = 20 * time.Minute
-	// readMax bounds one read in records.
-	readMax = 256
+	// renewalsPerRetention is the number of ID records written per log retention period. It is
+	// more than one because appends may fail.
+	renewalsPerRetention = 4
+	// maxRenewalAge is the maximum of the renewal age, in case the log's retention is shorter
+	// than the settings say.
+	maxRenewalAge = 20 * time.Minute
+	// pageSize is the maximum number of records per read.
+	pageSize = 256
 )
 
 // record is an entry of the stream.
 //
-// Base is the end of the stream that its writer had read. A record is valid if it stands just
-// there, so that nothing came between. Of several instances that find the stream empty at the
-// same time one is first, and the others' records are void to every reader, also to one that
-// finds the first record expired. A valid record's writer had read the one before it and
-// repeated its id, so that all valid records of a stream name the same one as long as one of
-// them is kept.
+// Base is the end offset of the stream that the writer had read. A record is valid if its own
+// offset equals Base, that is, if no other record was appended in between. If several instances
+// find the stream empty at the same time, one record comes first, and the others are invalid to
+// every reader, even after the first record has expired. The writer of a valid record had read
+// the previous valid record and repeated its ID, so all valid records of a stream have the same
+// ID as long as at least one of them is retained.
 type record struct {
 	ID   ID     `json:"id"`
 	Base uint64 `json:"base"`
 }
 
-// LogStore keeps a fleet's id in an append-only log, whose records expire: the id is written
-// anew before they do.
+// LogStore stores a fleet ID in an append-only log whose records expire. It rewrites the ID
+// before the newest record expires.
 type LogStore struct {
 	log port.Log
-	// renewal is the age of the newest record from which the id is written anew.
-	renewal time.Duration
-	now     func() time.Time
+	// renewalAge is the age of the newest valid record at which the ID is written again.
+	renewalAge time.Duration
+	now        func() time.Time
 
 	mu sync.Mutex
-	// newest is the offset of the newest valid record, and since when it is known.
+	// newest is the offset of the newest valid record; since is when this store first read it.
 	newest uint64
 	since  time.Time
 }
 
-// NewLogStore returns the store of a log that keeps records for retention.
+// NewLogStore returns a store that uses a log with the given retention.
 func NewLogStore(log port.Log, retention time.Duration) *LogStore {
-	return &LogStore{log: log, renewal: min(retention/renewalsKept, maxRenewal), now: time.Now}
+	return &LogStore{log: log, renewalAge: min(retention/renewalsPerRetention, maxRenewalAge), now: time.Now}
 }
 
-// Interval is the time between two reads within which the id is written anew in time.
-func (s *LogStore) Interval() time.Duration { return s.renewal / 2 }
+// Interval returns how often to call Load so that the ID is rewritten before it expires.
+func (s *LogStore) Interval() time.Duration { return s.renewalAge / 2 }
 
 // Load implements Store.
 func (s *LogStore) Load(ctx context.Context) (ID, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	kept, err := s.read(ctx)
+	found, err := s.read(ctx)
 	if err != nil {
 		return 0, err
 	}
-	if kept.id != 0 && !s.expiring(kept.newest) {
-		return kept.id, nil
+	if found.id != 0 && !s.renewalDue(found.newest) {
+		return found.id, nil
 	}
-	id := kept.id
+	id := found.id
 	if id == 0 {
 		id = NewID()
 	}
-	// An append whose answer is lost may stand in the log; the read that follows tells.
-	appendErr := s.append(ctx, record{ID: id, Base: kept.end})
-	if kept, err = s.read(ctx); err != nil {
+	// An append may have succeeded although its reply was lost; the following read shows it.
+	appendErr := s.append(ctx, record{ID: id, Base: found.end})
+	if found, err = s.read(ctx); err != nil {
 		return 0, err
 	}
-	if kept.id == 0 {
+	if found.id == 0 {
 		return 0, oops.In("fleetid").Wrap(appendErr)
 	}
-	s.expiring(kept.newest)
-	return kept.id, nil
+	s.renewalDue(found.newest)
+	return found.id, nil
 }
 
-// expiring notes the newest valid record and reports whether another one is due.
-func (s *LogStore) expiring(newest uint64) bool {
+// renewalDue records the offset of the newest valid record and reports whether to write a new one.
+func (s *LogStore) renewalDue(newest uint64) bool {
 	if newest != s.newest {
 		s.newest, s.since = newest, s.now()
 	}
-	return s.now().Sub(s.since) >= s.renewal
+	return s.now().Sub(s.since) >= s.renewalAge
 }
 
 func (s *LogStore) append(ctx context.Context, r record) error {
@@ -104,25 +105,25 @@
 	return err
 }
 
-// contents is what a read of the whole stream found.
-type contents struct {
-	// id is that of the first valid record, 0 if there is none; newest is the offset of
-	// the last valid one.
+// scanResult is the result of reading the whole stream.
+type scanResult struct {
+	// id is the ID of the first valid record, or 0 if there is none; newest is the offset of
+	// the last valid record.
 	id     ID
 	newest uint64
 	// end is the offset after the last record.
 	end uint64
 }
 
-func (s *LogStore) read(ctx context.Context) (contents, error) {
-	var found contents
+func (s *LogStore) read(ctx context.Context) (scanResult, error) {
+	var found scanResult
 	for from := uint64(0); ; {
-		page, err := s.log.Read(ctx, Stream, from, readMax, 0)
+		page, err := s.log.Read(ctx, Stream, from, pageSize, 0)
 		if err != nil {
-			return contents{}, oops.In("fleetid").Wrap(err)
+			return scanResult{}, oops.In("fleetid").Wrap(err)
 		}
 		for _, r := range page.Records {
-			found.take(r)
+			found.add(r)
 			from = r.Offset + 1
 		}
 		found.end = page.Next
@@ -132,14 +133,14 @@
 	}
 }
 
-// take takes in one record; what is no valid record is passed over.
-func (c *contents) take(r port.Record) {
-	var read record
-	if err := json.Unmarshal(r.Data, &read); err != nil || read.ID == 0 || read.Base != r.Offset {
+// add processes one record. It ignores invalid records.
+func (c *scanResult) add(r port.Record) {
+	var rec record
+	if err := json.Unmarshal(r.Data, &rec); err != nil || rec.ID == 0 || rec.Base != r.Offset {
 		return
 	}
 	if c.id == 0 {
-		c.id = read.ID
+		c.id = rec.ID
 	}
 	c.newest = r.Offset
 }
--- a/fleetid/logstore_test.go
+++ b/fleetid/logstore_test.go
@@ -17,54 +17,54 @@
 
 func TestMain(m *testing.M) { os.Exit(propertyseed.Run(m)) }
 
-// appendFault is what becomes of an append.
+// appendFault is the outcome of an append.
 type appendFault int
 
 const (
-	stands appendFault = iota
-	lost
-	answerLost
-	// late: the answer is lost and the records stand only after others.
-	late
-	faults
+	applied appendFault = iota
+	dropped
+	replyLost
+	// delayed means that the reply is lost and the entries are applied only after later appends.
+	delayed
+	faultCount
 )
 
-// lateLog is a log whose appends may fail or come late.
-type lateLog struct {
+// faultyLog is a log whose appends can be dropped or delayed, or lose their replies.
+type faultyLog struct {
 	*memlog.Log
-	next appendFault
-	held [][]port.Entry
+	next           appendFault
+	delayedEntries [][]port.Entry
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoReply = errors.New("no reply")
 
-func (l *lateLog) Append(ctx context.Context, stream string, entries ...port.Entry) (uint64, error) {
+func (l *faultyLog) Append(ctx context.Context, stream string, entries ...port.Entry) (uint64, error) {
 	fault := l.next
-	l.next = stands
+	l.next = applied
 	switch fault {
-	case lost:
-		return 0, errNoAnswer
-	case late:
-		l.held = append(l.held, entries)
-		return 0, errNoAnswer
-	case answerLost:
+	case dropped:
+		return 0, errNoReply
+	case delayed:
+		l.delayedEntries = append(l.delayedEntries, entries)
+		return 0, errNoReply
+	case replyLost:
 		_, _ = l.Log.Append(ctx, stream, entries...)
-		return 0, errNoAnswer
+		return 0, errNoReply
 	default:
 		return l.Log.Append(ctx, stream, entries...)
 	}
 }
 
-// land lets the oldest late append take effect.
-func (l *lateLog) land(ctx context.Context) {
-	if len(l.held) > 0 {
-		_, _ = l.Log.Append(ctx, Stream, l.held[0]...)
-		l.held = l.held[1:]
+// applyDelayed applies the oldest delayed append.
+func (l *faultyLog) applyDelayed(ctx context.Context) {
+	if len(l.delayedEntries) > 0 {
+		_, _ = l.Log.Append(ctx, Stream, l.delayedEntries[0]...)
+		l.delayedEntries = l.delayedEntries[1:]
 	}
 }
 
 // expire drops all records before the newest valid one.
-func (l *lateLog) expire(t *rapid.T, ctx context.Context) {
+func (l *faultyLog) expire(t *rapid.T, ctx context.Context) {
 	found, err := NewLogStore(l.Log, time.Hour).read(ctx)
 	assert.NilError(t, err)
 	if found.newest > 0 {
@@ -72,13 +72,13 @@
 	}
 }
 
-// Instances start at the same moment on an empty log, their appends fail, are answered by
-// nobody or stand only after others, and the log drops its oldest records. Two ids of one log
-// would split its fleet in two, and two logs with one id would join two fleets.
-func TestOneIDOfALog(t *testing.T) {
+// Checks that one log never yields two IDs, which would split its fleet, while instances start
+// concurrently on an empty log, appends are dropped, delayed or lose their replies, and the log
+// drops its oldest records. Two logs with the same ID would merge two fleets.
+func TestConcurrentStartsAgreeOnLogStoreID(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
-		log := &lateLog{Log: memlog.New()}
+		log := &faultyLog{Log: memlog.New()}
 		now := time.Unix(0, 0)
 		stores := make([]*LogStore, 3)
 		for i := range stores {
@@ -89,13 +89,13 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				log.land(ctx)
+				log.applyDelayed(ctx)
 			case 1:
 				log.expire(t, ctx)
 			case 2:
-				now = now.Add(stores[0].renewal)
+				now = now.Add(stores[0].renewalAge)
 			default:
-				log.next = appendFault(rapid.IntRange(0, int(faults)-1).Draw(t, "fault"))
+				log.next = appendFault(rapid.IntRange(0, int(faultCount)-1).Draw(t, "fault"))
 				id, err := rapid.SampledFrom(stores).Draw(t, "store").Load(ctx)
 				if err != nil {
 					continue
@@ -108,10 +108,9 @@
 	})
 }
 
-// Nobody restarts for a long time, and the log drops what is older than its retention. The
-// next instance to start would find no id and draw another one, and the fleet would not know
-// it.
-func TestTheIDIsWrittenAnewBeforeItExpires(t *testing.T) {
+// If no instance restarts for longer than the log's retention, the ID must not expire. The next
+// instance to start would otherwise generate a new ID, and the rest of the fleet would reject it.
+func TestIDIsRenewedBeforeItExpires(t *testing.T) {
 	ctx := context.Background()
 	log := memlog.New()
 	now := time.Unix(0, 0)
@@ -133,8 +132,8 @@
 	assert.Equal(t, other, id)
 }
 
-// The log is down when an instance starts: it must not take any id for its fleet's.
-func TestNoIDWhileTheLogIsDown(t *testing.T) {
+// An instance that starts while the log is down must not generate an ID.
+func TestNoIDWhileLogIsDown(t *testing.T) {
 	log := memlog.New()
 	log.SetDown(true)
 	_, err := NewLogStore(log, time.Hour).Load(t.Context())
