--- a/fleetid/fleetidtest/fleetidtest.go
+++ b/fleetid/fleetidtest/fleetidtest.go
@@ -1,4 +1,4 @@
-// Package fleetidtest gives tests verifiers whose fleet's id is known, or cannot be.
+// Package fleetidtest provides verifiers for tests, with or without a loaded fleet ID.
 package fleetidtest
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/cairnworks/cairnworks/fleetid"
 )
 
-// store holds one id; 0 cannot be reached.
+// store is a fleetid.Store with a fixed ID. If the ID is 0, Load fails.
 type store fleetid.ID
 
 // Load implements fleetid.Store.
@@ -23,15 +23,15 @@
 	return fleetid.ID(s), nil
 }
 
-// Verifier returns a verifier of a fleet's identity. With id 0 it has not read the id.
+// Verifier returns a verifier that has loaded id, or that has no ID if id is 0.
 func Verifier(t testing.TB, id fleetid.ID, name string) *fleetid.Verifier {
 	t.Helper()
-	k := fleetid.NewVerifier(fleetid.VerifierConfig{Store: store(id), Name: name, Logger: zap.NewNop()})
+	v := fleetid.NewVerifier(fleetid.VerifierConfig{Store: store(id), Name: name, Logger: zap.NewNop()})
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go func() { _ = k.Run(ctx) }()
-	for id != 0 && k.Identity().ID == 0 {
+	go func() { _ = v.Run(ctx) }()
+	for id != 0 && v.Identity().ID == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	return k
+	return v
 }
