--- a/fleet/ask.go
+++ b/fleet/ask.go
@@ -10,35 +10,35 @@
 	"go.uber.org/zap"
 )
 
-// askTries are how long each try of an ask waits for the answer. An answer comes within a
-// millisecond or two; a slow machine or a lost datagram takes the second.
-var askTries = []time.Duration{25 * time.Millisecond, 50 * time.Millisecond}
+// askTimeouts are the timeouts of the attempts of an ask. An answer normally arrives within one or
+// two milliseconds; the second attempt covers a slow machine or a lost datagram.
+var askTimeouts = []time.Duration{25 * time.Millisecond, 50 * time.Millisecond}
 
-// ErrUnanswered tells that a hub did not answer an ask. Whether it has taken the tokens is not
-// known; they are not spent.
+// ErrUnanswered is returned if a hub did not answer an ask or a claim. Whether the hub has deducted
+// the tokens is unknown; the caller must not spend them.
 var ErrUnanswered = errors.New("the instance asked did not answer")
 
-// Ask asks a hub for tokens.
+// Ask requests tokens from a hub.
 func (x *Exchange) Ask(ctx context.Context, hub string, a Ask) (Grant, error) {
 	a.ID = rand.Uint64()
-	answer := make(chan Grant, 1)
+	grants := make(chan Grant, 1)
 	x.mu.Lock()
 	p, known := x.peers[hub]
-	x.pending[a.ID] = answer
+	x.pendingAsks[a.ID] = grants
 	x.mu.Unlock()
 	defer func() {
 		x.mu.Lock()
-		delete(x.pending, a.ID)
+		delete(x.pendingAsks, a.ID)
 		x.mu.Unlock()
 	}()
 	if !known {
 		return Grant{}, ErrUnanswered
 	}
-	for _, patience := range askTries {
-		x.sendAlone(hub, p.address, &Report{Ask: &a})
-		timer := time.NewTimer(patience)
+	for _, timeout := range askTimeouts {
+		x.sendSingle(hub, p.address, &Report{Ask: &a})
+		timer := time.NewTimer(timeout)
 		select {
-		case g := <-answer:
+		case g := <-grants:
 			timer.Stop()
 			return g, nil
 		case <-ctx.Done():
@@ -50,14 +50,15 @@
 	return Grant{}, ErrUnanswered
 }
 
-// grant answers an ask.
-func (x *Exchange) grant(now time.Duration, r *Report, from netip.AddrPort) {
+// answerAsk answers an ask.
+func (x *Exchange) answerAsk(now time.Duration, r *Report, from netip.AddrPort) {
 	g := x.handler.HandleAsk(now, r.run(), *r.Ask)
-	x.sendAlone(r.Instance, from, &Report{Grant: &g})
+	x.sendSingle(r.Instance, from, &Report{Grant: &g})
 }
 
-// sendAlone sends what stands alone in a datagram. Who waits for it sends again or goes elsewhere.
-func (x *Exchange) sendAlone(to string, address netip.AddrPort, r *Report) {
+// sendSingle sends a report that has a datagram to itself. Errors are only logged: the instance that
+// waits for the datagram retries or asks another instance.
+func (x *Exchange) sendSingle(to string, address netip.AddrPort, r *Report) {
 	r.Instance, r.Incarnation, r.Fleet = x.self.Name, x.self.Incarnation, x.identity()
 	data, err := r.marshal()
 	if err != nil {
@@ -69,11 +70,11 @@
 	}
 }
 
-// granted hands an answer to the one who waits for it, if anybody does.
-func (x *Exchange) granted(g Grant) {
+// deliverGrant passes a grant to the pending ask, if there is one.
+func (x *Exchange) deliverGrant(g Grant) {
 	x.mu.Lock()
-	answer := x.pending[g.ID]
-	delete(x.pending, g.ID)
+	answer := x.pendingAsks[g.ID]
+	delete(x.pendingAsks, g.ID)
 	x.mu.Unlock()
 	if answer != nil {
 		answer <- g
--- a/fleet/claim.go
+++ b/fleet/claim.go
@@ -6,34 +6,34 @@
 	fleetv1 "github.com/cairnworks/cairnworks/gen/cairnworks/fleet/v1"
 )
 
-// Claim asks the home of a service's engines for a place at one of them.
+// Claim requests a place at an engine from the home instance of a service's engines.
 type Claim struct {
 	ID      uint64
 	Service Hash
-	// Prefill asks for a place where the prompt is read, which is given or refused at once.
+	// Prefill requests a place for prefill, which is given or refused immediately.
 	Prefill      bool
 	Organisation Hash
-	// Priority 0 goes first.
+	// Priority 0 is the highest.
 	Priority int
-	// Tokens of engine memory, or of the prompt, and Output the part of them that comes while the
-	// request runs.
+	// Tokens is the engine memory that is needed, or the prompt length, in tokens. Output is the
+	// part of it that is generated while the request runs.
 	Tokens, Output int
-	// Waited is how long the request has waited, Objective the time within which its first
-	// event is on time, 0 for none, and Left how long it waits in any case.
+	// Waited is how long the request has waited. Objective is the time within which its first event
+	// is on time, or 0 if there is none. Left is how long the request still waits in any case.
 	Waited, Objective, Left time.Duration
-	// Point spreads the times to come back.
+	// Point spreads the retry times of refused requests.
 	Point uint64
-	// Except are engines that are not to be given, Avoid those that are given last, and Full
-	// those that have just refused to set memory aside; by the short hashes of their ids.
+	// Except are engines that must not be given, Avoid those that are given only as a last resort, and
+	// Full those that have just refused to reserve memory; all are short hashes of engine IDs.
 	Except, Avoid, Full []Hash
-	// Over tells that the sender no longer wants the place.
+	// Over means that the sender no longer needs the place.
 	Over bool
 }
 
-// PlaceState is how far a claim has come.
+// PlaceState is the state of a claim.
 type PlaceState int
 
-// States of claims. A claim that waits is answered again.
+// States of claims. A waiting claim is answered again later.
 const (
 	PlaceWaiting PlaceState = iota + 1
 	PlaceGiven
@@ -44,9 +44,9 @@
 type Place struct {
 	ID    uint64
 	State PlaceState
-	// Upstream is the short hash of the engine's id.
+	// Upstream is the short hash of the engine ID.
 	Upstream Hash
-	// Retry is when the caller is to come back.
+	// Retry is the time after which the caller should retry.
 	Retry time.Duration
 }
 
--- a/fleet/codec.go
+++ b/fleet/codec.go
@@ -13,7 +13,7 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// partUnit is the resolution of a part on the wire.
+// partUnit is the resolution of Grant.Part in the wire format.
 const partUnit = 1000
 
 func (r *Report) marshal() ([]byte, error) {
@@ -91,8 +91,8 @@
 	return m
 }
 
-// appendTo completes a report by what of it is for one receiver. Messages that follow one another are read as
-// one, so that the rest is marshalled once for all receivers.
+// appendTo appends the receiver-specific part of a report to the encoded common part. Concatenated
+// protobuf messages decode as one, so that the common part is encoded once for all receivers.
 func (r *Report) appendTo(common []byte) ([]byte, error) {
 	one, err := r.marshal()
 	if err != nil {
@@ -147,7 +147,7 @@
 	return r, nil
 }
 
-// unmarshalQuotas reads what a datagram says of organisations' buckets.
+// unmarshalQuotas decodes the parts of a datagram that concern organisations' buckets.
 func (r *Report) unmarshalQuotas(m *fleetv1.Report) {
 	for _, b := range m.Bills {
 		r.Bills = append(r.Bills, Bill{Hash(b.Organisation), b.Tokens})
@@ -170,8 +170,7 @@
 	return Machine{DataCentre: m.GetDataCentre(), Millicores: int(m.GetMillicores())}
 }
 
-// unmarshalShares reads two lists of one length; what stands in the longer one alone says
-// nothing.
+// unmarshalShares decodes two parallel lists. Surplus elements of the longer one are ignored.
 func unmarshalShares(m *fleetv1.Shares) map[int]time.Duration {
 	n := min(len(m.GetShards()), len(m.GetTimes()))
 	if n == 0 {
@@ -204,7 +203,7 @@
 }
 
 func marshalNote(n follow.Note) *fleetv1.Note {
-	// An age is rounded up: a proof must not seem newer than it is.
+	// Ages are rounded up so that a proof never appears newer than it is.
 	age := uint32((n.Age + time.Millisecond - 1).Milliseconds())
 	m := &fleetv1.Note{Topic: uint32(n.Topic), Mark: n.Mark, Next: n.Next, AgeMs: age, From: n.From}
 	for _, record := range n.Records {
--- a/fleet/exchange.go
+++ b/fleet/exchange.go
@@ -17,92 +17,93 @@
 	"github.com/cairnworks/cairnworks/fleetid"
 )
 
-// Figures of the exchange of reports.
+// Parameters of the report exchange.
 const (
-	// reportInterval is the longest time between two reports in a small fleet.
+	// reportInterval is the maximum time between two reports in a small fleet.
 	reportInterval = 200 * time.Millisecond
-	// reportSpacing is the least time between two reports there; what changes within it is
-	// told by one.
-	reportSpacing = 15 * time.Millisecond
-	// pollInterval is the time between two polls of one hub in a large fleet. The polls of
-	// the hubs are spread over it.
+	// minReportInterval is the minimum time between two reports in a small fleet; changes
+	// within it are sent in one report.
+	minReportInterval = 15 * time.Millisecond
+	// pollInterval is the time between two polls of the same hub in a large fleet. The polls
+	// of the different hubs are spread over it.
 	pollInterval = 500 * time.Millisecond
-	// compareInterval is how often the instances of a small fleet compare whom they know.
+	// compareInterval is how often the instances of a small fleet compare their hub lists.
 	compareInterval = 2 * time.Second
-	// expireInterval is how often instances that give no sign of life are looked for.
+	// expireInterval is how often instances that no longer report are removed.
 	expireInterval = time.Second
-	// stallGap is the pause of the sending loop from which the process counts as
-	// having stood still. Reports that waited in the socket meanwhile are as old as
-	// the pause, though they arrive now.
-	stallGap = 700 * time.Millisecond
-	// stallDrop is how long reports are dropped after it; what waits in the socket is
-	// read in far less.
-	stallDrop = 30 * time.Millisecond
-	// maxDatagram bounds a report in bytes.
-	maxDatagram = 60 << 10
-	// nameEvery is how many reports there are to one that tells the fleet's name. Instances
-	// that know the fleet's id need none.
-	nameEvery = 8
+	// stallThreshold is the gap between two iterations of the send loop from which the process
+	// counts as stalled. Reports that were queued in the socket during a stall may be as old as
+	// the gap, although they are read only now.
+	stallThreshold = 700 * time.Millisecond
+	// stallDropWindow is how long reports are dropped after a stall; reading what is queued in
+	// the socket takes far less.
+	stallDropWindow = 30 * time.Millisecond
+	// maxDatagramBytes is the maximum size of a report.
+	maxDatagramBytes = 60 << 10
+	// reportsPerFleetName is the number of reports of which one contains the fleet name.
+	// Instances that know the fleet ID do not need it.
+	reportsPerFleetName = 8
 )
 
-// Handler fills and takes reports.
+// Handler fills in outgoing reports and processes incoming ones.
 type Handler interface {
-	// Fill completes a report that is about to be sent, by what is for all receivers.
+	// Fill adds the parts of a report that are the same for all receivers.
 	Fill(now time.Duration, r *Report)
-	// FillFor completes a report by what is for one receiver.
+	// FillFor adds the parts of a report that are specific to one receiver.
 	FillFor(now time.Duration, to Run, r *Report)
-	// FillAnswer completes the answer to a poll.
+	// FillAnswer fills in the answer to a poll.
 	FillAnswer(now time.Duration, poll, r *Report)
-	// HandleReport takes in a report that has just arrived.
+	// HandleReport processes a received report.
 	HandleReport(now time.Duration, r *Report)
-	// HandleAsk answers an ask.
+	// HandleAsk returns the grant for an ask.
 	HandleAsk(now time.Duration, from Run, a Ask) Grant
-	// HandleClaim takes in another instance's claim, and answers it now or later.
+	// HandleClaim processes another instance's claim and answers it immediately or later.
 	HandleClaim(now time.Duration, instance string, c Claim, answer func(Place))
-	// HandleLoads takes in what has just changed of what another instance has placed.
+	// HandleLoads processes the changed loads of another instance.
 	HandleLoads(now time.Duration, instance string, loads map[Hash]Load)
 }
 
-// Exchange sends this instance's reports and takes those of others.
+// Exchange sends this instance's reports and receives those of other instances.
 type Exchange struct {
-	self    Member
-	conn    *net.UDPConn
-	handler Handler
-	logger  *zap.Logger
-	kick    chan struct{}
-	news    chan struct{}
-	// introduce is told of every report's sender, if set, and vouched of instances that a
-	// hub names.
-	introduce, vouched func(Member)
-	// current tells whether a run is the one that holds an instance's name, if set.
-	current func(name string, incarnation uint64) bool
-	// expire is told from time to time to drop instances that are gone, if set.
-	expire func()
-	// listRead tells whether the list of instances has been read, if set.
-	listRead func() bool
-	// fleet is nil where every report is taken.
-	fleet *fleetid.Verifier
+	self     Member
+	conn     *net.UDPConn
+	handler  Handler
+	logger   *zap.Logger
+	trigger  chan struct{}
+	announce chan struct{}
+	// onReport, if set, is called with the sender of every report; onMention, if set, is called
+	// with each instance that a received report lists as a hub.
+	onReport, onMention func(Member)
+	// isCurrent, if set, reports whether a run is the current one of the named instance.
+	isCurrent func(name string, incarnation uint64) bool
+	// onExpire, if set, is called periodically to remove instances that no longer report.
+	onExpire func()
+	// hasSynced, if set, reports whether the list of instances has been read.
+	hasSynced func() bool
+	// verifier is nil if reports of any fleet are accepted.
+	verifier *fleetid.Verifier
 
 	mu    sync.Mutex
 	peers map[string]*peer
-	// last is the newest report taken from each run of an instance.
+	// last is the newest accepted report of each run of an instance.
 	last map[Run]lastReport
-	// awake is when the sending loop last ran, dropUntil the end of a stall's reports.
-	awake, dropUntil time.Duration
-	sequence         uint64
-	leaving          bool
-	// told is the size of the fleet by the words of hubs, and when each came; toldSize is the
-	// largest of the last words.
-	told     map[string]toldSize
-	toldSize int
-	// compared is when others were last asked whom they know.
-	compared time.Duration
-	// wholeAt is when a whole answer was last asked for, turn which hub is polled next.
-	wholeAt time.Duration
-	turn    int
-	chosen  choice
-	pending map[uint64]chan Grant
-	claims  map[uint64]chan Place
+	// lastWake is when the send loop last ran; until dropUntil, reports are dropped after a stall.
+	lastWake, dropUntil time.Duration
+	sequence            uint64
+	leaving             bool
+	// reportedSizes is the fleet size reported by each hub and when it was reported.
+	// maxReportedSize is the largest of the most recent ones.
+	reportedSizes   map[string]reportedSize
+	maxReportedSize int
+	// lastCompare is when the other instances were last polled to compare hub lists.
+	lastCompare time.Duration
+	// lastWholePoll is when a whole answer was last requested; pollIndex selects the next hub
+	// to poll.
+	lastWholePoll time.Duration
+	pollIndex     int
+	selection     hubSelection
+	pendingAsks   map[uint64]chan Grant
+	pendingClaims map[uint64]chan Place
 }
 
 // peer is another instance.
@@ -110,26 +111,27 @@
 	Member
 	address netip.AddrPort
 	run     Run
-	// unanswered is when the first report was sent to it since it was last heard, 0 if none.
-	unanswered time.Duration
-	// suspect is until when it counts as silent.
-	suspect time.Duration
-	leaving bool
+	// unansweredSince is when the first report since the peer was last heard was sent to it, or 0
+	// if there is none.
+	unansweredSince time.Duration
+	// suspectUntil is the time until which the peer counts as silent.
+	suspectUntil time.Duration
+	leaving      bool
 }
 
-type toldSize struct {
+type reportedSize struct {
 	instances int
 	at        time.Duration
 }
 
-// lastReport is what is remembered of an instance's newest report.
+// lastReport describes the newest accepted report of a run.
 type lastReport struct {
 	sequence uint64
-	// at is when it arrived, made when it was made by its sender's clock.
+	// at is when the report arrived; made is when it was created, by its sender's clock.
 	at, made time.Duration
 }
 
-// Listen opens the address for reports.
+// Listen opens the UDP socket for reports at self.Address.
 func Listen(self Member, handler Handler, logger *zap.Logger) (*Exchange, error) {
 	address, err := net.ResolveUDPAddr("udp4", self.Address)
 	if err != nil {
@@ -140,13 +142,13 @@
 		return nil, err
 	}
 	return &Exchange{
-		self: self, conn: conn, handler: handler, logger: logger, kick: make(chan struct{}, 1), news: make(chan struct{}, 1),
-		peers: make(map[string]*peer), last: make(map[Run]lastReport), awake: boottime.Now(),
-		turn: rand.IntN(hub.Hubs), told: make(map[string]toldSize), pending: make(map[uint64]chan Grant), claims: make(map[uint64]chan Place),
+		self: self, conn: conn, handler: handler, logger: logger, trigger: make(chan struct{}, 1), announce: make(chan struct{}, 1),
+		peers: make(map[string]*peer), last: make(map[Run]lastReport), lastWake: boottime.Now(),
+		pollIndex: rand.IntN(hub.Hubs), reportedSizes: make(map[string]reportedSize), pendingAsks: make(map[uint64]chan Grant), pendingClaims: make(map[uint64]chan Place),
 	}, nil
 }
 
-// SetMembers names the other instances that are known.
+// SetMembers sets the other known instances.
 func (x *Exchange) SetMembers(members []Member) {
 	peers := make(map[string]*peer, len(members))
 	listed := make(map[Run]bool, len(members))
@@ -168,7 +170,7 @@
 		peers[m.Name] = &peer{Member: m, address: address, run: run}
 	}
 	x.peers = peers
-	x.chosen.at = 0
+	x.selection.at = 0
 	for run := range x.last {
 		if !listed[run] {
 			delete(x.last, run)
@@ -176,49 +178,52 @@
 	}
 }
 
-// TriggerReport asks for a report soon, since something changed. In a large fleet the next poll tells
-// it.
-func (x *Exchange) TriggerReport() { signal(x.kick) }
+// TriggerReport requests a report soon because something changed. In a large fleet it has no
+// effect; the next poll contains the change.
+func (x *Exchange) TriggerReport() { notify(x.trigger) }
 
-// Announce asks for a report to all who pass things on, since there is something that every
-// instance waits for.
-func (x *Exchange) Announce() { signal(x.news) }
+// Announce requests an immediate report to all hubs, or to all instances in a small fleet, because
+// there is news that every instance is waiting for.
+func (x *Exchange) Announce() { notify(x.announce) }
 
-func signal(to chan struct{}) {
+func notify(to chan struct{}) {
 	select {
 	case to <- struct{}{}:
 	default:
 	}
 }
 
-// Leave makes others look for another hub.
+// Leave makes the other instances select another hub.
 func (x *Exchange) Leave() {
 	x.mu.Lock()
-	x.leaving, x.chosen.at = true, 0
+	x.leaving, x.selection.at = true, 0
 	x.mu.Unlock()
 	x.Announce()
 }
 
-// OnReport sets what is told of every report's sender. It must be called before Run.
-func (x *Exchange) OnReport(introduce func(Member)) { x.introduce = introduce }
+// OnReport sets the function that is called with the sender of every report. It must be called
+// before Run.
+func (x *Exchange) OnReport(handle func(Member)) { x.onReport = handle }
 
-// OnMention sets what is told of instances that hubs name. It must be called before Run.
-func (x *Exchange) OnMention(vouched func(Member)) { x.vouched = vouched }
+// OnMention sets the function that is called with each instance that a received report lists as a
+// hub. It must be called before Run.
+func (x *Exchange) OnMention(handle func(Member)) { x.onMention = handle }
 
-// SetRunFilter sets what tells whether a run is the one that holds an instance's name; reports of
-// others are dropped. It must be called before Run.
-func (x *Exchange) SetRunFilter(current func(name string, incarnation uint64) bool) {
-	x.current = current
+// SetRunFilter sets the function that reports whether a run is the current one of the named
+// instance; reports of other runs are dropped. It must be called before Run.
+func (x *Exchange) SetRunFilter(isCurrent func(name string, incarnation uint64) bool) {
+	x.isCurrent = isCurrent
 }
 
-// OnExpire sets what drops instances that are gone. It must be called before Run.
-func (x *Exchange) OnExpire(expire func()) { x.expire = expire }
+// OnExpire sets the function that removes instances that no longer report. It must be called before
+// Run.
+func (x *Exchange) OnExpire(expire func()) { x.onExpire = expire }
 
-// SetHasSynced sets what tells whether the list of instances has been read. The size of the fleet is
-// not known before that. It must be called before Run.
-func (x *Exchange) SetHasSynced(listRead func() bool) { x.listRead = listRead }
+// SetHasSynced sets the function that reports whether the list of instances has been read. Until
+// then the size of the fleet is unknown. It must be called before Run.
+func (x *Exchange) SetHasSynced(hasSynced func() bool) { x.hasSynced = hasSynced }
 
-// Run sends and takes reports until ctx ends.
+// Run sends and receives reports until ctx ends.
 func (x *Exchange) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = x.conn.Close() })
 	defer stop()
@@ -227,7 +232,7 @@
 	defer timer.Stop()
 	var expired time.Duration
 	for {
-		kick := x.kick
+		kick := x.trigger
 		if x.large() {
 			kick = nil
 		}
@@ -238,69 +243,69 @@
 			timer.Reset(x.send(false))
 		case <-kick:
 			timer.Reset(x.send(true))
-		case <-x.news:
+		case <-x.announce:
 			timer.Reset(x.send(true))
 		}
-		if now := boottime.Now(); x.expire != nil && now-expired > expireInterval && x.hears(now) {
+		if now := boottime.Now(); x.onExpire != nil && now-expired > expireInterval && x.hearsAny(now) {
 			expired = now
-			x.expire()
+			x.onExpire()
 		}
 	}
 }
 
-// send reports, and returns the time until the next report is due at the latest.
+// send sends reports and returns the maximum time until the next call.
 func (x *Exchange) send(toAll bool) time.Duration {
-	now := x.wake()
+	now := x.checkStall()
 	size := x.Size()
 	if _, known := size.Instances(); !known {
-		// It is not known whom to tell.
+		// The receivers are not known yet.
 		return reportInterval
 	}
 	if !size.Large() {
-		x.report(now, x.everyone(), false)
-		time.Sleep(reportSpacing)
+		x.sendReports(now, x.allPeers(), false)
+		time.Sleep(minReportInterval)
 		return reportInterval
 	}
-	hubs := x.others(x.choose(now).hubs)
+	hubs := x.peersAmong(x.currentSelection(now).hubs)
 	if len(hubs) == 0 {
-		x.forgive()
+		x.resetSilence()
 		return pollInterval
 	}
 	if !toAll {
-		hubs = x.next(hubs)
+		hubs = x.nextHub(hubs)
 	}
-	x.report(now, hubs, true)
-	return pollInterval / time.Duration(max(len(x.choose(now).hubs), 1))
+	x.sendReports(now, hubs, true)
+	return pollInterval / time.Duration(max(len(x.currentSelection(now).hubs), 1))
 }
 
-// next is the hub whose turn it is.
-func (x *Exchange) next(hubs []*peer) []*peer {
+// nextHub returns the next hub to poll, round robin.
+func (x *Exchange) nextHub(hubs []*peer) []*peer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.turn++
-	return hubs[x.turn%len(hubs):][:1]
+	x.pollIndex++
+	return hubs[x.pollIndex%len(hubs):][:1]
 }
 
-var errLargeReport = errors.New("the report is larger than a datagram")
+var errReportTooLarge = errors.New("report exceeds the maximum datagram size")
 
-// report tells some instances what holds now.
-func (x *Exchange) report(now time.Duration, to []*peer, poll bool) {
-	r := x.begin(now)
+// sendReports sends a report of the current state to each of the given peers.
+func (x *Exchange) sendReports(now time.Duration, to []*peer, poll bool) {
+	r := x.newReport(now)
 	r.Machine = x.self.Machine
 	x.handler.Fill(now, r)
 	common, err := r.marshal()
-	if err == nil && len(common) > maxDatagram {
-		err = errLargeReport
+	if err == nil && len(common) > maxDatagramBytes {
+		err = errReportTooLarge
 	}
 	if err != nil {
 		x.logger.Error("report not sent", zap.Error(err))
 		return
 	}
-	compare := x.compare(now)
+	compare := x.compareDue(now)
 	for _, p := range to {
-		one := &Report{Heard: x.heardOf(now, p.run)}
+		one := &Report{Heard: x.lastHeard(now, p.run)}
 		if poll || compare || one.Heard.Run == 0 {
-			one.Poll = x.poll(now, poll)
+			one.Poll = x.newPoll(now, poll)
 		}
 		x.handler.FillFor(now, p.run, one)
 		data, err := one.appendTo(common)
@@ -308,24 +313,24 @@
 			x.logger.Error("report not sent", zap.Error(err))
 			return
 		}
-		x.write(now, p, data)
+		x.writeReport(now, p, data)
 	}
 }
 
-// compare reports whether it is time to ask others which hubs they know. In a small fleet two
-// that both know a third would not hear of one another otherwise.
-func (x *Exchange) compare(now time.Duration) bool {
+// compareDue reports whether to poll the others for their hub lists now, and records the time if so.
+// In a small fleet, two instances that both know only a third would not learn of each other otherwise.
+func (x *Exchange) compareDue(now time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if now-x.compared < compareInterval {
+	if now-x.lastCompare < compareInterval {
 		return false
 	}
-	x.compared = now
+	x.lastCompare = now
 	return true
 }
 
-// begin returns a report that tells who makes it, and when.
-func (x *Exchange) begin(now time.Duration) *Report {
+// newReport returns a report with its sender, sequence number and creation time.
+func (x *Exchange) newReport(now time.Duration) *Report {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.sequence++
@@ -333,31 +338,31 @@
 		Instance: x.self.Name, Incarnation: x.self.Incarnation, Sequence: x.sequence, Made: now, Leaving: x.leaving,
 		Fleet: x.identity(),
 	}
-	if x.settled() {
+	if x.synced() {
 		r.Instances = len(x.peers) + 1
 	}
-	if r.Fleet.ID != 0 && x.sequence%nameEvery != 0 {
+	if r.Fleet.ID != 0 && x.sequence%reportsPerFleetName != 0 {
 		r.Fleet.Name = ""
 	}
 	return r
 }
 
-// poll asks for a whole answer once in each round, if there is to be one. A hub hears all by
-// itself.
-func (x *Exchange) poll(now time.Duration, whole bool) *Poll {
-	hubs := x.choose(now).hubs
+// newPoll returns a poll. If whole is set, it requests a whole answer once per round of polls, except
+// on a hub, which receives every instance's reports itself.
+func (x *Exchange) newPoll(now time.Duration, whole bool) *Poll {
+	hubs := x.currentSelection(now).hubs
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	p := &Poll{Hubs: digest(hubs)}
-	p.Whole = whole && now-x.wholeAt >= pollInterval*9/10 && !slices.Contains(names(hubs), x.self.Name)
+	p := &Poll{Hubs: membersDigest(hubs)}
+	p.Whole = whole && now-x.lastWholePoll >= pollInterval*9/10 && !slices.Contains(memberNames(hubs), x.self.Name)
 	if p.Whole {
-		x.wholeAt = now
+		x.lastWholePoll = now
 	}
 	return p
 }
 
-// heardOf tells when a run was last heard.
-func (x *Exchange) heardOf(now time.Duration, run Run) Heard {
+// lastHeard returns when a run was last heard.
+func (x *Exchange) lastHeard(now time.Duration, run Run) Heard {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	last, known := x.last[run]
@@ -367,11 +372,11 @@
 	return Heard{Run: run, Age: now - last.at, Made: last.made}
 }
 
-// write sends a datagram to an instance.
-func (x *Exchange) write(now time.Duration, p *peer, data []byte) {
+// writeReport sends a datagram to a peer.
+func (x *Exchange) writeReport(now time.Duration, p *peer, data []byte) {
 	x.mu.Lock()
-	if p.unanswered == 0 {
-		p.unanswered = now
+	if p.unansweredSince == 0 {
+		p.unansweredSince = now
 	}
 	address := p.address
 	x.mu.Unlock()
@@ -380,15 +385,16 @@
 	}
 }
 
-// wake notes that the process runs, and whether it stood still before.
-func (x *Exchange) wake() time.Duration {
+// checkStall records that the send loop runs, detects whether the process stalled before and returns
+// the current time.
+func (x *Exchange) checkStall() time.Duration {
 	now := boottime.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if now-x.awake > stallGap {
-		x.dropUntil = now + stallDrop
-		x.logger.Warn("process stood still", zap.Duration("gap", now-x.awake))
+	if now-x.lastWake > stallThreshold {
+		x.dropUntil = now + stallDropWindow
+		x.logger.Warn("process stood still", zap.Duration("gap", now-x.lastWake))
 	}
-	x.awake = now
+	x.lastWake = now
 	return now
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -23,7 +23,7 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-func TestReportSurvivesTheWire(t *testing.T) {
+func TestReportRoundTrip(t *testing.T) {
 	r := &Report{
 		Instance: "a", Incarnation: 3, Sequence: 4,
 		Machine: Machine{DataCentre: "z", Millicores: 800}, Instances: 5, Leaving: true, Made: 6 * time.Microsecond, Whole: true, Answer: true,
@@ -55,9 +55,9 @@
 	assert.Assert(t, err != nil)
 }
 
-// Guards against control traffic that fills the links of a large fleet: what an instance of 295
-// sends and takes in a second stays under 4 KB.
-func TestTrafficOfALargeFleetIsSmall(t *testing.T) {
+// Guards against control traffic that saturates the links of a large fleet: in a fleet of 295, an
+// instance must send and receive less than 4 KB per second each.
+func TestLargeFleetTrafficIsBounded(t *testing.T) {
 	const second = 1.0
 	polls := hub.Hubs * second / pollInterval.Seconds()
 	size := func(r *Report) float64 {
@@ -81,75 +81,77 @@
 	for i := range Hash(82) {
 		answer.Loads[1<<31+i] = Load{5, 60_000}
 	}
-	sent, taken := polls*size(poll), polls*short+(size(answer)-short)/pollInterval.Seconds()
-	t.Logf("%.0f B/s sent, %.0f taken", sent, taken)
-	assert.Assert(t, sent < 4096 && taken < 4096, "%.0f B/s sent, %.0f taken", sent, taken)
+	sent, received := polls*size(poll), polls*short+(size(answer)-short)/pollInterval.Seconds()
+	t.Logf("%.0f B/s sent, %.0f received", sent, received)
+	assert.Assert(t, sent < 4096 && received < 4096, "%.0f B/s sent, %.0f received", sent, received)
 }
 
-// taker notes the reports that it takes.
-type taker struct {
-	mu    sync.Mutex
-	taken []*Report
-	asked int
-	// claim answers claims, if set; claims are those taken, loads the partial reports.
-	claim  func(c Claim, answer func(Place))
-	claims []Claim
-	loads  []map[Hash]Load
-	got    chan struct{}
+// fakeHandler records the reports, asks, claims and loads that it receives.
+type fakeHandler struct {
+	mu      sync.Mutex
+	reports []*Report
+	asks    int
+	// onClaim, if set, answers claims; loads are those of partial reports.
+	onClaim  func(c Claim, answer func(Place))
+	claims   []Claim
+	loads    []map[Hash]Load
+	received chan struct{}
 }
 
-func (k *taker) Fill(_ time.Duration, r *Report) { r.Loads = map[Hash]Load{1: {Tokens: 1}} }
+func (h *fakeHandler) Fill(_ time.Duration, r *Report) { r.Loads = map[Hash]Load{1: {Tokens: 1}} }
 
-func (k *taker) FillFor(_ time.Duration, to Run, r *Report) { r.Bills = []Bill{{1, int64(to)}} }
+func (h *fakeHandler) FillFor(_ time.Duration, to Run, r *Report) { r.Bills = []Bill{{1, int64(to)}} }
 
-func (k *taker) FillAnswer(_ time.Duration, _, r *Report) { r.Loads = map[Hash]Load{2: {Tokens: 2}} }
+func (h *fakeHandler) FillAnswer(_ time.Duration, _, r *Report) {
+	r.Loads = map[Hash]Load{2: {Tokens: 2}}
+}
 
-func (k *taker) HandleAsk(_ time.Duration, _ Run, a Ask) Grant {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.asked++
+func (h *fakeHandler) HandleAsk(_ time.Duration, _ Run, a Ask) Grant {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.asks++
 	return Grant{ID: a.ID, Granted: true, Level: float64(a.Tokens)}
 }
 
-func (k *taker) HandleClaim(_ time.Duration, _ string, c Claim, answer func(Place)) {
-	k.mu.Lock()
-	k.claims = append(k.claims, c)
-	k.mu.Unlock()
-	if k.claim != nil {
-		k.claim(c, answer)
+func (h *fakeHandler) HandleClaim(_ time.Duration, _ string, c Claim, answer func(Place)) {
+	h.mu.Lock()
+	h.claims = append(h.claims, c)
+	h.mu.Unlock()
+	if h.onClaim != nil {
+		h.onClaim(c, answer)
 	}
 }
 
-func (k *taker) HandleLoads(_ time.Duration, _ string, loads map[Hash]Load) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.loads = append(k.loads, loads)
+func (h *fakeHandler) HandleLoads(_ time.Duration, _ string, loads map[Hash]Load) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.loads = append(h.loads, loads)
 }
 
-func (k *taker) HandleReport(_ time.Duration, r *Report) {
-	k.mu.Lock()
-	k.taken = append(k.taken, r)
-	k.mu.Unlock()
+func (h *fakeHandler) HandleReport(_ time.Duration, r *Report) {
+	h.mu.Lock()
+	h.reports = append(h.reports, r)
+	h.mu.Unlock()
 	select {
-	case k.got <- struct{}{}:
+	case h.received <- struct{}{}:
 	default:
 	}
 }
 
-func newExchange(t *testing.T, name string) (*Exchange, *taker) {
+func newExchange(t *testing.T, name string) (*Exchange, *fakeHandler) {
 	t.Helper()
-	k := &taker{got: make(chan struct{}, 1)}
-	x, err := Listen(Member{Name: name, Incarnation: 1, Address: "127.0.0.1:0"}, k, zap.NewNop())
+	h := &fakeHandler{received: make(chan struct{}, 1)}
+	x, err := Listen(Member{Name: name, Incarnation: 1, Address: "127.0.0.1:0"}, h, zap.NewNop())
 	assert.NilError(t, err)
 	x.self.Address = x.conn.LocalAddr().String()
-	return x, k
+	return x, h
 }
 
-// An instance that has just started reports to others that have not read its entry
-// yet. They must know it at once: what it spends counts.
-func TestInstancesLearnOfOneAnotherByReports(t *testing.T) {
+// An instance that has just started reports to others that have not read its entry yet. They must
+// record it immediately because its usage counts.
+func TestReportsIntroduceSenders(t *testing.T) {
 	a, _ := newExchange(t, "a")
-	b, taken := newExchange(t, "b")
+	b, handler := newExchange(t, "b")
 	introduced := make(chan string, 10)
 	b.OnReport(func(m Member) { introduced <- m.Name + m.Address })
 	a.SetMembers([]Member{{Name: "b", Address: b.self.Address}})
@@ -157,52 +159,52 @@
 	defer cancel()
 	go func() { _ = a.Run(ctx) }()
 	go func() { _ = b.Run(ctx) }()
-	<-taken.got
+	<-handler.received
 	assert.Equal(t, <-introduced, "a"+a.self.Address)
 }
 
-// A report is overtaken by the next, or waits in the socket while the machine is
-// suspended. Its figures are old, and its sender may be gone.
+// A report may be overtaken by the next, or be queued in the socket while the machine is suspended.
+// Its figures are then outdated, and its sender may be gone.
 func TestOldReportsAreDropped(t *testing.T) {
 	x, _ := newExchange(t, "a")
 	defer x.conn.Close()
 	now := boottime.Now()
-	x.awake = now
+	x.lastWake = now
 	assert.Assert(t, x.accept(now, &Report{Instance: "b", Incarnation: 1, Sequence: 2}))
 	assert.Assert(t, !x.accept(now, &Report{Instance: "b", Incarnation: 1, Sequence: 1}))
 	assert.Assert(t, x.accept(now, &Report{Instance: "b", Incarnation: 2, Sequence: 1}))
-	late := now + stallGap + time.Millisecond
-	assert.Assert(t, !x.accept(late, &Report{Instance: "b", Incarnation: 2, Sequence: 2}), "the process stood still")
-	x.awake = now - stallGap - time.Second
-	x.wake()
-	assert.Assert(t, !x.accept(x.awake+stallDrop/2, &Report{Instance: "b", Incarnation: 2, Sequence: 3}))
-	assert.Assert(t, x.accept(x.awake+stallDrop, &Report{Instance: "b", Incarnation: 2, Sequence: 4}))
+	late := now + stallThreshold + time.Millisecond
+	assert.Assert(t, !x.accept(late, &Report{Instance: "b", Incarnation: 2, Sequence: 2}), "the process stalled")
+	x.lastWake = now - stallThreshold - time.Second
+	x.checkStall()
+	assert.Assert(t, !x.accept(x.lastWake+stallDropWindow/2, &Report{Instance: "b", Incarnation: 2, Sequence: 3}))
+	assert.Assert(t, x.accept(x.lastWake+stallDropWindow, &Report{Instance: "b", Incarnation: 2, Sequence: 4}))
 }
 
-// A report waits for seconds, in the sender's machine or on its way, and then arrives as
-// if it were new. What it proves of the configuration is older by the wait; a withdrawn
-// key would be served on it.
-func TestReportsAreDatedByWhatTheirSenderHeard(t *testing.T) {
+// A report may be delayed for seconds, in the sender's machine or in transit, and then arrive as if it
+// were new. Its proof that the configuration is current is older by that delay; without this check, a
+// revoked key would still be served.
+func TestEarliestReportTime(t *testing.T) {
 	x, _ := newExchange(t, "a")
 	defer x.conn.Close()
 	now := 10 * time.Second
-	heard := func(h Heard) time.Duration { return x.earliest(now, &Report{Instance: "b", Heard: h}) }
+	heard := func(h Heard) time.Duration { return x.earliestMade(now, &Report{Instance: "b", Heard: h}) }
 	assert.Equal(t, heard(Heard{RunOf("a", 1), 300 * time.Millisecond, 5 * time.Second}), 5300*time.Millisecond)
 	assert.Equal(t, heard(Heard{RunOf("a", 2), 0, 5 * time.Second}), time.Duration(0), "another run of this instance")
-	assert.Equal(t, heard(Heard{RunOf("a", 1), 0, now + 1}), time.Duration(0), "a report that was never made")
-	assert.Equal(t, heard(Heard{RunOf("a", 1), time.Second, now - 1}), time.Duration(0), "an age that cannot be")
+	assert.Equal(t, heard(Heard{RunOf("a", 1), 0, now + 1}), time.Duration(0), "a report from the future")
+	assert.Equal(t, heard(Heard{RunOf("a", 1), time.Second, now - 1}), time.Duration(0), "an impossible age")
 	assert.Equal(t, heard(Heard{RunOf("c", 1), 0, 5 * time.Second}), time.Duration(0))
 	assert.Equal(t, heard(Heard{}), time.Duration(0))
 }
 
-// A report's age and when it was made are told together, from one moment.
-func TestHeardReportsAreDated(t *testing.T) {
+// The age and the creation time of the last report must be consistent with each other.
+func TestHeardHasAgeAndTime(t *testing.T) {
 	x, _ := newExchange(t, "a")
 	defer x.conn.Close()
-	x.awake = time.Second
+	x.lastWake = time.Second
 	assert.Assert(t, x.accept(time.Second, &Report{Instance: "b", Incarnation: 1, Sequence: 9, Made: 42}))
-	assert.Equal(t, x.heardOf(1200*time.Millisecond, RunOf("b", 1)), Heard{RunOf("b", 1), 200 * time.Millisecond, 42})
-	assert.Equal(t, x.heardOf(1200*time.Millisecond, RunOf("c", 1)), Heard{})
+	assert.Equal(t, x.lastHeard(1200*time.Millisecond, RunOf("b", 1)), Heard{RunOf("b", 1), 200 * time.Millisecond, 42})
+	assert.Equal(t, x.lastHeard(1200*time.Millisecond, RunOf("c", 1)), Heard{})
 }
 
 func record(name string, incarnation, beat uint64) port.KeyedRecord {
@@ -210,21 +212,21 @@
 	return port.KeyedRecord{Key: name, Value: value}
 }
 
-// The store was away for a minute and nobody could renew an entry. If all entries
-// lapsed at its return, each instance would believe to be alone.
-func TestEntriesOutlastAnOutage(t *testing.T) {
+// During a store outage of a minute no instance can renew its entry. If all entries expired when the
+// store returns, each instance would conclude that it is alone.
+func TestEntriesSurviveStoreOutage(t *testing.T) {
 	var last []Member
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { last = list })
 	m.Replace([]port.KeyedRecord{record("a", 1, 1), record("b", 1, 1), record("c", 1, 1), {Key: "d", Value: []byte("{")}})
 	m.Proven(0)
 	assert.Equal(t, len(last), 2)
 	old := m.others["b"]
-	old.changed -= EntryTTL + time.Second
+	old.lastChanged -= EntryTTL + time.Second
 	m.others["b"] = old
 	m.Lost()
 	m.Proven(0)
 	assert.Equal(t, len(last), 2)
-	old.changed = boottime.Now() - EntryTTL - time.Second
+	old.lastChanged = boottime.Now() - EntryTTL - time.Second
 	m.others["b"] = old
 	m.Proven(0)
 	assert.Equal(t, len(last), 1)
@@ -233,7 +235,7 @@
 	assert.Equal(t, len(last), 0)
 }
 
-func TestIntroducedRunReplacesTheOlder(t *testing.T) {
+func TestReportedRunReplacesOlderRun(t *testing.T) {
 	var last []Member
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { last = list })
 	m.Add(record("b", 1, 1))
@@ -244,19 +246,18 @@
 	assert.Equal(t, len(last), 1)
 }
 
-func TestBadAddressIsRefused(t *testing.T) {
+func TestListenRejectsBadAddress(t *testing.T) {
 	_, err := Listen(Member{Address: "nowhere"}, nil, zap.NewNop())
 	assert.Assert(t, err != nil)
-	taken, err := net.ListenPacket("udp4", "127.0.0.1:0")
+	occupied, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	assert.NilError(t, err)
-	defer taken.Close()
-	_, err = Listen(Member{Address: taken.LocalAddr().String()}, nil, zap.NewNop())
+	defer occupied.Close()
+	_, err = Listen(Member{Address: occupied.LocalAddr().String()}, nil, zap.NewNop())
 	assert.Assert(t, err != nil)
 }
 
-// A configuration of some thousand bytes is told to every instance, most of it words that
-// come again and again. Sent as it is, it holds up a small instance's link for half a second,
-// and what is known of quotas is late meanwhile.
+// A configuration of a few thousand bytes, which is highly repetitive, is sent to every instance.
+// Uncompressed, it would occupy a small instance's link for half a second and delay quota updates.
 func TestLargeRecordsAreCompressed(t *testing.T) {
 	value := bytes.Repeat([]byte(`{"name":"route","host":"a.example","service":"pisar"},`), 200)
 	in := &Report{Instance: "a", Notes: []follow.Note{{Topic: port.TopicConfiguration, Mark: 2, Next: 2, From: 1,
@@ -269,12 +270,12 @@
 	assert.DeepEqual(t, out.Notes, in.Notes)
 }
 
-// A forged report holds a few kilobytes that would grow to gigabytes.
+// A forged report may contain a few kilobytes that decompress to gigabytes.
 func TestCompressedRecordsAreBounded(t *testing.T) {
-	packed, err := deflate(make([]byte, maxValue+1))
+	packed, err := deflate(make([]byte, maxValueBytes+1))
 	assert.NilError(t, err)
 	_, err = unmarshalRecord(&fleetv1.Record{Key: "config", Value: packed, Deflated: true})
-	assert.ErrorIs(t, err, errLargeRecord)
+	assert.ErrorIs(t, err, errRecordTooLarge)
 	_, err = unmarshalRecord(&fleetv1.Record{Key: "config", Value: packed[:len(packed)/2], Deflated: true})
 	assert.Assert(t, err != nil, "cut off")
 }
--- a/fleet/hubs.go
+++ b/fleet/hubs.go
@@ -8,45 +8,47 @@
 	"github.com/cairnworks/cairnworks/decision/hub"
 )
 
-// Figures of hubs.
+// Parameters of hub selection.
 const (
-	// silence is how long an instance that reports are sent to may be silent in a small
-	// fleet: three lost reports in a row are one in 64,000 where one in forty is lost.
-	silence = 700 * time.Millisecond
-	// hubSilence is the same in a large one, where each hub is polled less often.
-	hubSilence = pollInterval*2 + 300*time.Millisecond
-	// suspectTime is how long a hub that leaves asks unanswered counts as silent.
-	suspectTime = time.Second
-	// vouchAfter is how long a hub that is silent here is left alone though others hear it.
-	vouchAfter = hubSilence + 3*time.Second
-	// choiceAge is how long a choice holds while nothing is heard that changes it.
-	choiceAge = 100 * time.Millisecond
-	// toldAge is how long a hub's word on the size of the fleet holds.
-	toldAge = 2 * time.Second
-	// youngTime is how long an instance that has started after the others is no hub where
-	// there is another like it: longer than a rolling restart takes.
-	youngTime = 5 * time.Minute
-	// together is the time within which instances count as started together.
-	together = 5 * time.Second
+	// peerTimeout is the silence after which an instance that was sent reports counts as silent
+	// in a small fleet. With a loss rate of one in forty, three reports in a row are lost once
+	// in 64,000.
+	peerTimeout = 700 * time.Millisecond
+	// hubTimeout is the same for a large fleet, where each hub is polled less often.
+	hubTimeout = pollInterval*2 + 300*time.Millisecond
+	// suspectDuration is how long a hub that did not answer asks counts as silent.
+	suspectDuration = time.Second
+	// mentionRetryDelay is the minimum silence of a hub before it is retried because another
+	// instance still lists it.
+	mentionRetryDelay = hubTimeout + 3*time.Second
+	// selectionMaxAge is how long a selection is reused if no received report changes it.
+	selectionMaxAge = 100 * time.Millisecond
+	// reportedSizeMaxAge is how long a fleet size reported by a hub is valid.
+	reportedSizeMaxAge = 2 * time.Second
+	// settleTime is how long an instance that started after the others is not selected as a hub
+	// if there is an equivalent one. It is longer than a rolling restart takes.
+	settleTime = 5 * time.Minute
+	// startWindow is the time within which instances count as started together.
+	startWindow = 5 * time.Second
 )
 
-// Hub is an instance that others report to.
+// Hub is an instance to which others send their reports.
 type Hub struct {
 	Name string
 	Run  Run
 }
 
-// choice is what was chosen last.
-type choice struct {
+// hubSelection is the result of the last hub selection.
+type hubSelection struct {
 	at   time.Duration
 	hubs []Member
 	size Size
 }
 
-// Hubs are the instances that this one reports to, itself included if it is one. There are none
-// while the size of the fleet is not known.
+// Hubs returns the instances to which this one sends its reports, including itself if it is a hub.
+// It returns none while the size of the fleet is unknown.
 func (x *Exchange) Hubs() []Hub {
-	chosen := x.choose(boottime.Now()).hubs
+	chosen := x.currentSelection(boottime.Now()).hubs
 	out := make([]Hub, len(chosen))
 	for i, m := range chosen {
 		out[i] = Hub{m.Name, RunOf(m.Name, m.Incarnation)}
@@ -54,28 +56,28 @@
 	return out
 }
 
-// Size is the size of the fleet.
-func (x *Exchange) Size() Size { return x.choose(boottime.Now()).size }
+// Size returns the size of the fleet.
+func (x *Exchange) Size() Size { return x.currentSelection(boottime.Now()).size }
 
 func (x *Exchange) large() bool { return x.Size().Large() }
 
-// Isolated reports whether no other instance is heard.
-func (x *Exchange) Isolated() bool { return !x.hears(boottime.Now()) }
+// Isolated reports whether no other instance was heard recently.
+func (x *Exchange) Isolated() bool { return !x.hearsAny(boottime.Now()) }
 
-// hears reports whether any other instance was heard lately.
-func (x *Exchange) hears(now time.Duration) bool {
+// hearsAny reports whether any other instance was heard recently.
+func (x *Exchange) hearsAny(now time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, last := range x.last {
-		if now-last.at <= hubSilence {
+		if now-last.at <= hubTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// Rank is the number of instances that come before this one, in an order that depends on a
-// subject: hubs first. While the size of the fleet is not known, this one comes last.
+// Rank returns the number of instances that precede this one in an order that depends on subject;
+// hubs come first. While the size of the fleet is unknown, this instance is last.
 func (x *Exchange) Rank(subject string) int {
 	own := HashOf(subject + x.self.Name)
 	before, isHub := 0, false
@@ -106,7 +108,7 @@
 	return false
 }
 
-// Knows reports whether a run is known here.
+// Knows reports whether a run is known to this instance.
 func (x *Exchange) Knows(run Run) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -118,107 +120,109 @@
 	return false
 }
 
-// Suspect makes a hub count as silent for a moment, since it does not answer.
+// Suspect marks a hub as silent for suspectDuration because it did not answer.
 func (x *Exchange) Suspect(name string) {
 	now := boottime.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if p, known := x.peers[name]; known {
-		p.suspect = now + suspectTime
-		x.chosen.at = 0
+		p.suspectUntil = now + suspectDuration
+		x.selection.at = 0
 	}
 }
 
-// choose returns the hubs, as few times anew as possible.
-func (x *Exchange) choose(now time.Duration) choice {
+// currentSelection returns the cached selection, or makes a new one if it is outdated.
+func (x *Exchange) currentSelection(now time.Duration) hubSelection {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.chosen.at > 0 && now-x.chosen.at < choiceAge {
-		return x.chosen
+	if x.selection.at > 0 && now-x.selection.at < selectionMaxAge {
+		return x.selection
 	}
-	x.chosen.size = x.size(now)
-	x.chosen.hubs = nil
-	if n, known := x.chosen.size.Instances(); known {
-		x.chosen.hubs = x.pick(x.candidates(now), n, hub.Hubs)
+	x.selection.size = x.fleetSize(now)
+	x.selection.hubs = nil
+	if n, known := x.selection.size.Instances(); known {
+		x.selection.hubs = x.pickHubs(x.hubCandidates(now), n, hub.Hubs)
 	}
-	x.chosen.at = now
-	return x.chosen
+	x.selection.at = now
+	return x.selection
 }
 
-// size is the size of the fleet; the lock is held. An instance that is no hub does not hear of
-// most others, and goes by the hubs' word. While it hears nobody the last word holds.
-func (x *Exchange) size(now time.Duration) Size {
-	if !x.settled() {
+// fleetSize returns the size of the fleet. x.mu must be held. An instance that is not a hub does not
+// hear most others and relies on the size that the hubs report. While it hears nobody, the last
+// reported size remains valid.
+func (x *Exchange) fleetSize(now time.Duration) Size {
+	if !x.synced() {
 		return Size{}
 	}
 	recent, heard := 0, false
-	for name, told := range x.told {
-		if now-told.at > toldAge {
-			delete(x.told, name)
+	for name, reported := range x.reportedSizes {
+		if now-reported.at > reportedSizeMaxAge {
+			delete(x.reportedSizes, name)
 			continue
 		}
-		recent = max(recent, told.instances)
+		recent = max(recent, reported.instances)
 	}
 	for _, last := range x.last {
-		heard = heard || now-last.at <= hubSilence
+		heard = heard || now-last.at <= hubTimeout
 	}
 	if recent > 0 || heard {
-		x.toldSize = recent
+		x.maxReportedSize = recent
 	}
-	return SizeOf(max(len(x.peers)+1, x.toldSize))
+	return SizeOf(max(len(x.peers)+1, x.maxReportedSize))
 }
 
-// settled reports whether it is known who is in the fleet.
-func (x *Exchange) settled() bool { return x.listRead == nil || x.listRead() }
+// synced reports whether the members of the fleet are known.
+func (x *Exchange) synced() bool { return x.hasSynced == nil || x.hasSynced() }
 
-// silent reports whether an instance has left reports unanswered for long; the lock is held.
-func (x *Exchange) silent(now time.Duration, p *peer) bool {
-	limit := silence
-	if x.chosen.size.Large() {
-		limit = hubSilence
+// isSilent reports whether an instance is suspected or has not reported since a report was sent to it
+// for longer than the timeout. x.mu must be held.
+func (x *Exchange) isSilent(now time.Duration, p *peer) bool {
+	limit := peerTimeout
+	if x.selection.size.Large() {
+		limit = hubTimeout
 	}
-	return p.unanswered > 0 && now-p.unanswered > limit || p.suspect > now
+	return p.unansweredSince > 0 && now-p.unansweredSince > limit || p.suspectUntil > now
 }
 
-// candidates are the instances that may be hubs; the lock is held.
-func (x *Exchange) candidates(now time.Duration) []Member {
+// hubCandidates returns the instances that can be hubs. x.mu must be held.
+func (x *Exchange) hubCandidates(now time.Duration) []Member {
 	var out []Member
 	if !x.leaving {
 		out = append(out, x.self)
 	}
 	for _, p := range x.peers {
-		if !p.leaving && !x.silent(now, p) {
+		if !p.leaving && !x.isSilent(now, p) {
 			out = append(out, p.Member)
 		}
 	}
 	return out
 }
 
-// forgive gives all instances another chance, since none is heard.
-func (x *Exchange) forgive() {
+// resetSilence clears the silence of all instances so that they are retried, because none is heard.
+func (x *Exchange) resetSilence() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, p := range x.peers {
-		p.unanswered, p.suspect = 0, 0
+		p.unansweredSince, p.suspectUntil = 0, 0
 	}
-	x.chosen = choice{size: x.chosen.size}
+	x.selection = hubSelection{size: x.selection.size}
 }
 
-// pick chooses hubs among members. Of one that has not been heard it is not known whether the run
-// that is listed still is the one at work: after all have lost power, none is.
-func (x *Exchange) pick(members []Member, size, count int) []Member {
+// pickHubs selects hubs from members. If a member has not been heard, the listed run may have ended,
+// so its start time is ignored: after a power loss of the whole fleet, no listed run is still active.
+func (x *Exchange) pickHubs(members []Member, size, count int) []Member {
 	byName := make(map[string]Member, len(members))
-	first := started(x.self)
+	first := startTime(x.self)
 	for _, m := range members {
 		byName[m.Name] = m
 		if x.everHeard(m) {
-			first = min(first, started(m))
+			first = min(first, startTime(m))
 		}
 	}
 	now := time.Duration(time.Now().UnixNano())
 	candidates := make([]hub.Candidate, 0, len(members))
 	for _, m := range members {
-		settled := !x.everHeard(m) || started(m) <= first+together || now-started(m) > youngTime
+		settled := !x.everHeard(m) || startTime(m) <= first+startWindow || now-startTime(m) > settleTime
 		candidates = append(candidates, hub.Candidate{Name: m.Name, Hash: uint64(HashOf(m.Name)), DataCentre: m.Machine.DataCentre, Millicores: m.Machine.Millicores, Settled: settled})
 	}
 	var out []Member
@@ -228,19 +232,19 @@
 	return out
 }
 
-// everHeard reports whether a run has been heard here; the lock is held.
+// everHeard reports whether a run has been heard by this instance. x.mu must be held.
 func (x *Exchange) everHeard(m Member) bool {
 	_, heard := x.last[RunOf(m.Name, m.Incarnation)]
 	return heard || m.Name == x.self.Name
 }
 
-// started is when a run began, by its machine's time of day.
-func started(m Member) time.Duration {
-	return time.Duration(m.Incarnation>>incarnationNoise) * time.Millisecond
+// startTime returns when a run started, by the wall clock of its machine.
+func startTime(m Member) time.Duration {
+	return time.Duration(m.Incarnation>>incarnationRandomBits) * time.Millisecond
 }
 
-// everyone are all other instances.
-func (x *Exchange) everyone() []*peer {
+// allPeers returns all other instances.
+func (x *Exchange) allPeers() []*peer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	out := make([]*peer, 0, len(x.peers))
@@ -250,8 +254,8 @@
 	return out
 }
 
-// others are some hubs without this instance.
-func (x *Exchange) others(hubs []Member) []*peer {
+// peersAmong returns the peers of hubs, which excludes this instance.
+func (x *Exchange) peersAmong(hubs []Member) []*peer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var out []*peer
@@ -263,8 +267,8 @@
 	return out
 }
 
-// digest is the same for the same set of members.
-func digest(members []Member) uint64 {
+// membersDigest returns a digest of the set of members that does not depend on their order.
+func membersDigest(members []Member) uint64 {
 	var sum uint64
 	for _, m := range members {
 		sum += uint64(HashOf(m.Name))
@@ -272,7 +276,7 @@
 	return sum
 }
 
-func names(members []Member) []string {
+func memberNames(members []Member) []string {
 	out := make([]string, len(members))
 	for i, m := range members {
 		out[i] = m.Name
--- a/fleet/hubs_test.go
+++ b/fleet/hubs_test.go
@@ -13,8 +13,8 @@
 	"github.com/cairnworks/cairnworks/decision/hub"
 )
 
-// fleetOf returns an exchange that knows a fleet of a size, itself included.
-func fleetOf(t *testing.T, size int) *Exchange {
+// newFleetExchange returns an exchange in a fleet of the given size, which includes itself.
+func newFleetExchange(t *testing.T, size int) *Exchange {
 	t.Helper()
 	x, _ := newExchange(t, "self")
 	t.Cleanup(func() { x.conn.Close() })
@@ -30,9 +30,9 @@
 	return x
 }
 
-// Guards against reports from each to each in a large fleet.
-func TestLargeFleetReportsToItsStrongestMachines(t *testing.T) {
-	x := fleetOf(t, 100)
+// Guards against a large fleet in which every instance reports to every other.
+func TestLargeFleetUsesStrongestMachinesAsHubs(t *testing.T) {
+	x := newFleetExchange(t, 100)
 	hubs := x.Hubs()
 	assert.Equal(t, len(hubs), hub.Hubs)
 	strong := 0
@@ -43,70 +43,70 @@
 	}
 	assert.Equal(t, strong, 5)
 	assert.Assert(t, !x.IsHub() && x.Rank("s") >= len(hubs))
-	assert.Equal(t, len(fleetOf(t, hub.MaxFullMesh).Hubs()), hub.MaxFullMesh)
+	assert.Equal(t, len(newFleetExchange(t, hub.MaxFullMesh).Hubs()), hub.MaxFullMesh)
 }
 
-// Guards against a dead hub that an instance goes on asking.
+// Guards against an instance that keeps polling a dead hub.
 func TestSilentHubIsReplaced(t *testing.T) {
-	x := fleetOf(t, 100)
+	x := newFleetExchange(t, 100)
 	now := boottime.Now()
-	first := x.choose(now).hubs[0]
+	first := x.currentSelection(now).hubs[0]
 	p := x.peers[first.Name]
-	x.write(now, p, nil)
-	assert.Assert(t, contains(x.choose(now+hubSilence), first.Name))
-	gone := now + hubSilence + 2*choiceAge
-	assert.Assert(t, !contains(x.choose(gone), first.Name))
-	assert.Equal(t, len(x.choose(gone).hubs), hub.Hubs)
-	// Another hub's word gives it a chance again, after a while.
-	x.vouch(gone, first)
-	assert.Assert(t, !contains(x.choose(gone+2*choiceAge), first.Name))
-	x.vouch(gone+vouchAfter, first)
-	assert.Assert(t, contains(x.choose(gone+vouchAfter), first.Name))
+	x.writeReport(now, p, nil)
+	assert.Assert(t, contains(x.currentSelection(now+hubTimeout), first.Name))
+	gone := now + hubTimeout + 2*selectionMaxAge
+	assert.Assert(t, !contains(x.currentSelection(gone), first.Name))
+	assert.Equal(t, len(x.currentSelection(gone).hubs), hub.Hubs)
+	// It becomes a candidate again after a while if another hub lists it.
+	x.retryMentioned(gone, first)
+	assert.Assert(t, !contains(x.currentSelection(gone+2*selectionMaxAge), first.Name))
+	x.retryMentioned(gone+mentionRetryDelay, first)
+	assert.Assert(t, contains(x.currentSelection(gone+mentionRetryDelay), first.Name))
 	x.Suspect(first.Name)
-	assert.Assert(t, !contains(x.choose(boottime.Now()), first.Name))
+	assert.Assert(t, !contains(x.currentSelection(boottime.Now()), first.Name))
 }
 
-// Guards against work for an instance that is about to stop.
-func TestLeavingInstanceIsNoHub(t *testing.T) {
-	x := fleetOf(t, 10)
-	x.awake = boottime.Now()
-	x.note(x.awake, &Report{Instance: "i3", Incarnation: 1, Leaving: true})
-	assert.Assert(t, !contains(x.choose(x.awake), "i3"))
-	assert.Assert(t, contains(x.choose(x.awake), "self"))
+// Guards against hub work for an instance that is about to stop.
+func TestLeavingInstanceIsNotAHub(t *testing.T) {
+	x := newFleetExchange(t, 10)
+	x.lastWake = boottime.Now()
+	x.recordFleetState(x.lastWake, &Report{Instance: "i3", Incarnation: 1, Leaving: true})
+	assert.Assert(t, !contains(x.currentSelection(x.lastWake), "i3"))
+	assert.Assert(t, contains(x.currentSelection(x.lastWake), "self"))
 	x.Leave()
-	assert.Assert(t, !contains(x.choose(x.awake), "self"))
+	assert.Assert(t, !contains(x.currentSelection(x.lastWake), "self"))
 }
 
-// Guards against an instance that takes its part of the rates for larger than it is, since it
-// hears only some of the fleet.
-func TestSizeOfTheFleetIsTold(t *testing.T) {
-	x := fleetOf(t, 20)
+// Guards against an instance that overestimates its share of the rates because it hears only part of
+// the fleet.
+func TestFleetSizeIsTakenFromHubs(t *testing.T) {
+	x := newFleetExchange(t, 20)
 	now := boottime.Now()
-	x.note(now, &Report{Instance: "i3", Incarnation: 1, Answer: true, Instances: 295})
-	x.note(now, &Report{Instance: "i4", Incarnation: 1, Answer: true, Instances: 290})
-	x.chosen.at = 0
-	assert.Equal(t, x.choose(now).size, SizeOf(295))
-	// While nobody is heard the last word holds.
-	assert.Equal(t, x.choose(now+time.Minute).size, SizeOf(295))
+	x.recordFleetState(now, &Report{Instance: "i3", Incarnation: 1, Answer: true, Instances: 295})
+	x.recordFleetState(now, &Report{Instance: "i4", Incarnation: 1, Answer: true, Instances: 290})
+	x.selection.at = 0
+	assert.Equal(t, x.currentSelection(now).size, SizeOf(295))
+	// While nobody is heard, the last reported size remains valid.
+	assert.Equal(t, x.currentSelection(now+time.Minute).size, SizeOf(295))
 	x.last[RunOf("i3", 1)] = lastReport{at: now + time.Hour}
-	assert.Equal(t, x.choose(now+time.Hour).size, SizeOf(20))
+	assert.Equal(t, x.currentSelection(now+time.Hour).size, SizeOf(20))
 }
 
-// Guards against an instance that is cut off and never tries its fleet again.
-func TestCutOffInstanceTriesAgain(t *testing.T) {
-	x := fleetOf(t, 40)
+// Guards against an isolated instance that never retries the other instances.
+func TestIsolatedInstanceRetriesPeers(t *testing.T) {
+	x := newFleetExchange(t, 40)
 	now := boottime.Now()
 	for _, p := range x.peers {
-		x.write(now, p, nil)
+		x.writeReport(now, p, nil)
 	}
-	later := now + hubSilence + time.Second
-	assert.Equal(t, len(x.choose(later).hubs), 1)
-	x.forgive()
-	assert.Equal(t, len(x.choose(later).hubs), hub.Hubs)
+	later := now + hubTimeout + time.Second
+	assert.Equal(t, len(x.currentSelection(later).hubs), 1)
+	x.resetSilence()
+	assert.Equal(t, len(x.currentSelection(later).hubs), hub.Hubs)
 }
 
-// Guards against instances that never meet: one knows no hub but a weak instance, which tells it
-// of the better ones that it has heard of.
+// Guards against instances that never discover each other. An instance that knows only a weak instance
+// as a hub must learn from it of better hubs.
 func TestPollsAreAnsweredWithBetterHubs(t *testing.T) {
 	var exchanges []*Exchange
 	ctx, stop := context.WithCancel(t.Context())
@@ -118,7 +118,7 @@
 		x.OnReport(m.RecordReport)
 		x.OnMention(m.RecordMention)
 		if i > 0 {
-			// Each knows one of those that started before.
+			// Each knows one of the instances that started before it.
 			before := exchanges[i/2].self
 			m.RecordReport(before)
 		}
@@ -127,29 +127,29 @@
 	for _, x := range exchanges {
 		go func() { _ = x.Run(ctx) }()
 	}
-	met := func() bool {
-		want := digest(exchanges[0].choose(boottime.Now()).hubs)
+	converged := func() bool {
+		want := membersDigest(exchanges[0].currentSelection(boottime.Now()).hubs)
 		for _, x := range exchanges {
 			n, _ := x.Size().Instances()
-			if digest(x.choose(boottime.Now()).hubs) != want || n < len(exchanges) {
+			if membersDigest(x.currentSelection(boottime.Now()).hubs) != want || n < len(exchanges) {
 				return false
 			}
 		}
 		return true
 	}
-	for !met() {
+	for !converged() {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// Guards against a fleet that has lost power and takes runs that have ended for settled ones, so
-// that each reports to other hubs for many seconds.
+// Guards against a fleet in which, after a power loss, ended runs are taken for settled ones, so that
+// instances report to different hubs for many seconds.
 func TestRestartedFleetChoosesTheSameHubs(t *testing.T) {
-	x := fleetOf(t, 100)
+	x := newFleetExchange(t, 100)
 	now := boottime.Now()
-	before := digest(x.choose(now).hubs)
+	before := membersDigest(x.currentSelection(now).hubs)
 	x.self.Incarnation = NewIncarnation(time.Now())
-	for i, m := range x.choose(now).hubs {
+	for i, m := range x.currentSelection(now).hubs {
 		if i%2 == 0 {
 			m.Incarnation = x.self.Incarnation + 1
 			p := x.peers[m.Name]
@@ -157,11 +157,11 @@
 			x.last[p.run] = lastReport{sequence: 1, at: now}
 		}
 	}
-	x.chosen.at = 0
-	assert.Equal(t, digest(x.choose(now).hubs), before)
+	x.selection.at = 0
+	assert.Equal(t, membersDigest(x.currentSelection(now).hubs), before)
 }
 
-func contains(c choice, name string) bool {
+func contains(c hubSelection, name string) bool {
 	for _, m := range c.hubs {
 		if m.Name == name {
 			return true
@@ -170,10 +170,10 @@
 	return false
 }
 
-// Guards against tokens that are lost with an answer: the ask is repeated and taken once.
+// Guards against tokens that are lost with an answer: an unanswered ask is repeated.
 func TestAskIsAnswered(t *testing.T) {
 	a, _ := newExchange(t, "a")
-	b, asked := newExchange(t, "b")
+	b, handler := newExchange(t, "b")
 	a.SetMembers([]Member{{Name: "b", Incarnation: 1, Address: b.self.Address}})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -182,35 +182,36 @@
 	g, err := a.Ask(ctx, "b", Ask{Organisation: 1, Tokens: 5})
 	assert.NilError(t, err)
 	assert.Assert(t, g.Granted && g.Level == 5)
-	asked.mu.Lock()
-	assert.Assert(t, asked.asked >= 1)
-	asked.mu.Unlock()
+	handler.mu.Lock()
+	assert.Assert(t, handler.asks >= 1)
+	handler.mu.Unlock()
 	_, err = a.Ask(ctx, "nobody", Ask{})
 	assert.ErrorIs(t, err, ErrUnanswered)
-	a.granted(Grant{ID: 7})
+	a.deliverGrant(Grant{ID: 7})
 }
 
-// Guards against an instance that leads, is a hub, or reports before it knows who is in its fleet.
-func TestUnknownFleetHasNoHubs(t *testing.T) {
-	x := fleetOf(t, 10)
+// Guards against an instance that leads, acts as a hub or sends reports before it knows the members of
+// its fleet.
+func TestNoHubsWhileFleetSizeIsUnknown(t *testing.T) {
+	x := newFleetExchange(t, 10)
 	read := false
 	x.SetHasSynced(func() bool { return read })
-	x.chosen.at = 0
+	x.selection.at = 0
 	assert.Equal(t, x.Size(), Size{})
 	assert.Equal(t, x.Size().String(), "unknown")
 	assert.Equal(t, x.Size().PerInstance(9), 0.0)
 	assert.Equal(t, len(x.Hubs()), 0)
 	assert.Assert(t, !x.IsHub() && x.Rank("s") > 0)
-	assert.Equal(t, x.begin(boottime.Now()).Instances, 0)
+	assert.Equal(t, x.newReport(boottime.Now()).Instances, 0)
 	x.send(true)
 	for _, p := range x.peers {
-		assert.Equal(t, p.unanswered, time.Duration(0), "a report was sent")
+		assert.Equal(t, p.unansweredSince, time.Duration(0), "a report was sent")
 	}
-	x.note(boottime.Now(), &Report{Instance: "i1", Incarnation: 1, Answer: true})
-	assert.Equal(t, len(x.told), 0, "a size that the sender does not know counts")
+	x.recordFleetState(boottime.Now(), &Report{Instance: "i1", Incarnation: 1, Answer: true})
+	assert.Equal(t, len(x.reportedSizes), 0, "an unknown size of the sender was recorded")
 	read = true
-	x.chosen.at = 0
+	x.selection.at = 0
 	assert.Equal(t, x.Size(), SizeOf(10))
 	assert.Assert(t, x.IsHub())
-	assert.Equal(t, x.begin(boottime.Now()).Instances, 10)
+	assert.Equal(t, x.newReport(boottime.Now()).Instances, 10)
 }
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -14,128 +14,129 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// Figures of the list of instances.
+// Parameters of the list of instances.
 const (
-	// beatInterval is how often an instance renews its entry. The reports between
-	// instances tell who lives; the entry only has to outlast an instance that is
-	// cut off from the others and still at work.
-	beatInterval = 4 * time.Second
-	// beatTimeout bounds one renewal.
-	beatTimeout = 1500 * time.Millisecond
-	// firstBeatRetry is the pause after a first entry that failed.
-	firstBeatRetry = 200 * time.Millisecond
-	// firstList is how long an instance that starts waits for the list, which tells whether
+	// renewInterval is how often an instance renews its entry. Liveness is determined by the
+	// reports between instances; the entry only has to cover an instance that is cut off from
+	// the others but still serves requests.
+	renewInterval = 4 * time.Second
+	// renewTimeout is the timeout of one renewal.
+	renewTimeout = 1500 * time.Millisecond
+	// firstRenewRetry is the retry delay after the first write of the entry failed.
+	firstRenewRetry = 200 * time.Millisecond
+	// firstListTimeout is how long a starting instance waits for the list, which determines whether
 	// it needs an entry.
-	firstList = time.Second
-	// unlistedLook is how often an instance without an entry looks whether it needs one.
-	unlistedLook = time.Second
-	// EntryTTL is how long an entry holds that is not renewed. An instance that cannot
-	// reach the store stops serving requests with a key before that, since it no
-	// longer knows which keys hold.
+	firstListTimeout = time.Second
+	// skipEntryRecheck is how often an instance without an entry checks whether it needs one.
+	skipEntryRecheck = time.Second
+	// EntryTTL is how long an entry is valid without renewal. An instance that cannot reach the
+	// store stops serving requests with a key before that, because it no longer knows which keys
+	// are valid.
 	EntryTTL = 12 * time.Second
-	// replacedAfter is the silence after which a run gives its name up to one with a lower
-	// incarnation. One that lives reports several times within it.
-	replacedAfter = 1500 * time.Millisecond
-	// aloneAfter is how long after the first read of a list without others an instance takes
-	// itself for the only one: those that start together write their entries meanwhile.
-	aloneAfter = 1200 * time.Millisecond
-	// maxUnlisted bounds the instances that are known by their reports only. It is above
-	// what starts at once in the largest fleet.
+	// replaceSilence is the silence after which a run is replaced by a run of the same name with a
+	// lower incarnation. A live run reports several times within it.
+	replaceSilence = 1500 * time.Millisecond
+	// emptyListDelay is how long after first reading a list without other instances this instance
+	// concludes that it is the only one. Instances that start together write their entries meanwhile.
+	emptyListDelay = 1200 * time.Millisecond
+	// maxUnlisted is the maximum number of instances that are known only by their reports. It is
+	// higher than the number of instances that start at once in the largest fleet.
 	maxUnlisted = 512
 )
 
-// Member is an instance that the store lists.
+// Member is an instance of the fleet, as listed in the store or known by its reports.
 type Member struct {
 	Name        string `json:"-"`
 	Incarnation uint64 `json:"incarnation"`
-	// Address for reports, IP:port over UDP.
+	// Address is the UDP address for reports, as IP:port.
 	Address string  `json:"address"`
 	Machine Machine `json:"machine"`
-	// Renewals grows with each renewal.
+	// Renewals is incremented with each renewal.
 	Renewals uint64 `json:"beat"`
-	// changed is when this instance saw the entry change, heard when the last report came.
-	changed, heard time.Duration
-	// listed tells that an entry in the store names this run.
+	// lastChanged is when this instance last saw the entry change or another instance list the run;
+	// lastHeard is when its last report arrived.
+	lastChanged, lastHeard time.Duration
+	// listed means that the store has an entry for this run.
 	listed bool
 }
 
-// seen is when the run last gave a sign of life.
-func (m Member) seen() time.Duration { return max(m.changed, m.heard) }
+// lastSeen returns when there was last evidence that the run is alive.
+func (m Member) lastSeen() time.Duration { return max(m.lastChanged, m.lastHeard) }
 
-// NewIncarnation returns the incarnation of a run that starts now. A later run's is higher,
-// unless the time of day was set back meanwhile; two runs of one millisecond differ.
+// NewIncarnation returns the incarnation of a run that starts now. It is higher than that of an
+// earlier run unless the wall clock was set back in between. Two runs that start within the same
+// millisecond differ in random bits.
 func NewIncarnation(now time.Time) uint64 {
-	return uint64(now.UnixMilli())<<incarnationNoise | rand.Uint64N(1<<incarnationNoise)
+	return uint64(now.UnixMilli())<<incarnationRandomBits | rand.Uint64N(1<<incarnationRandomBits)
 }
 
-// incarnationNoise is the number of random bits in an incarnation.
-const incarnationNoise = 20
+// incarnationRandomBits is the number of random bits in an incarnation.
+const incarnationRandomBits = 20
 
-// Members keeps the list of instances from the store. It implements follow.Reader.
+// Members maintains the list of instances from the store. It implements follow.Reader.
 type Members struct {
-	self    Member
-	log     port.KeyedLog
-	logger  *zap.Logger
-	changed func([]Member)
-	// SkipEntry reports whether this instance needs no entry now; nil means that it always does.
-	// ReadFirst tells that the list is read before the first entry is written. Neither may be
+	self     Member
+	log      port.KeyedLog
+	logger   *zap.Logger
+	onChange func([]Member)
+	// SkipEntry reports whether this instance currently needs no entry; if nil, it always needs one.
+	// ReadFirst means that the list is read before the first entry is written. Neither may be
 	// changed once the list is in use.
 	SkipEntry func() bool
 	ReadFirst bool
-	// GoneLogger returns what tells of instances that are gone; nil means the logger.
+	// GoneLogger returns the function that logs removed instances; if nil, logger.Info is used.
 	GoneLogger func() func(string, ...zap.Field)
 
-	mu     sync.Mutex
-	others map[string]Member
-	lost   bool
-	// firstRead is when the list was first read, 0 before.
+	mu        sync.Mutex
+	others    map[string]Member
+	storeLost bool
+	// firstRead is when the list was first read, or 0 before that.
 	firstRead time.Duration
-	// settled tells that the list says who is in the fleet.
-	settled atomic.Bool
-	// read is closed once the list has been read.
-	read     chan struct{}
-	readOnce sync.Once
-	// written tells that this run has an entry.
-	written atomic.Bool
-	// warned tells that it was logged that too many instances are not listed.
-	warned bool
+	// synced means that the members of the fleet are known.
+	synced atomic.Bool
+	// listRead is closed once the list has been read.
+	listRead     chan struct{}
+	listReadOnce sync.Once
+	// hasEntry means that this run has written an entry.
+	hasEntry atomic.Bool
+	// fullLogged means that exceeding maxUnlisted has been logged.
+	fullLogged bool
 }
 
-// NewMembers returns a list that holds nobody. changed is called with all other
-// members after each change.
+// NewMembers returns an empty list. changed is called with all other members after each change.
 func NewMembers(self Member, log port.KeyedLog, logger *zap.Logger, changed func([]Member)) *Members {
-	return &Members{self: self, log: log, logger: logger, changed: changed, others: make(map[string]Member), read: make(chan struct{})}
+	return &Members{self: self, log: log, logger: logger, onChange: changed, others: make(map[string]Member), listRead: make(chan struct{})}
 }
 
-// Run keeps this instance's entry until ctx ends.
+// Run maintains this instance's entry until ctx ends.
 func (m *Members) Run(ctx context.Context) error {
 	if m.ReadFirst {
-		m.await(ctx, firstList, m.read)
+		m.wait(ctx, firstListTimeout, m.listRead)
 	}
 	for ctx.Err() == nil {
-		m.await(ctx, m.renew(ctx), nil)
+		m.wait(ctx, m.renew(ctx), nil)
 	}
 	return ctx.Err()
 }
 
-// renew renews the entry, if there is to be one, and returns the time until the next look.
+// renew renews the entry unless none is needed and returns the time until the next call.
 func (m *Members) renew(ctx context.Context) time.Duration {
 	if m.SkipEntry != nil && m.SkipEntry() {
-		return unlistedLook
+		return skipEntryRecheck
 	}
-	if err := m.beat(ctx); err != nil {
+	if err := m.writeEntry(ctx); err != nil {
 		m.logger.Warn("entry not renewed", zap.Error(err))
-		if !m.written.Load() {
-			return firstBeatRetry
+		if !m.hasEntry.Load() {
+			return firstRenewRetry
 		}
-		return beatInterval
+		return renewInterval
 	}
-	m.written.Store(true)
-	return beatInterval
+	m.hasEntry.Store(true)
+	return renewInterval
 }
 
-// await waits for a time, or until something has happened.
-func (m *Members) await(ctx context.Context, d time.Duration, early <-chan struct{}) {
+// wait waits for d, or until ctx ends or early is closed.
+func (m *Members) wait(ctx context.Context, d time.Duration, early <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -145,8 +146,8 @@
 	}
 }
 
-func (m *Members) beat(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
+func (m *Members) writeEntry(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	m.self.Renewals++
 	value, err := json.Marshal(m.self)
@@ -156,9 +157,9 @@
 	return m.log.Put(ctx, port.TopicInstances, m.self.Name, value)
 }
 
-// Leave drops this instance's entry.
+// Leave deletes this instance's entry.
 func (m *Members) Leave(ctx context.Context) {
-	if !m.written.Load() {
+	if !m.hasEntry.Load() {
 		return
 	}
 	if err := m.log.Put(ctx, port.TopicInstances, m.self.Name, nil); err != nil {
@@ -166,72 +167,71 @@
 	}
 }
 
-// RecordReport takes in an instance that reports before its entry was read here. Until
-// the next read an instance that has just started would otherwise neither be counted
-// nor told of anything.
+// RecordReport records the sender of a report. Its entry may not have been read yet, and until then an
+// instance that has just started would otherwise neither be counted nor receive reports.
 func (m *Members) RecordReport(sender Member) {
 	now := boottime.Now()
 	m.mu.Lock()
 	old, known := m.others[sender.Name]
 	if known && old.Incarnation == sender.Incarnation {
-		old.heard = now
+		old.lastHeard = now
 		m.others[sender.Name] = old
 		m.mu.Unlock()
 		return
 	}
-	m.takeIn(now, sender, now)
+	m.addRun(now, sender, now)
 }
 
-// RecordMention takes in an instance that another hears.
-func (m *Members) RecordMention(named Member) {
+// RecordMention records an instance that another instance hears.
+func (m *Members) RecordMention(mentioned Member) {
 	now := boottime.Now()
 	m.mu.Lock()
-	old, known := m.others[named.Name]
-	if known && old.Incarnation == named.Incarnation {
-		old.changed = now
-		m.others[named.Name] = old
+	old, known := m.others[mentioned.Name]
+	if known && old.Incarnation == mentioned.Incarnation {
+		old.lastChanged = now
+		m.others[mentioned.Name] = old
 		m.mu.Unlock()
 		return
 	}
-	m.takeIn(now, named, 0)
+	m.addRun(now, mentioned, 0)
 }
 
-// takeIn takes in a run that is not known and releases the lock, which is held.
-func (m *Members) takeIn(now time.Duration, run Member, heard time.Duration) {
+// addRun adds an unknown run. m.mu must be held; addRun releases it.
+func (m *Members) addRun(now time.Duration, run Member, heard time.Duration) {
 	old, known := m.others[run.Name]
 	newer := !known || old.Incarnation == run.Incarnation || m.replaces(run.Incarnation, old, now)
-	if run.Name == m.self.Name || !newer || !known && m.full() {
+	if run.Name == m.self.Name || !newer || !known && m.unlistedFull() {
 		m.mu.Unlock()
 		return
 	}
 	machine := run.Machine
 	if machine == (Machine{}) {
-		// Most answers do not tell it, and a run under the same name mostly is on the same one.
+		// Most answers do not contain the machine, and a new run usually is on the same one.
 		machine = old.Machine
 	}
-	m.others[run.Name] = Member{Name: run.Name, Incarnation: run.Incarnation, Address: run.Address, Machine: machine, changed: now, heard: heard}
+	m.others[run.Name] = Member{Name: run.Name, Incarnation: run.Incarnation, Address: run.Address, Machine: machine, lastChanged: now, lastHeard: heard}
 	list := m.list()
 	m.mu.Unlock()
-	m.changed(list)
+	m.onChange(list)
 }
 
-// Expire drops instances that have given no sign of life for long. An instance that hears
-// nobody must not call it: it would drop all whom it may still reach.
+// Expire removes instances that have not been seen for longer than EntryTTL. An instance that hears
+// nobody must not call it, because it would remove members that it may be able to reach again.
 func (m *Members) Expire() {
 	now := boottime.Now()
 	m.mu.Lock()
-	gone := m.drop(now)
+	gone := m.dropSilent(now)
 	list := m.list()
 	m.mu.Unlock()
 	if gone {
-		m.changed(list)
+		m.onChange(list)
 	}
 }
 
-// drop drops instances that are gone and reports whether there were any; the lock is held.
-func (m *Members) drop(now time.Duration) (gone bool) {
+// dropSilent removes instances that have expired and reports whether there were any. m.mu must be held.
+func (m *Members) dropSilent(now time.Duration) (gone bool) {
 	for name, member := range m.others {
-		if silent := now - member.seen(); silent > EntryTTL {
+		if silent := now - member.lastSeen(); silent > EntryTTL {
 			delete(m.others, name)
 			gone = true
 			tell := m.logger.Info
@@ -244,18 +244,18 @@
 	return gone
 }
 
-// replaces reports whether a run takes over an instance's name from the one that is known. A
-// datagram of an earlier run may arrive late, when the next run works already: taken in, it
-// would turn all reports to the address of a process that is gone, and the instance that
-// works would hear nothing of its fleet. The time of day decides between the two unless it was
-// set back, and then the silence of the run that ended does; the lock is held.
+// replaces reports whether a run takes over an instance's name from the known run. A delayed datagram
+// of an earlier run may arrive when the next run is already active. If it were accepted, all reports
+// would go to the address of a process that has ended, and the active run would hear nothing of its
+// fleet. Incarnations decide, unless the wall clock was set back; then the known run is replaced once
+// it has been silent for replaceSilence. m.mu must be held.
 func (m *Members) replaces(incarnation uint64, old Member, now time.Duration) bool {
-	return incarnation > old.Incarnation || now-old.seen() > replacedAfter
+	return incarnation > old.Incarnation || now-old.lastSeen() > replaceSilence
 }
 
-// full reports whether as many instances are known by their reports only as may be, so that
-// no sender of made-up names fills the memory; the lock is held.
-func (m *Members) full() bool {
+// unlistedFull reports whether the maximum number of unlisted instances is reached. The limit prevents
+// a sender of made-up names from exhausting memory. m.mu must be held.
+func (m *Members) unlistedFull() bool {
 	unlisted := 0
 	for _, member := range m.others {
 		if !member.listed {
@@ -265,14 +265,14 @@
 	if unlisted < maxUnlisted {
 		return false
 	}
-	if !m.warned {
-		m.warned = true
+	if !m.fullLogged {
+		m.fullLogged = true
 		m.logger.Error("too many instances that the store does not list", zap.Int("unlisted", unlisted))
 	}
 	return true
 }
 
-// IsCurrent reports whether a run is the one that holds an instance's name.
+// IsCurrent reports whether a run is the current one of the named instance.
 func (m *Members) IsCurrent(name string, incarnation uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -280,7 +280,7 @@
 	return ok && known.Incarnation == incarnation
 }
 
-// list returns all other members; the lock is held.
+// list returns all other members. m.mu must be held.
 func (m *Members) list() []Member {
 	list := make([]Member, 0, len(m.others))
 	for _, member := range m.others {
@@ -295,11 +295,11 @@
 	named := make(map[string]bool, len(records))
 	for _, record := range records {
 		named[record.Key] = true
-		m.put(record)
+		m.putEntry(record)
 	}
 	for name, member := range m.others {
-		// One that was never listed may be new, or turned away by the store: it is known by
-		// its reports, and lapses without them.
+		// A member that was never listed may be new, or the store may have rejected its entry. It is
+		// known by its reports and expires without them.
 		if member.listed && !named[name] {
 			delete(m.others, name)
 		}
@@ -311,13 +311,13 @@
 // Add implements follow.Reader.
 func (m *Members) Add(record port.KeyedRecord) bool {
 	m.mu.Lock()
-	m.put(record)
+	m.putEntry(record)
 	m.mu.Unlock()
 	return true
 }
 
-// put takes in one entry; the lock is held.
-func (m *Members) put(record port.KeyedRecord) {
+// putEntry processes one entry. m.mu must be held.
+func (m *Members) putEntry(record port.KeyedRecord) {
 	if record.Key == m.self.Name {
 		return
 	}
@@ -336,53 +336,53 @@
 	}
 	now := boottime.Now()
 	if known && old.Incarnation != member.Incarnation && !m.replaces(member.Incarnation, old, now) {
-		// The entry is one that the run before has left.
+		// The entry was left by the previous run.
 		return
 	}
 	if known && old.Incarnation == member.Incarnation {
-		member.heard = old.heard
+		member.lastHeard = old.lastHeard
 	}
-	member.Name, member.changed, member.listed = record.Key, now, true
+	member.Name, member.lastChanged, member.listed = record.Key, now, true
 	m.others[record.Key] = member
 }
 
-// Proven implements follow.Reader: entries that were not renewed for long lapse.
+// Proven implements follow.Reader. Entries that have not been renewed within EntryTTL are removed.
 func (m *Members) Proven(time.Duration) {
 	now := boottime.Now()
 	m.mu.Lock()
 	for name, member := range m.others {
-		if m.lost {
-			// Nobody could renew an entry while the store was away.
-			member.changed = now
+		if m.storeLost {
+			// No instance could renew its entry while the store was unavailable.
+			member.lastChanged = now
 			m.others[name] = member
 		}
 	}
-	m.drop(now)
-	m.lost = false
-	m.settle(now)
+	m.dropSilent(now)
+	m.storeLost = false
+	m.updateSynced(now)
 	list := m.list()
 	m.mu.Unlock()
-	m.changed(list)
-	m.readOnce.Do(func() { close(m.read) })
+	m.onChange(list)
+	m.listReadOnce.Do(func() { close(m.listRead) })
 }
 
-// settle notes whether the list says who is in the fleet; the lock is held.
-func (m *Members) settle(now time.Duration) {
+// updateSynced checks whether the members of the fleet are known now. m.mu must be held.
+func (m *Members) updateSynced(now time.Duration) {
 	if m.firstRead == 0 {
 		m.firstRead = now
 	}
-	if len(m.others) > 0 || now-m.firstRead >= aloneAfter {
-		m.settled.Store(true)
+	if len(m.others) > 0 || now-m.firstRead >= emptyListDelay {
+		m.synced.Store(true)
 	}
 }
 
-// HasSynced reports whether it is known who is in the fleet. A list that names nobody else counts
-// only once it has been read again: where all start together, the first to read it finds it empty.
-func (m *Members) HasSynced() bool { return m.settled.Load() }
+// HasSynced reports whether the members of the fleet are known. A list without other instances counts
+// only once it has been read again: if all instances start together, the first to read it finds it empty.
+func (m *Members) HasSynced() bool { return m.synced.Load() }
 
 // Lost implements follow.Reader.
 func (m *Members) Lost() {
 	m.mu.Lock()
-	m.lost = true
+	m.storeLost = true
 	m.mu.Unlock()
 }
--- a/fleet/members_test.go
+++ b/fleet/members_test.go
@@ -11,10 +11,10 @@
 	"github.com/cairnworks/cairnworks/boottime"
 )
 
-// An instance has started again, and a datagram of its earlier run arrives late. Taken for
-// the newer one it turns all reports to an address where nobody listens any more, and the
-// instance that works hears nothing of its fleet and holds itself for cut off.
-func TestALateReportOfAnEarlierRunChangesNothing(t *testing.T) {
+// After an instance has restarted, a delayed datagram of its earlier run may arrive. If it were taken
+// for the newer run, all reports would go to an address where nobody listens, and the active run would
+// hear nothing of its fleet and consider itself isolated.
+func TestLateReportOfEarlierRunIsIgnored(t *testing.T) {
 	var last []Member
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { last = list })
 	m.Add(record("b", 1, 4))
@@ -23,7 +23,7 @@
 	assert.Equal(t, last[0].Incarnation, uint64(2))
 	assert.Equal(t, last[0].Address, "1.2.3.4:6")
 	assert.Assert(t, m.IsCurrent("b", 2) && !m.IsCurrent("b", 1))
-	// Its entry in the store is the earlier run's until it has written its own.
+	// The store has the entry of the earlier run until the new run has written its own.
 	m.Add(record("b", 1, 5))
 	m.Proven(0)
 	assert.Equal(t, last[0].Incarnation, uint64(2))
@@ -32,26 +32,26 @@
 	assert.Equal(t, last[0].Renewals, uint64(1))
 }
 
-// The time of day was set back before an instance started again, so that its run seems older
-// than the one that ended. It must be known all the same once that one is silent.
-func TestARunWithAnEarlierClockIsKnownOnceTheOtherIsSilent(t *testing.T) {
+// If the wall clock was set back before a restart, the new run has a lower incarnation than the one
+// that ended. It must still be accepted once the earlier run is silent.
+func TestRunWithLowerIncarnationReplacesSilentRun(t *testing.T) {
 	var last []Member
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { last = list })
 	m.RecordReport(Member{Name: "b", Incarnation: 5, Address: "1.2.3.4:5"})
 	m.RecordReport(Member{Name: "b", Incarnation: 3, Address: "1.2.3.4:6"})
 	assert.Equal(t, last[0].Incarnation, uint64(5))
 	ended := m.others["b"]
-	ended.changed -= replacedAfter + time.Second
-	ended.heard -= replacedAfter + time.Second
+	ended.lastChanged -= replaceSilence + time.Second
+	ended.lastHeard -= replaceSilence + time.Second
 	m.others["b"] = ended
 	m.RecordReport(Member{Name: "b", Incarnation: 3, Address: "1.2.3.4:6"})
 	assert.Equal(t, last[0].Incarnation, uint64(3))
 }
 
-// The store turns an instance away for long, so that its entry lapses or was never written,
-// while it reports to all others. Dropped from the list it would not be counted, and what it
-// spends would be spent once more by those who remain.
-func TestAnInstanceThatIsHeardDoesNotLapse(t *testing.T) {
+// If the store rejects an instance for a long time, its entry expires or is never written, although it
+// reports to all others. If it were removed from the list it would not be counted, and the remaining
+// instances would spend its share a second time.
+func TestReportingInstanceDoesNotExpire(t *testing.T) {
 	var last []Member
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { last = list })
 	m.RecordReport(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5"})
@@ -59,20 +59,20 @@
 	m.Proven(0)
 	assert.Equal(t, len(last), 1)
 	silent := m.others["b"]
-	silent.changed -= 2 * EntryTTL
+	silent.lastChanged -= 2 * EntryTTL
 	m.others["b"] = silent
 	m.RecordReport(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5"})
 	m.Proven(0)
 	assert.Equal(t, len(last), 1)
 	silent = m.others["b"]
-	silent.heard = boottime.Now() - 2*EntryTTL
+	silent.lastHeard = boottime.Now() - 2*EntryTTL
 	m.others["b"] = silent
 	m.Proven(0)
 	assert.Equal(t, len(last), 0)
 }
 
-// A process sends reports under ever new names. Each would cost memory and reports to it,
-// until the store is read whole again.
+// A process may send reports under ever new names. Each would use memory and be sent reports until the
+// store is read completely again.
 func TestUnlistedInstancesAreBounded(t *testing.T) {
 	count := 0
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { count = len(list) })
@@ -85,8 +85,8 @@
 	assert.Equal(t, count, maxUnlisted+1)
 }
 
-// An instance that starts again must have a higher incarnation, or it is taken for its
-// earlier run until that has been silent for a while.
+// A restarted instance must have a higher incarnation. Otherwise it is taken for its earlier run until
+// that has been silent for a while.
 func TestLaterRunsHaveHigherIncarnations(t *testing.T) {
 	now := time.UnixMilli(1_796_000_000_000)
 	for range 100 {
@@ -94,9 +94,9 @@
 	}
 }
 
-// Guards against strong machines that are taken for the weakest once they have started again, since
-// their new run was first heard by an answer.
-func TestAnswersLeaveTheMachineKnown(t *testing.T) {
+// Guards against powerful machines that are taken for the weakest after a restart because their new run
+// was first heard by an answer, which does not contain the machine.
+func TestAnswersKeepMachine(t *testing.T) {
 	strong := Machine{DataCentre: "x", Millicores: 800}
 	var last []Member
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { last = list })
@@ -106,9 +106,9 @@
 	assert.Equal(t, last[0].Machine, strong)
 }
 
-// Guards against instances that start together and each take themselves for the whole fleet, since
-// the list was empty when they read it first.
-func TestEmptyListCountsOnceItWasReadAgain(t *testing.T) {
+// Guards against instances that start together and each assume to be the whole fleet because the list
+// was empty when they first read it.
+func TestEmptyListIsSyncedAfterSecondRead(t *testing.T) {
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func([]Member) {})
 	m.RecordReport(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5"})
 	assert.Assert(t, !m.HasSynced(), "nothing was read")
@@ -116,7 +116,7 @@
 	m.Replace(nil)
 	m.Proven(0)
 	assert.Assert(t, !m.HasSynced())
-	m.firstRead -= aloneAfter
+	m.firstRead -= emptyListDelay
 	m.Proven(0)
 	assert.Assert(t, m.HasSynced())
 	m = NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func([]Member) {})
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -7,52 +7,53 @@
 	"time"
 )
 
-// claimRefresh is how often a claim that waits is sent again. It keeps the claim alive, and
-// brings the answer if that was lost.
-const claimRefresh = 100 * time.Millisecond
+// claimRefreshInterval is how often a waiting claim is sent again. This keeps the claim alive and
+// recovers from a lost answer.
+const claimRefreshInterval = 100 * time.Millisecond
 
-// answersHeld is how many answers to one claim may wait to be read; further ones say the same.
-const answersHeld = 4
+// placeBufferSize is the number of unread answers to one claim that are buffered; any further ones
+// have the same content.
+const placeBufferSize = 4
 
-// ClaimTTL is how long a claim that is not sent again waits at its home: three refreshes in a
-// row are seldom lost.
-const ClaimTTL = 3*claimRefresh + 50*time.Millisecond
+// ClaimTTL is how long the home keeps a waiting claim that is not refreshed. Three refreshes in a row
+// are rarely lost.
+const ClaimTTL = 3*claimRefreshInterval + 50*time.Millisecond
 
-// Claim asks a hub for a place at an engine, and waits until it is given or refused.
+// Claim requests a place at an engine from a hub and waits until it is given or refused.
 func (x *Exchange) Claim(ctx context.Context, hub string, c Claim) (Place, error) {
 	c.ID = rand.Uint64()
-	answers := make(chan Place, answersHeld)
+	answers := make(chan Place, placeBufferSize)
 	x.mu.Lock()
 	p, known := x.peers[hub]
-	x.claims[c.ID] = answers
+	x.pendingClaims[c.ID] = answers
 	x.mu.Unlock()
 	defer func() {
 		x.mu.Lock()
-		delete(x.claims, c.ID)
+		delete(x.pendingClaims, c.ID)
 		x.mu.Unlock()
 	}()
 	if !known {
 		return Place{}, ErrUnanswered
 	}
-	place, err := x.awaitPlace(ctx, p, &c, answers)
+	place, err := x.waitForPlace(ctx, p, &c, answers)
 	if ctx.Err() != nil && (err != nil || place.State != PlaceGiven) {
 		c.Over = true
-		x.sendAlone(hub, p.address, &Report{Claim: &c})
+		x.sendSingle(hub, p.address, &Report{Claim: &c})
 		return Place{}, ctx.Err()
 	}
 	return place, err
 }
 
-// awaitPlace sends a claim until it is decided. A home that is silent for as long as one that
-// does not answer asks counts as gone.
-func (x *Exchange) awaitPlace(ctx context.Context, p *peer, c *Claim, answers <-chan Place) (Place, error) {
+// waitForPlace sends a claim until it is decided. The home counts as gone if it does not answer within
+// the timeouts of an ask.
+func (x *Exchange) waitForPlace(ctx context.Context, p *peer, c *Claim, answers <-chan Place) (Place, error) {
 	begun := time.Now()
 	waited, left := c.Waited, c.Left
-	for tries := 0; tries < len(askTries); tries++ {
+	for tries := 0; tries < len(askTimeouts); tries++ {
 		passed := time.Since(begun)
 		c.Waited, c.Left = waited+passed, left-passed
-		x.sendAlone(p.Name, p.address, &Report{Claim: c})
-		timer := time.NewTimer(askTries[tries])
+		x.sendSingle(p.Name, p.address, &Report{Claim: c})
+		timer := time.NewTimer(askTimeouts[tries])
 		for pending := true; pending; {
 			select {
 			case <-ctx.Done():
@@ -64,7 +65,7 @@
 					return place, nil
 				}
 				tries = -1
-				timer.Reset(claimRefresh)
+				timer.Reset(claimRefreshInterval)
 			case <-timer.C:
 				pending = false
 			}
@@ -73,29 +74,29 @@
 	return Place{}, ErrUnanswered
 }
 
-// claimed hands a claim to the handler, which answers it once or more often.
-func (x *Exchange) claimed(now time.Duration, r *Report, from netip.AddrPort) {
+// handleClaim passes a claim to the handler, which answers it one or more times.
+func (x *Exchange) handleClaim(now time.Duration, r *Report, from netip.AddrPort) {
 	if x.stalled(now) {
-		// Who asked has gone elsewhere meanwhile.
+		// The sender has asked another instance in the meantime.
 		return
 	}
 	to := r.Instance
-	x.handler.HandleClaim(now, to, *r.Claim, func(place Place) { x.sendAlone(to, from, &Report{Place: &place}) })
+	x.handler.HandleClaim(now, to, *r.Claim, func(place Place) { x.sendSingle(to, from, &Report{Place: &place}) })
 }
 
-// placed hands an answer to the one who waits for it, if anybody does.
-func (x *Exchange) placed(p Place) {
+// deliverPlace passes an answer to the pending claim, if there is one.
+func (x *Exchange) deliverPlace(p Place) {
 	x.mu.Lock()
-	answers := x.claims[p.ID]
+	answers := x.pendingClaims[p.ID]
 	x.mu.Unlock()
 	select {
 	case answers <- p:
 	default:
-		// Nobody waits, or the same was answered several times.
+		// No claim is pending, or the buffer is full of answers with the same content.
 	}
 }
 
-// TellLoads tells a hub at once what is placed at some upstreams now.
+// TellLoads immediately sends a hub the current loads of some upstreams.
 func (x *Exchange) TellLoads(hub string, loads map[Hash]Load) {
 	x.mu.Lock()
 	p, known := x.peers[hub]
@@ -103,13 +104,13 @@
 	sequence := x.sequence
 	x.mu.Unlock()
 	if known {
-		x.sendAlone(hub, p.address, &Report{Sequence: sequence, Partial: true, Loads: loads})
+		x.sendSingle(hub, p.address, &Report{Sequence: sequence, Partial: true, Loads: loads})
 	}
 }
 
-// takeLoads takes in what has changed at another instance. What proofs are dated by stays that of
-// its last report.
-func (x *Exchange) takeLoads(now time.Duration, r *Report) {
+// handleLoads processes loads that have changed at another instance. Proofs of freshness remain dated
+// by the sender's last complete report.
+func (x *Exchange) handleLoads(now time.Duration, r *Report) {
 	if x.stalled(now) {
 		return
 	}
@@ -126,8 +127,8 @@
 	}
 }
 
-// Home is the hub that decides on a subject, and whether that is this instance. Of hubs that
-// all know the same, all name the same one.
+// Home returns the hub that decides on a subject and whether it is this instance. Instances that know
+// the same hubs return the same one.
 func (x *Exchange) Home(subject string) (Hub, bool) {
 	best, lowest := Hub{Name: x.self.Name, Run: RunOf(x.self.Name, x.self.Incarnation)}, Hash(0)
 	for i, h := range x.Hubs() {
--- a/fleet/place_test.go
+++ b/fleet/place_test.go
@@ -10,12 +10,12 @@
 	"gotest.tools/v3/poll"
 )
 
-// claimers are two instances: one that claims places and its home.
-func claimers(t *testing.T, claim func(c Claim, answer func(Place))) (a *Exchange, home *taker) {
+// newClaimPair returns two running exchanges: one that sends claims and the handler of its home.
+func newClaimPair(t *testing.T, claim func(c Claim, answer func(Place))) (a *Exchange, home *fakeHandler) {
 	t.Helper()
 	a, _ = newExchange(t, "a")
 	b, home := newExchange(t, "b")
-	home.claim = claim
+	home.onClaim = claim
 	a.SetMembers([]Member{{Name: "b", Incarnation: 1, Address: b.self.Address}})
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
@@ -24,10 +24,10 @@
 	return a, home
 }
 
-// Guards against a request that goes elsewhere while its home lets it wait for room.
-func TestClaimWaitsUntilItIsDecided(t *testing.T) {
+// Guards against a request that goes elsewhere while its home keeps it waiting for capacity.
+func TestClaimWaitsUntilDecided(t *testing.T) {
 	var heard atomic.Int32
-	a, home := claimers(t, func(c Claim, answer func(Place)) {
+	a, home := newClaimPair(t, func(c Claim, answer func(Place)) {
 		state := PlaceWaiting
 		if heard.Add(1) > 3 {
 			state = PlaceGiven
@@ -45,10 +45,10 @@
 	assert.Assert(t, last.Waited > first.Waited && last.Left < first.Left)
 }
 
-// Guards against a request that waits for good since its answer was lost.
-func TestLostPlaceIsAnsweredAgain(t *testing.T) {
+// Guards against a request that waits forever because its answer was lost.
+func TestLostPlaceIsResent(t *testing.T) {
 	var heard atomic.Int32
-	a, _ := claimers(t, func(c Claim, answer func(Place)) {
+	a, _ := newClaimPair(t, func(c Claim, answer func(Place)) {
 		if heard.Add(1) > 1 {
 			answer(Place{ID: c.ID, State: PlaceRefused, Retry: time.Second})
 		}
@@ -59,20 +59,20 @@
 	assert.Equal(t, place.Retry, time.Second)
 }
 
-// Guards against requests that hang on a home that has ended.
-func TestClaimAtASilentHomeEnds(t *testing.T) {
-	a, _ := claimers(t, nil)
+// Guards against requests that hang because their home has ended.
+func TestClaimAtSilentHomeFails(t *testing.T) {
+	a, _ := newClaimPair(t, nil)
 	_, err := a.Claim(t.Context(), "b", Claim{})
 	assert.ErrorIs(t, err, ErrUnanswered)
 	_, err = a.Claim(t.Context(), "nobody", Claim{})
 	assert.ErrorIs(t, err, ErrUnanswered)
-	a.placed(Place{ID: 7})
+	a.deliverPlace(Place{ID: 7})
 }
 
-// Guards against memory that is claimed for callers who have left.
-func TestClaimOfACallerWhoLeftIsWithdrawn(t *testing.T) {
+// Guards against memory that is claimed for callers that have disconnected.
+func TestClaimOfCancelledCallerIsWithdrawn(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
-	a, home := claimers(t, func(c Claim, answer func(Place)) {
+	a, home := newClaimPair(t, func(c Claim, answer func(Place)) {
 		answer(Place{ID: c.ID, State: PlaceWaiting})
 		leave()
 	})
@@ -88,24 +88,24 @@
 	}, poll.WithTimeout(30*time.Second))
 }
 
-// Guards against proofs that are dated by a datagram that only tells of loads.
-func TestLoadsLeaveTheDateOfTheLastReport(t *testing.T) {
-	x, k := newExchange(t, "a")
+// Guards against proofs of freshness that are dated by a datagram that contains only loads.
+func TestPartialLoadsKeepReportTime(t *testing.T) {
+	x, h := newExchange(t, "a")
 	defer x.conn.Close()
 	r := &Report{Instance: "b", Incarnation: 1, Sequence: 5, Made: time.Second}
-	now := x.wake()
+	now := x.checkStall()
 	assert.Assert(t, x.accept(now, r))
-	x.takeLoads(now, &Report{Instance: "b", Incarnation: 1, Sequence: 6, Loads: map[Hash]Load{3: {Requests: 1, Tokens: 2}}})
-	assert.Equal(t, x.heardOf(now, r.run()).Made, time.Second)
-	assert.Equal(t, len(k.loads), 1)
-	x.takeLoads(now, &Report{Instance: "b", Incarnation: 1, Sequence: 4})
-	x.takeLoads(now, &Report{Instance: "stranger", Incarnation: 1, Sequence: 9})
-	assert.Equal(t, len(k.loads), 1, "overtaken and unknown ones are dropped")
+	x.handleLoads(now, &Report{Instance: "b", Incarnation: 1, Sequence: 6, Loads: map[Hash]Load{3: {Requests: 1, Tokens: 2}}})
+	assert.Equal(t, x.lastHeard(now, r.run()).Made, time.Second)
+	assert.Equal(t, len(h.loads), 1)
+	x.handleLoads(now, &Report{Instance: "b", Incarnation: 1, Sequence: 4})
+	x.handleLoads(now, &Report{Instance: "stranger", Incarnation: 1, Sequence: 9})
+	assert.Equal(t, len(h.loads), 1, "reports that are overtaken or from unknown runs must be dropped")
 }
 
-// Guards against instances that ask different homes though they know the same hubs, and against
-// a home that is not the one that orders changes of roles.
-func TestAllNameTheSameHome(t *testing.T) {
+// Guards against instances that ask different homes although they know the same hubs, and against a
+// home that is not the instance that orders role changes.
+func TestInstancesAgreeOnHome(t *testing.T) {
 	var all []Member
 	for _, name := range []string{"a", "b", "c", "d"} {
 		all = append(all, Member{Name: name, Incarnation: 1, Address: "127.0.0.1:9"})
--- a/fleet/receive.go
+++ b/fleet/receive.go
@@ -10,9 +10,9 @@
 	"github.com/cairnworks/cairnworks/boottime"
 )
 
-// receive takes datagrams until the socket is closed.
+// receive reads and dispatches datagrams until the socket is closed.
 func (x *Exchange) receive(ctx context.Context) {
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := x.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
@@ -27,63 +27,63 @@
 			continue
 		}
 		now := boottime.Now()
-		if !x.ownFleet(r, from) {
+		if !x.inOwnFleet(r, from) {
 			continue
 		}
 		switch {
 		case r.Ask != nil:
-			x.grant(now, r, from)
+			x.answerAsk(now, r, from)
 		case r.Grant != nil:
-			x.granted(*r.Grant)
+			x.deliverGrant(*r.Grant)
 		case r.Claim != nil:
-			x.claimed(now, r, from)
+			x.handleClaim(now, r, from)
 		case r.Place != nil:
-			x.placed(*r.Place)
+			x.deliverPlace(*r.Place)
 		case r.Partial:
-			x.takeLoads(now, r)
+			x.handleLoads(now, r)
 		default:
-			x.take(now, r, from)
+			x.handleReport(now, r, from)
 		}
 	}
 }
 
-// take takes in a report and answers it if it is a poll.
-func (x *Exchange) take(now time.Duration, r *Report, from netip.AddrPort) {
+// handleReport processes a report and, if it is a poll, answers it.
+func (x *Exchange) handleReport(now time.Duration, r *Report, from netip.AddrPort) {
 	if x.stalled(now) {
 		return
 	}
-	if x.introduce != nil {
-		x.introduce(Member{Name: r.Instance, Incarnation: r.Incarnation, Address: from.String(), Machine: r.Machine})
+	if x.onReport != nil {
+		x.onReport(Member{Name: r.Instance, Incarnation: r.Incarnation, Address: from.String(), Machine: r.Machine})
 	}
-	if x.current != nil && !x.current(r.Instance, r.Incarnation) {
+	if x.isCurrent != nil && !x.isCurrent(r.Instance, r.Incarnation) {
 		return
 	}
 	if !x.accept(now, r) {
 		return
 	}
-	r.Earliest = x.earliest(now, r)
-	x.note(now, r)
+	r.Earliest = x.earliestMade(now, r)
+	x.recordFleetState(now, r)
 	x.handler.HandleReport(now, r)
 	if r.Poll != nil {
-		x.answer(now, r, from)
+		x.answerPoll(now, r, from)
 	}
 }
 
-// answer answers a poll.
-func (x *Exchange) answer(now time.Duration, poll *Report, to netip.AddrPort) {
-	r := x.begin(now)
-	r.Answer, r.Whole, r.Heard = true, poll.Poll.Whole, x.heardOf(now, poll.run())
+// answerPoll answers a poll.
+func (x *Exchange) answerPoll(now time.Duration, poll *Report, to netip.AddrPort) {
+	r := x.newReport(now)
+	r.Answer, r.Whole, r.Heard = true, poll.Poll.Whole, x.lastHeard(now, poll.run())
 	if poll.Heard.Run == 0 {
-		// The poller does not know this run yet.
+		// The sender of the poll does not know this run yet.
 		r.Machine = x.self.Machine
 	}
 	x.handler.FillAnswer(now, poll, r)
-	if best := x.choose(now).hubs; digest(best) != poll.Poll.Hubs {
+	if best := x.currentSelection(now).hubs; membersDigest(best) != poll.Poll.Hubs {
 		r.Hubs = best
 	}
 	data, err := r.marshal()
-	if err == nil && len(data) > maxDatagram {
-		err = errLargeReport
+	if err == nil && len(data) > maxDatagramBytes {
+		err = errReportTooLarge
 	}
 	if err != nil {
 		x.logger.Error("answer not sent", zap.Error(err))
@@ -94,15 +94,15 @@
 	}
 }
 
-// stalled reports whether what arrives now may have waited while the process stood still.
+// stalled reports whether a datagram that is read now may have been queued while the process stalled.
 func (x *Exchange) stalled(now time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return now < x.dropUntil || now-x.awake > stallGap
+	return now < x.dropUntil || now-x.lastWake > stallThreshold
 }
 
-// accept drops reports that were overtaken by newer ones, and those that waited while
-// the process stood still.
+// accept records a report as the newest of its run. It rejects reports that were overtaken by newer
+// ones or may have been queued while the process stalled.
 func (x *Exchange) accept(now time.Duration, r *Report) bool {
 	if x.stalled(now) {
 		return false
@@ -116,10 +116,11 @@
 	return true
 }
 
-// earliest is the earliest time at which a report can have been made: its sender tells which
-// report of this instance it had heard, by the time that stood in it, and how long ago. Clocks
-// are not compared, and a report that waited on its way only looks older.
-func (x *Exchange) earliest(now time.Duration, r *Report) time.Duration {
+// earliestMade returns the earliest time at which a report can have been made, or 0 if that is unknown.
+// The report contains the creation time of the last report that its sender had received from this
+// instance, and the age of that report. No clocks are compared, and a report that was delayed in
+// transit only appears older.
+func (x *Exchange) earliestMade(now time.Duration, r *Report) time.Duration {
 	self := RunOf(x.self.Name, x.self.Incarnation)
 	if r.Heard.Run != self || r.Heard.Made <= 0 || r.Heard.Made+r.Heard.Age > now {
 		return 0
@@ -127,36 +128,36 @@
 	return r.Heard.Made + r.Heard.Age
 }
 
-// note takes in what a report tells of the fleet.
-func (x *Exchange) note(now time.Duration, r *Report) {
+// recordFleetState updates the sender's state and processes what a report says about the fleet.
+func (x *Exchange) recordFleetState(now time.Duration, r *Report) {
 	x.mu.Lock()
 	if p, known := x.peers[r.Instance]; known {
-		if x.silent(now, p) || p.leaving != r.Leaving {
-			x.chosen.at = 0
+		if x.isSilent(now, p) || p.leaving != r.Leaving {
+			x.selection.at = 0
 		}
-		p.unanswered, p.suspect, p.leaving = 0, 0, r.Leaving
+		p.unansweredSince, p.suspectUntil, p.leaving = 0, 0, r.Leaving
 	}
 	if r.Answer && r.Instances > 0 {
-		x.told[r.Instance] = toldSize{r.Instances, now}
+		x.reportedSizes[r.Instance] = reportedSize{r.Instances, now}
 	}
 	x.mu.Unlock()
-	if x.vouched == nil {
+	if x.onMention == nil {
 		return
 	}
 	for _, m := range r.Hubs {
 		if m.Name != x.self.Name {
-			x.vouched(m)
-			x.vouch(now, m)
+			x.onMention(m)
+			x.retryMentioned(now, m)
 		}
 	}
 }
 
-// vouch gives an instance that was silent here another chance, since a hub hears it.
-func (x *Exchange) vouch(now time.Duration, m Member) {
+// retryMentioned makes a silent instance a candidate again because another instance still lists it.
+func (x *Exchange) retryMentioned(now time.Duration, m Member) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if p, known := x.peers[m.Name]; known && p.unanswered > 0 && now-p.unanswered > vouchAfter {
-		p.unanswered = 0
-		x.chosen.at = 0
+	if p, known := x.peers[m.Name]; known && p.unansweredSince > 0 && now-p.unansweredSince > mentionRetryDelay {
+		p.unansweredSince = 0
+		x.selection.at = 0
 	}
 }
--- a/fleet/record.go
+++ b/fleet/record.go
@@ -10,22 +10,22 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// Figures of records in reports.
+// Limits of records in reports.
 const (
-	// deflateFrom is the size in bytes from which a value is compressed. A configuration in
-	// JSON shrinks to a fifth; entries of upstreams are too small to be worth it.
-	deflateFrom = 512
-	// maxValue bounds a value that is taken in, in bytes, so that a forged report cannot
-	// fill the memory.
-	maxValue = 1 << 20
+	// minDeflateBytes is the size from which a value is compressed. A JSON configuration shrinks to
+	// a fifth; entries of upstreams are too small for compression to pay off.
+	minDeflateBytes = 512
+	// maxValueBytes is the maximum size of a decompressed value, so that a forged report cannot
+	// exhaust memory.
+	maxValueBytes = 1 << 20
 )
 
-var errLargeRecord = errors.New("a record in a report is too large")
+var errRecordTooLarge = errors.New("record in a report exceeds the maximum size")
 
-// marshalRecord returns a record as it is sent to every other instance.
+// marshalRecord encodes a record, compressing its value if that makes it smaller.
 func marshalRecord(record port.KeyedRecord) *fleetv1.Record {
 	m := &fleetv1.Record{Key: record.Key, Value: record.Value, Offset: record.Offset}
-	if len(record.Value) < deflateFrom {
+	if len(record.Value) < minDeflateBytes {
 		return m
 	}
 	if packed, err := deflate(record.Value); err == nil && len(packed) < len(record.Value) {
@@ -39,12 +39,12 @@
 	if !m.Deflated {
 		return record, nil
 	}
-	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(m.Value)), maxValue+1))
+	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(m.Value)), maxValueBytes+1))
 	if err != nil {
 		return port.KeyedRecord{}, err
 	}
-	if len(value) > maxValue {
-		return port.KeyedRecord{}, errLargeRecord
+	if len(value) > maxValueBytes {
+		return port.KeyedRecord{}, errRecordTooLarge
 	}
 	record.Value = value
 	return record, nil
--- a/fleet/report.go
+++ b/fleet/report.go
@@ -1,5 +1,5 @@
-// Package fleet is what instances know of one another: which there are, and what
-// each has spent, placed and heard.
+// Package fleet exchanges state between the instances of a fleet: which instances there are, and what
+// each of them has spent, placed and heard.
 package fleet
 
 import (
@@ -15,134 +15,134 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// Hash is the short form of a name in reports.
+// Hash is the hash that stands for a name in reports.
 type Hash uint64
 
-// HashOf returns the short form of a name.
+// HashOf returns the hash of a name.
 func HashOf(name string) Hash { return Hash(xxhash.Sum64String(name)) }
 
-// ShortHashOf is the short form of an upstream's id among the loads of a report, of which there
-// are many.
+// ShortHashOf returns the hash of an upstream ID in 32 bits. A report has many loads, each with one.
 func ShortHashOf(id string) Hash { return Hash(uint32(HashOf(id))) }
 
-// Run is the short form of one run of an instance in reports.
+// Run is the hash that identifies one run of an instance in reports.
 type Run uint32
 
-// RunOf returns the short form of an instance's run.
+// RunOf returns the hash of a run.
 func RunOf(name string, incarnation uint64) Run {
 	return Run(xxhash.Sum64(binary.BigEndian.AppendUint64([]byte(name), incarnation)))
 }
 
-// Load is what an instance has placed at an upstream.
+// Load is the work that an instance has placed at an upstream.
 type Load struct{ Requests, Tokens int }
 
-// Heard tells when a report's sender last heard its receiver.
+// Heard is when the sender of a report last heard its receiver.
 type Heard struct {
-	// Run of the receiver, 0 if it was not heard.
+	// Run is the run of the receiver, or 0 if it was not heard.
 	Run Run
-	// Age of the last report from it, and when that was made by the receiver's clock.
+	// Age is the age of the last report from the receiver; Made is when that was made, by the
+	// receiver's clock.
 	Age, Made time.Duration
 }
 
-// Machine is what an instance runs on.
+// Machine describes the machine of an instance.
 type Machine struct {
 	DataCentre string `json:"data_centre,omitempty"`
-	// Millicores is the processor time that it may use, in thousandths of a core.
+	// Millicores is the CPU time available to the instance, in thousandths of a core.
 	Millicores int `json:"millicores,omitempty"`
 }
 
-// Poll is what a report asks of its receiver.
+// Poll is a request for an answer to a report.
 type Poll struct {
-	// Whole asks for what the receiver knows of all instances.
+	// Whole requests the receiver's state of all instances.
 	Whole bool
-	// Hubs is the digest of those that the sender has chosen.
+	// Hubs is the digest of the hubs that the sender has selected.
 	Hubs uint64
 }
 
-// Bill is what an instance has spent of an organisation's bucket at another, in total.
+// Bill is the total that an instance has spent from an organisation's bucket at another instance.
 type Bill struct {
 	Organisation Hash
 	Tokens       int64
 }
 
-// Ask asks for tokens of an organisation's bucket.
+// Ask requests tokens from an organisation's bucket.
 type Ask struct {
 	ID           uint64
 	Organisation Hash
 	Tokens       int64
 }
 
-// Grant answers an ask.
+// Grant is the answer to an ask.
 type Grant struct {
 	ID               uint64
 	Granted, Unknown bool
 	Retry            time.Duration
-	// Level is what is left in tokens, Part the part of the rate that flows in.
+	// Level is the number of tokens left; Part is the part of the rate that flows into the bucket.
 	Level, Part float64
 }
 
-// Crash is a request whose upstream ended while it ran.
+// Crash is a request whose upstream ended while the request was running.
 type Crash struct {
 	Fingerprint uint64
-	// Upstream is the run that ended.
+	// Upstream is the run of the upstream that ended.
 	Upstream Hash
 	Age      time.Duration
 }
 
-// Work is what an instance has seen of the requests of a model service.
+// Work is what an instance has observed of the requests of a model service.
 type Work struct {
 	Split   split.Stats
 	Lengths length.Sums
 }
 
-// Report is what an instance tells others. All figures are totals, so that a lost report is
-// made good by the next.
+// Report is the state that an instance sends to others. All figures are totals, so that the next report
+// makes up for a lost one.
 type Report struct {
 	Instance    string
 	Incarnation uint64
 	Sequence    uint64
 	Machine     Machine
-	// Instances is how many the sender knows of, itself included; 0 while it does not know who is
-	// in the fleet.
+	// Instances is the number of instances known to the sender, including itself, or 0 while the
+	// sender does not know the members of the fleet.
 	Instances int
-	// Leaving tells that the sender takes no new work, or soon will not.
+	// Leaving means that the sender accepts no new work, or is about to stop accepting it.
 	Leaving bool
 	// Made is when the report was made, by the sender's clock.
 	Made  time.Duration
 	Heard Heard
-	// Poll is nil where no answer is asked for.
+	// Poll is nil if no answer is requested.
 	Poll *Poll
-	// Answer tells that the report answers a poll, Whole that its loads and works are those of
-	// all instances but the receiver.
+	// Answer means that the report answers a poll; Whole means that its loads and works are those
+	// of all instances except the receiver.
 	Answer, Whole bool
-	// Loads by the short hashes of upstreams' ids.
+	// Loads are keyed by the short hash of the upstream ID.
 	Loads   map[Hash]Load
 	Crashes []Crash
 	Notes   []follow.Note
-	// Known are the offsets up to which the sender knows the topics of the store.
+	// Known are the offsets up to which the sender has the topics of the store.
 	Known map[port.Topic]uint64
-	// Works is what was seen of the requests of model services.
+	// Works are the observations of the requests of model services, keyed by the hash of the service.
 	Works map[Hash]Work
-	// Shares are totals of the time of all rates that were handed to the receiver, by shard.
+	// Shares are totals, by shard, of the time of all rates that were handed to the receiver.
 	Shares map[int]time.Duration
 	Bills  []Bill
-	// Short are organisations whose buckets at the sender are empty.
+	// Short lists the organisations whose buckets at the sender are empty.
 	Short []Hash
-	// Hubs are instances that the sender would choose as hubs.
+	// Hubs lists the instances that the sender would select as hubs.
 	Hubs []Member
-	// Fleet is what the sender says of its fleet, in most reports without the name. It is
-	// empty in reports of versions that do not tell it.
+	// Fleet is the sender's fleet identity. Most reports omit the name. It is empty in reports of
+	// versions that do not send it.
 	Fleet fleetid.Identity
-	// Ask, Grant, Claim and Place stand alone in a datagram.
+	// A report with Ask, Grant, Claim or Place has no other content.
 	Ask   *Ask
 	Grant *Grant
 	Claim *Claim
 	Place *Place
-	// Partial tells that there are loads only, and of them those that have just changed.
+	// Partial means that the report has only loads, and only those that have just changed.
 	Partial bool
-	// Earliest is the earliest time, of the receiver's clock that counts through
-	// suspensions, at which the sender can have made the report; 0 if it has not heard
-	// the receiver yet. It is not sent.
+	// Earliest is the earliest time at which the sender can have made the report, by the receiver's
+	// clock that includes suspensions, or 0 if the sender has not heard the receiver yet. It is not
+	// sent.
 	Earliest time.Duration
 }
 
--- a/fleet/sender.go
+++ b/fleet/sender.go
@@ -6,38 +6,38 @@
 	"github.com/cairnworks/cairnworks/fleetid"
 )
 
-// SetFleet sets the fleet whose reports are taken, and is to be called before Run. Without it
-// whoever sends a readable datagram counts as an instance.
-func (x *Exchange) SetFleet(fleet *fleetid.Verifier) { x.fleet = fleet }
+// SetFleet sets the verifier of the fleet whose reports are accepted. It must be called before Run.
+// Without it, the sender of any valid datagram counts as an instance.
+func (x *Exchange) SetFleet(fleet *fleetid.Verifier) { x.verifier = fleet }
 
-// identity is what this instance says of its fleet.
+// identity returns this instance's fleet identity, which is empty without a verifier.
 func (x *Exchange) identity() fleetid.Identity {
-	if x.fleet == nil {
+	if x.verifier == nil {
 		return fleetid.Identity{}
 	}
-	return x.fleet.Identity()
+	return x.verifier.Identity()
 }
 
-// ownFleet reports whether a report comes from an instance of this fleet. Another deployment's
-// instance sends here when it was given an address that this one's list still names, or the
-// other way round. Taken for one of this fleet it would take a share of every quota, its counts
-// of engines would be added to these, and each deployment would learn the other's
-// configuration: callers' keys would hold where they were never given. Names do not tell
-// deployments apart, so that nobody is heard until both ids are known.
-func (x *Exchange) ownFleet(r *Report, from netip.AddrPort) bool {
+// inOwnFleet reports whether a report comes from an instance of this fleet. An instance of another
+// deployment sends reports here if it was assigned an address that this fleet still lists, or the other
+// way round. If it were accepted as a member, it would get a share of every quota, its load counts
+// would be added to this fleet's, and each deployment would adopt the other's configuration, so that
+// callers' keys would be valid where they were never issued. Fleet names do not distinguish
+// deployments, so reports are rejected until both IDs are known.
+func (x *Exchange) inOwnFleet(r *Report, from netip.AddrPort) bool {
 	switch {
-	case x.fleet == nil:
+	case x.verifier == nil:
 		return true
 	case r.Fleet == (fleetid.Identity{}):
-		// A version that does not tell its fleet is known by the store's list.
-		return x.listed(RunOf(r.Instance, r.Incarnation), r.Instance)
+		// Versions that do not send their fleet are accepted if the run is in the list of instances.
+		return x.isKnownRun(RunOf(r.Instance, r.Incarnation), r.Instance)
 	default:
-		return x.fleet.Check(r.Fleet, r.Instance, from.String()) == fleetid.SameFleet
+		return x.verifier.Check(r.Fleet, r.Instance, from.String()) == fleetid.SameFleet
 	}
 }
 
-// listed reports whether a run is one that is known here.
-func (x *Exchange) listed(run Run, name string) bool {
+// isKnownRun reports whether this is the known run of the named instance.
+func (x *Exchange) isKnownRun(run Run, name string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	p, known := x.peers[name]
