--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -76,7 +76,7 @@
 	s := b.window(service)
 	s.requests = dropBefore(s.requests, now-b.limit.Window)
 	s.retries = dropBefore(s.retries, now-b.limit.Window)
-	slack := b.fleetSize().Part(b.limit.Slack)
+	slack := b.fleetSize().PerInstance(b.limit.Slack)
 	if now < b.slackAvailableFrom {
 		slack = 0
 	}
--- a/gateway/dispatcher.go
+++ b/gateway/dispatcher.go
@@ -194,7 +194,7 @@
 func (d *dispatcher) dropExpired() {
 	now := boottime.Now()
 	for item, queued := range d.requests {
-		if queued.remote != nil && queued.remote.expired(now, fleet.ClaimLife) {
+		if queued.remote != nil && queued.remote.expired(now, fleet.ClaimTTL) {
 			d.queue.Remove(item)
 			delete(d.requests, item)
 			d.gateway.dispatchers.forget(queued.remote)
--- a/gateway/placement_test.go
+++ b/gateway/placement_test.go
@@ -58,7 +58,7 @@
 	places := make(chan fleet.Place, 100)
 	claim := func() { f.gateways[0].HandleClaim(boottime.Now(), h.name(), c, func(p fleet.Place) { places <- p }) }
 	claim()
-	refresh := time.NewTicker(fleet.ClaimLife / 3)
+	refresh := time.NewTicker(fleet.ClaimTTL / 3)
 	defer refresh.Stop()
 	for {
 		select {
@@ -227,7 +227,7 @@
 		_, v := f.dispatcher(4).place(ctx, placementRequest{item: newItem(time.Minute)})
 		assert.Assert(t, v != nil)
 		abandoned := fleet.Claim{ID: 1 << 41, Service: fleet.HashOf("model"), Tokens: 250, Objective: time.Minute, Left: time.Minute}
-		home.handleClaim(boottime.Now()-2*fleet.ClaimLife, "i5", abandoned, func(fleet.Place) {})
+		home.handleClaim(boottime.Now()-2*fleet.ClaimTTL, "i5", abandoned, func(fleet.Place) {})
 		f.dispatcher(0).release(upstream.Entry{ID: "d0"}, 250)
 		entry, v := f.dispatcher(6).place(t.Context(), placementRequest{item: newItem(time.Second)})
 		assert.Assert(t, v == nil && entry.ID == "d0", "the engine is assigned to a request that still waits")
--- a/membership/config.go
+++ b/membership/config.go
@@ -38,7 +38,7 @@
 	// Fleet distinguishes datagrams of this fleet from those of other fleets with the
 	// same secret. If it is nil, datagrams of any instance with the secret are
 	// accepted.
-	Fleet *fleetid.Keeper
+	Fleet *fleetid.Verifier
 	// Hints returns additional addresses of instances, such as those recorded in the
 	// fleet's log. It may be nil.
 	Hints func() []string
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -17,7 +17,7 @@
 // encode and decode datagrams.
 func newFleetService(t *testing.T, id fleetid.ID, name string) *Service {
 	t.Helper()
-	cfg := Config{Secret: []byte("0123456789abcdef"), Fleet: fleetidtest.Keeper(t, id, name)}
+	cfg := Config{Secret: []byte("0123456789abcdef"), Fleet: fleetidtest.Verifier(t, id, name)}
 	return &Service{cfg: cfg, codec: newCodec(cfg), metrics: newMetrics(tally.NoopScope)}
 }
 
@@ -61,7 +61,7 @@
 	oldDatagram := func(name string) []byte {
 		body, err := proto.Marshal(&membershipv1.Packet{Kind: membershipv1.Kind_KIND_PING, From: "b"})
 		assert.NilError(t, err)
-		return append(body, mac([]byte(fleetid.Key("0123456789abcdef", name)), body)...)
+		return append(body, mac([]byte(fleetid.SigningKey("0123456789abcdef", name)), body)...)
 	}
 	_, ok := own.decodeDatagram(oldDatagram("rota"), "127.0.0.1:1")
 	assert.Assert(t, ok)
@@ -71,7 +71,7 @@
 	datagram, err := own.codec.encode(gossip.Packet{Kind: gossip.Ping, From: "a"})
 	assert.NilError(t, err)
 	body := datagram[:len(datagram)-macBytes]
-	assert.DeepEqual(t, datagram[len(body):], mac([]byte(fleetid.Key("0123456789abcdef", "rota")), body))
+	assert.DeepEqual(t, datagram[len(body):], mac([]byte(fleetid.SigningKey("0123456789abcdef", "rota")), body))
 }
 
 // A datagram whose MAC was made with the key of another fleet name than the one it contains is
@@ -80,7 +80,7 @@
 	own := newFleetService(t, 7, "rota")
 	body, err := proto.Marshal(&membershipv1.Packet{Kind: membershipv1.Kind_KIND_PING, From: "b", FleetId: 7, FleetName: "tickets"})
 	assert.NilError(t, err)
-	forged := append(body, mac([]byte(fleetid.Key("0123456789abcdef", "rota")), body)...)
+	forged := append(body, mac([]byte(fleetid.SigningKey("0123456789abcdef", "rota")), body)...)
 	_, ok := own.decodeDatagram(forged, "127.0.0.1:1")
 	assert.Assert(t, !ok)
 }
--- a/peer/credentials.go
+++ b/peer/credentials.go
@@ -22,13 +22,13 @@
 type Option func(*credentials)
 
 // WithFleet distinguishes calls of this fleet from those of other fleets with the same secret.
-func WithFleet(fleet *fleetid.Keeper) Option { return func(c *credentials) { c.fleet = fleet } }
+func WithFleet(fleet *fleetid.Verifier) Option { return func(c *credentials) { c.fleet = fleet } }
 
 // credentials are what an instance sends with its calls to peers and requires of theirs.
 type credentials struct {
 	secret string
 	// fleet is nil if only the secret is checked.
-	fleet *fleetid.Keeper
+	fleet *fleetid.Verifier
 }
 
 func newCredentials(secret string, options []Option) credentials {
@@ -49,7 +49,7 @@
 		return
 	}
 	own := c.fleet.Identity()
-	h.Set(secretHeader, fleetid.Key(c.secret, own.Name))
+	h.Set(secretHeader, fleetid.SigningKey(c.secret, own.Name))
 	h.Set(fleetIDHeader, own.ID.String())
 	h.Set(fleetNameHeader, url.PathEscape(own.Name))
 }
@@ -74,7 +74,7 @@
 			next.ServeHTTP(w, r)
 			return
 		}
-		relation := c.fleet.Meet(other, "", r.RemoteAddr)
+		relation := c.fleet.Check(other, "", r.RemoteAddr)
 		if !relation.Member() {
 			http.Error(w, "this instance belongs to fleet "+c.fleet.Identity().ID.String()+", not "+other.ID.String(), http.StatusForbidden)
 			return
@@ -96,7 +96,7 @@
 	if id, err := fleetid.ParseID(h.Get(fleetIDHeader)); err == nil {
 		other.ID = id
 	}
-	return other, fleetid.Key(c.secret, other.Name)
+	return other, fleetid.SigningKey(c.secret, other.Name)
 }
 
 // RequireSameLog rejects callers that are not known to use the same log as this instance. It is
