--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -1,10 +1,9 @@
-// Package boottime reads a clock that keeps counting while the machine is
-// suspended.
+// Package boottime reads a clock that continues to advance while the machine is suspended.
 //
-// Go's monotonic clock stops while a machine is suspended. A lease or a proof of
-// freshness judged by it looks young after minutes of suspension, and the first
-// thing an instance would do on waking is to act on what it knew before. The time
-// of day counts through a suspension but jumps when it is corrected.
+// Go's monotonic clock stops while the machine is suspended. An expired lease or an outdated proof of
+// freshness would still appear valid after a suspension of several minutes, and a resumed instance
+// would act on outdated state. The wall clock advances during a suspension but jumps when it is
+// adjusted.
 package boottime
 
 import (
@@ -16,13 +15,12 @@
 // Clock returns the time since boot.
 type Clock func() time.Duration
 
-// Now returns the time since the machine was booted, suspensions included. It
-// never goes back.
+// Now returns the time since the machine booted, including time in suspension. It never decreases.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// The call only fails for a clock that the kernel does not know; every
-		// kernel since 2.6.39 knows this one.
+		// The call fails only for a clock that the kernel does not support. CLOCK_BOOTTIME is
+		// supported since Linux 2.6.39.
 		panic("boottime: " + err.Error())
 	}
 	return time.Duration(ts.Nano())
--- a/settings/load.go
+++ b/settings/load.go
@@ -12,13 +12,13 @@
 	"unicode"
 )
 
-// minLogRetentionSeconds keeps half of the retention, the time for which
-// idempotency keys are remembered, an hour below the whole: what a reader needs
-// to fall behind without losing sight of a key.
+// minLogRetentionSeconds is the shortest allowed log retention. Idempotency keys are remembered for
+// half of the retention. At this minimum the other half is one hour, which is how far a reader of
+// the log may fall behind without missing a key.
 const minLogRetentionSeconds = 7200
 
-// Fault is one thing wrong with a settings file.
-type Fault struct {
+// FieldError describes an invalid field of a settings file.
+type FieldError struct {
 	File    string
 	Field   string
 	Given   string
@@ -26,11 +26,12 @@
 }
 
 // Error implements error.
-func (f Fault) Error() string {
+func (f FieldError) Error() string {
 	return fmt.Sprintf("%s: field %q: got %s, allowed is %s", f.File, f.Field, f.Given, f.Allowed)
 }
 
-// Load reads and checks a settings file. The error joins every Fault found.
+// Load reads and validates a settings file. The returned error joins a FieldError for every invalid
+// field.
 func Load(file string) (Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -39,138 +40,139 @@
 	return Parse(file, data)
 }
 
-// LoadPartial reads a settings file over given settings: fields that the file
-// does not name keep what base says.
+// LoadPartial reads and validates a settings file that overrides base: fields that the file omits
+// keep their values from base.
 func LoadPartial(file string, base Settings) (Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return Settings{}, err
 	}
-	return parseOver(file, data, base)
+	return parseWithBase(file, data, base)
 }
 
-// Parse checks the settings in data; file only names them in errors.
+// Parse decodes and validates the settings in data. The file name is used in errors only.
 func Parse(file string, data []byte) (Settings, error) {
-	return parseOver(file, data, Default())
+	return parseWithBase(file, data, Default())
 }
 
-func parseOver(file string, data []byte, s Settings) (Settings, error) {
+func parseWithBase(file string, data []byte, s Settings) (Settings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&s); err != nil {
-		return Settings{}, decodeFault(file, err)
+		return Settings{}, decodeError(file, err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return Settings{}, Fault{file, "(file)", "more than one JSON value", "one object"}
+		return Settings{}, FieldError{file, "(file)", "more than one JSON value", "one object"}
 	}
-	return s, check(file, s)
+	return s, validate(file, s)
 }
 
-// decodeFault turns the decoder's errors into a Fault that names the field.
-func decodeFault(file string, err error) error {
-	var wrongType *json.UnmarshalTypeError
-	if errors.As(err, &wrongType) {
-		return Fault{file, wrongType.Field, "a JSON " + wrongType.Value, "a value of type " + wrongType.Type.String()}
+// decodeError converts an error of the JSON decoder to a FieldError that names the field.
+func decodeError(file string, err error) error {
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return FieldError{file, typeErr.Field, "a JSON " + typeErr.Value, "a value of type " + typeErr.Type.String()}
 	}
 	if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
-		return Fault{file, strings.Trim(name, `"`), "an unknown field", "only the fields that 'cairnworksd settings' lists"}
+		return FieldError{file, strings.Trim(name, `"`), "an unknown field", "only the fields that 'cairnworksd settings' lists"}
 	}
-	return Fault{file, "(file)", err.Error(), "valid JSON"}
+	return FieldError{file, "(file)", err.Error(), "valid JSON"}
 }
 
-// checker collects the faults of one file.
-type checker struct {
-	file   string
-	faults []error
+// validator collects the errors of one file.
+type validator struct {
+	file string
+	errs []error
 }
 
-func (c *checker) fault(field, given, allowed string) {
-	c.faults = append(c.faults, Fault{c.file, field, given, allowed})
+func (v *validator) reject(field, given, allowed string) {
+	v.errs = append(v.errs, FieldError{v.file, field, given, allowed})
 }
 
-func check(file string, s Settings) error {
-	c := &checker{file: file}
-	c.required("instance", s.Instance)
-	c.required("data_centre", s.DataCentre)
-	c.fleet(s.Fleet)
-	c.address("callers.address", s.Callers.Address, true)
-	c.address("peers.address", s.Peers.Address, true)
-	c.address("operators.address", s.Operators.Address, true)
-	c.address("platform.log", s.Platform.Log, true)
-	c.address("platform.list", s.Platform.List, false)
-	c.address("platform.weights", s.Platform.Weights, false)
+func validate(file string, s Settings) error {
+	v := &validator{file: file}
+	v.required("instance", s.Instance)
+	v.required("data_centre", s.DataCentre)
+	v.fleet(s.Fleet)
+	v.address("callers.address", s.Callers.Address, true)
+	v.address("peers.address", s.Peers.Address, true)
+	v.address("operators.address", s.Operators.Address, true)
+	v.address("platform.log", s.Platform.Log, true)
+	v.address("platform.list", s.Platform.List, false)
+	v.address("platform.weights", s.Platform.Weights, false)
 	for i, seed := range s.Peers.Seeds {
-		c.address(fmt.Sprintf("peers.seeds[%d]", i), seed, true)
+		v.address(fmt.Sprintf("peers.seeds[%d]", i), seed, true)
 	}
-	c.tls("callers.tls", s.Callers.TLS)
-	c.tls("peers.tls", s.Peers.TLS)
-	c.guarded("peers", s.Peers.Address, "secret_file", s.Peers.SecretFile)
-	c.guarded("operators", s.Operators.Address, "token_file", s.Operators.TokenFile)
-	c.level(s.LogLevel)
+	v.tls("callers.tls", s.Callers.TLS)
+	v.tls("peers.tls", s.Peers.TLS)
+	v.secretRequired("peers", s.Peers.Address, "secret_file", s.Peers.SecretFile)
+	v.secretRequired("operators", s.Operators.Address, "token_file", s.Operators.TokenFile)
+	v.level(s.LogLevel)
 	if s.Platform.LogRetentionSeconds < minLogRetentionSeconds {
-		c.fault("platform.log_retention_seconds", fmt.Sprint(s.Platform.LogRetentionSeconds), fmt.Sprintf("%d or more", minLogRetentionSeconds))
+		v.reject("platform.log_retention_seconds", fmt.Sprint(s.Platform.LogRetentionSeconds), fmt.Sprintf("%d or more", minLogRetentionSeconds))
 	}
 	if s.DrainSeconds < 0 {
-		c.fault("drain_seconds", fmt.Sprint(s.DrainSeconds), "0 or more")
+		v.reject("drain_seconds", fmt.Sprint(s.DrainSeconds), "0 or more")
 	}
 	if s.DrainGraceSeconds < 0 {
-		c.fault("drain_grace_seconds", fmt.Sprint(s.DrainGraceSeconds), "0 or more")
+		v.reject("drain_grace_seconds", fmt.Sprint(s.DrainGraceSeconds), "0 or more")
 	}
 	if s.HeaderSeconds < 1 {
-		c.fault("header_seconds", fmt.Sprint(s.HeaderSeconds), "1 or more")
+		v.reject("header_seconds", fmt.Sprint(s.HeaderSeconds), "1 or more")
 	}
-	return errors.Join(c.faults...)
+	return errors.Join(v.errs...)
 }
 
-func (c *checker) required(field, value string) {
+func (v *validator) required(field, value string) {
 	if value == "" {
-		c.fault(field, "nothing", "a name")
+		v.reject(field, "nothing", "a name")
 	}
 }
 
-// maxFleetName bounds the fleet's name in bytes; every datagram between instances carries it.
+// maxFleetName is the maximum length of the fleet's name in bytes. Every datagram between instances
+// contains the name.
 const maxFleetName = 64
 
-func (c *checker) fleet(name string) {
+func (v *validator) fleet(name string) {
 	if len(name) > maxFleetName || strings.ContainsFunc(name, unicode.IsControl) {
-		c.fault("fleet", fmt.Sprintf("%q", name), fmt.Sprintf("up to %d bytes without control characters", maxFleetName))
+		v.reject("fleet", fmt.Sprintf("%q", name), fmt.Sprintf("up to %d bytes without control characters", maxFleetName))
 	}
 }
 
-func (c *checker) address(field, value string, required bool) {
+func (v *validator) address(field, value string, required bool) {
 	if value == "" && !required {
 		return
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.fault(field, fmt.Sprintf("%q", value), "an IP number and a port, such as 127.0.0.1:8080")
+		v.reject(field, fmt.Sprintf("%q", value), "an IP address and a port, such as 127.0.0.1:8080")
 	}
 }
 
-func (c *checker) tls(field string, t TLS) {
+func (v *validator) tls(field string, t TLS) {
 	if (t.CertFile == "") != (t.KeyFile == "") {
-		c.fault(field, "one of cert_file and key_file", "both or none")
+		v.reject(field, "one of cert_file and key_file", "both or neither")
 	}
-	// Without a certificate the listener speaks plain TCP and checks nobody's
-	// certificate, while whoever wrote the file believes that it does.
+	// Without its own certificate, the listener uses plain TCP and verifies no client certificates,
+	// although the operator who set ca_file expects it to.
 	if t.CAFile != "" && t.CertFile == "" {
-		c.fault(field+".ca_file", "a file without cert_file", "ca_file beside cert_file and key_file")
+		v.reject(field+".ca_file", "a file without cert_file", "ca_file together with cert_file and key_file")
 	}
 }
 
-// guarded refuses an unprotected address that others can reach: anybody on the
-// network could then drain instances or inject grants.
-func (c *checker) guarded(section, address, field, file string) {
+// secretRequired rejects an address other than loopback without a secret or token file, because
+// anyone on the network could then drain instances or inject grants.
+func (v *validator) secretRequired(section, address, field, file string) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || file != "" || parsed.Addr().IsLoopback() {
 		return
 	}
-	c.fault(section+"."+field, "nothing", "a file, as "+section+".address is not a loopback address")
+	v.reject(section+"."+field, "nothing", "a file, because "+section+".address is not a loopback address")
 }
 
-func (c *checker) level(level string) {
+func (v *validator) level(level string) {
 	switch level {
 	case "debug", "info", "warn", "error":
 	default:
-		c.fault("log_level", fmt.Sprintf("%q", level), "debug, info, warn or error")
+		v.reject("log_level", fmt.Sprintf("%q", level), "debug, info, warn or error")
 	}
 }
--- a/settings/routed.go
+++ b/settings/routed.go
@@ -15,9 +15,9 @@
 type Routed struct {
 	Instance   string `json:"instance" doc:"name of this instance, unique in the fleet" unit:"name" default:"required"`
 	DataCentre string `json:"data_centre" doc:"data centre of this instance; upstreams in it are preferred when all else is equal" unit:"name" default:"required"`
-	// Fleet is what people call the fleet.
+	// Fleet is the name of the fleet in logs.
 	Fleet string `json:"fleet" doc:"name of the fleet in logs, up to 64 bytes. It decides nothing: fleets are told apart by the id that their store keeps" unit:"name" default:"the address of the store"`
-	// FirstStart tells that the whole system starts for the first time.
+	// FirstStart is set when the whole system starts for the first time.
 	FirstStart bool `json:"first_start" doc:"the whole system starts for the first time: nothing of any quota can have been used" unit:"true or false" default:"false"`
 
 	Callers   string `json:"callers" doc:"address for callers" unit:"IP:port" default:"required"`
@@ -28,7 +28,7 @@
 
 	Cores    float64 `json:"cores" doc:"processor time that the process may use; of a large fleet the machines with most pass on what the others tell" unit:"cores" default:"0, which is least"`
 	MemoryMB int     `json:"memory_mb" doc:"memory that the process may use; the runtime collects garbage harder from half of it on" unit:"MB" default:"no bound"`
-	// RevokeMS is the platform's bound on how long a withdrawn key may go on working.
+	// RevokeMS is the platform's upper bound on how long a withdrawn key may still be accepted.
 	RevokeMS   int     `json:"revoke_ms" doc:"longest time that a withdrawn key may still work, also on an instance that is cut off" unit:"ms" default:"5000"`
 	ApplyMS    int     `json:"apply_ms" doc:"time in which a new configuration must be in force" unit:"ms" default:"2000"`
 	LeaveMS    int     `json:"leave_ms" doc:"longest time in which an upstream that has told that it leaves may still get work" unit:"ms" default:"2000"`
@@ -43,12 +43,13 @@
 	LogLevel   string  `json:"log_level" doc:"least severe level that is logged" unit:"debug, info, warn or error" default:"info"`
 }
 
-// DefaultRouted returns the settings that hold where a file says nothing.
+// DefaultRouted returns the default values of the settings.
 func DefaultRouted() Routed {
 	return Routed{RevokeMS: 5000, ApplyMS: 2000, LeaveMS: 2000, GraceS: 8, RetryRatio: 0.1, RetryS: 10, RetrySlack: 20, QuotaS: 8, LeaseMS: 3000, LogLevel: "info"}
 }
 
-// LoadRouted reads and checks a settings file. The error joins every Fault found.
+// LoadRouted reads and validates a settings file. The returned error joins a FieldError for every
+// invalid field.
 func LoadRouted(file string) (Routed, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -57,21 +58,21 @@
 	return ParseRouted(file, data)
 }
 
-// ParseRouted checks the settings in data; file only names them in errors.
+// ParseRouted decodes and validates the settings in data. The file name is used in errors only.
 func ParseRouted(file string, data []byte) (Routed, error) {
 	s := DefaultRouted()
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&s); err != nil {
-		return Routed{}, decodeFault(file, err)
+		return Routed{}, decodeError(file, err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return Routed{}, Fault{file, "(file)", "more than one JSON value", "one object"}
+		return Routed{}, FieldError{file, "(file)", "more than one JSON value", "one object"}
 	}
-	return s, s.check(file)
+	return s, s.validate(file)
 }
 
-// FleetName is the name of the fleet that the instance belongs to.
+// FleetName returns the name of the instance's fleet. The default is the address of the store.
 func (s *Routed) FleetName() string {
 	if s.Fleet != "" {
 		return s.Fleet
@@ -79,17 +80,17 @@
 	return s.Store
 }
 
-func (s *Routed) check(file string) error {
-	c := &checker{file: file}
-	c.required("instance", s.Instance)
-	c.required("data_centre", s.DataCentre)
-	c.fleet(s.Fleet)
-	c.address("callers", s.Callers, true)
-	c.address("readiness", s.Readiness, true)
-	c.address("reports", s.Reports, true)
-	c.address("metrics", s.Metrics, false)
-	c.address("store", s.Store, true)
-	c.level(s.LogLevel)
+func (s *Routed) validate(file string) error {
+	v := &validator{file: file}
+	v.required("instance", s.Instance)
+	v.required("data_centre", s.DataCentre)
+	v.fleet(s.Fleet)
+	v.address("callers", s.Callers, true)
+	v.address("readiness", s.Readiness, true)
+	v.address("reports", s.Reports, true)
+	v.address("metrics", s.Metrics, false)
+	v.address("store", s.Store, true)
+	v.level(s.LogLevel)
 	for _, n := range []struct {
 		field string
 		value float64
@@ -98,7 +99,7 @@
 		{"quota_over", s.QuotaOver}, {"quota_slack", s.QuotaSlack},
 	} {
 		if n.value < 0 {
-			c.fault(n.field, fmt.Sprint(n.value), "0 or more")
+			v.reject(n.field, fmt.Sprint(n.value), "0 or more")
 		}
 	}
 	for _, n := range []struct {
@@ -108,17 +109,17 @@
 		{"revoke_ms", float64(s.RevokeMS)}, {"apply_ms", float64(s.ApplyMS)}, {"lease_ms", float64(s.LeaseMS)}, {"leave_ms", float64(s.LeaveMS)}, {"grace_s", s.GraceS}, {"retry_window_s", s.RetryS}, {"quota_window_s", s.QuotaS},
 	} {
 		if n.value <= 0 {
-			c.fault(n.field, fmt.Sprint(n.value), "above 0")
+			v.reject(n.field, fmt.Sprint(n.value), "above 0")
 		}
 	}
-	return errors.Join(c.faults...)
+	return errors.Join(v.errs...)
 }
 
-// DescribeRouted writes every setting of an instance that serves routed requests
-// with its unit, default and effect.
+// DescribeRouted writes a table of all settings of an instance that serves routed requests, with
+// their unit, default and effect.
 func DescribeRouted(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "SETTING\tUNIT\tDEFAULT\tEFFECT")
-	describe(table, "", reflect.TypeFor[Routed]())
+	describeFields(table, "", reflect.TypeFor[Routed]())
 	return table.Flush()
 }
--- a/settings/routed_test.go
+++ b/settings/routed_test.go
@@ -17,8 +17,8 @@
 	assert.Equal(t, s.LogLevel, "info")
 }
 
-// A file with several faults is read at a start in the night. Each start that tells
-// only one of them costs another.
+// All errors of a file must be reported at once. If each start reported only one of several errors,
+// every further error would cost another failed start.
 func TestRoutedFaultsAreToldTogether(t *testing.T) {
 	_, err := ParseRouted("f", []byte(`{"instance":"a","callers":"here","revoke_ms":-1,"quota_over":-2,"log_level":"loud"}`))
 	for _, field := range []string{"data_centre", "callers", "readiness", "reports", "store", "revoke_ms", "quota_over", "log_level"} {
