--- a/cmd/cairnctl/main.go
+++ b/cmd/cairnctl/main.go
@@ -1,5 +1,5 @@
-// Command cairnctl is the operators' client: it checks, publishes and shows the
-// object set, issues and withdraws keys, and watches and drains instances.
+// Command cairnctl is the command-line client for operators. It validates, publishes and shows the
+// object set, issues and withdraws keys, and monitors and drains instances.
 package main
 
 import (
