--- a/cmd/cairnload/main.go
+++ b/cmd/cairnload/main.go
@@ -1,6 +1,6 @@
-// Command cairnload drives running instances with a scenario, checks every answer
-// and compares runs. It starts no process: instances and stand-ins are started
-// beforehand and named in the scenario file.
+// Command cairnload is a load generator: it runs a scenario against running instances, verifies
+// every answer and compares runs. It starts no processes; the instances and stand-ins named in the
+// scenario file must already be running.
 package main
 
 import (
@@ -21,19 +21,19 @@
 // Exit codes.
 const (
 	exitFailed = 1
-	// exitBroken tells that the run ended and a promise was broken.
-	exitBroken = 3
+	// exitViolations is the status of a completed run in which a guarantee was violated.
+	exitViolations = 3
 )
 
-var errBroken = errors.New("promises were broken")
+var errViolations = errors.New("guarantees were violated")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	err := command().Run(ctx, os.Args)
 	switch {
-	case errors.Is(err, errBroken):
-		os.Exit(exitBroken)
+	case errors.Is(err, errViolations):
+		os.Exit(exitViolations)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "cairnload:", err)
 		os.Exit(exitFailed)
@@ -43,15 +43,15 @@
 func command() *cli.Command {
 	return &cli.Command{
 		Name:  "cairnload",
-		Usage: "drive instances with a scenario and check every answer",
+		Usage: "run a load scenario against instances and verify every answer",
 		Commands: []*cli.Command{
 			{
 				Name: "run", Usage: "run a scenario", ArgsUsage: "SCENARIO.json", Action: run,
 				Flags: []cli.Flag{
-					&cli.StringFlag{Name: "out", Usage: "write OUT.json, OUT.html and OUT.ndjson, a line for each request"},
+					&cli.StringFlag{Name: "out", Usage: "write OUT.json, OUT.html and OUT.ndjson; the last has one line per request"},
 					&cli.StringFlag{Name: "run", Usage: "`NAME` of the run; prompts and idempotency keys contain it"},
-					&cli.StringFlag{Name: "pids", Usage: "`FILE` with a line NAME PID for each running process"},
-					&cli.Uint64Flag{Name: "seed", Usage: "in place of the scenario's"},
+					&cli.StringFlag{Name: "pids", Usage: "`FILE` with one line NAME PID per running process"},
+					&cli.Uint64Flag{Name: "seed", Usage: "random seed; overrides the seed of the scenario"},
 				},
 			},
 			{
@@ -59,7 +59,7 @@
 				ArgsUsage: "A.json[,A2.json...] B.json[,B2.json...]", Action: compare,
 			},
 			{
-				Name: "slopes", Usage: "fit processor time and memory of processes over the request rate",
+				Name: "slopes", Usage: "fit CPU time and memory of processes as functions of the request rate",
 				ArgsUsage: "REPORT.json...", Action: slopes,
 			},
 		},
@@ -90,19 +90,19 @@
 	if err := report.WriteTable(os.Stdout); err != nil {
 		return err
 	}
-	if err := write(report, cmd.String("out")); err != nil {
+	if err := writeReport(report, cmd.String("out")); err != nil {
 		return err
 	}
 	if len(report.Violations) > 0 {
-		return errBroken
+		return errViolations
 	}
 	if report.Answered() == 0 {
-		return errors.New("no request was answered: nothing was checked")
+		return errors.New("no request was answered, so nothing was verified")
 	}
 	return nil
 }
 
-func write(report *load.Report, out string) error {
+func writeReport(report *load.Report, out string) error {
 	if out == "" {
 		return nil
 	}
