--- a/cmd/cairnsoak/main.go
+++ b/cmd/cairnsoak/main.go
@@ -1,5 +1,5 @@
-// Command cairnsoak runs instances as separate processes and checks their promises under
-// random faults.
+// Command cairnsoak runs instances as separate processes and checks their guarantees under random
+// fault injection.
 package main
 
 import (
@@ -28,18 +28,18 @@
 func command() *cli.Command {
 	return &cli.Command{
 		Name:  "cairnsoak",
-		Usage: "run instances as processes on loopback and check their promises under random faults",
+		Usage: "run instances as processes on loopback and check their guarantees under random faults",
 		Commands: []*cli.Command{{
 			Name:  "run",
-			Usage: "play seeds one after the other; a broken promise is printed with its schedule of faults and ends the command with status 1",
+			Usage: "run seeds one after another; print every violated guarantee with its fault schedule, and exit with status 1 if there is one",
 			Flags: []cli.Flag{
 				&cli.Uint64Flag{Name: "seed", Usage: "first `SEED`", Value: 1},
 				&cli.IntFlag{Name: "seeds", Usage: "`NUMBER` of seeds", Value: 1},
-				&cli.FloatFlag{Name: "minutes", Usage: "`TIME` of faults a seed, in minutes", Value: 0.5},
+				&cli.FloatFlag{Name: "minutes", Usage: "`TIME` of fault injection per seed, in minutes", Value: 0.5},
 				&cli.IntFlag{Name: "instances", Usage: "`NUMBER` of instances", Value: 4},
 				&cli.IntFlag{Name: "callers", Usage: "`NUMBER` of callers, each with one request at a time", Value: 18},
-				&cli.StringFlag{Name: "daemon", Usage: "`PROGRAM` of an instance; default: cairnworksd beside this one"},
-				&cli.StringFlag{Name: "out", Usage: "`DIR` for logs and reports, one directory a seed", Value: "soak-out"},
+				&cli.StringFlag{Name: "daemon", Usage: "`PROGRAM` to run as an instance; default: cairnworksd in the directory of this program"},
+				&cli.StringFlag{Name: "out", Usage: "`DIR` for logs and reports, with one subdirectory per seed", Value: "soak-out"},
 			},
 			Action: run,
 		}},
@@ -55,7 +55,7 @@
 		}
 		daemon = filepath.Join(filepath.Dir(self), "cairnworksd")
 	}
-	broken := 0
+	failedSeeds := 0
 	for n := range cmd.Int("seeds") {
 		if ctx.Err() != nil {
 			break
@@ -72,11 +72,11 @@
 			return err
 		}
 		if len(report.Findings) > 0 {
-			broken++
+			failedSeeds++
 		}
 	}
-	if broken > 0 {
-		return fmt.Errorf("%d seeds with findings", broken)
+	if failedSeeds > 0 {
+		return fmt.Errorf("%d seeds with findings", failedSeeds)
 	}
 	return nil
 }
