--- a/cmd/cairnstand/commands.go
+++ b/cmd/cairnstand/commands.go
@@ -11,28 +11,28 @@
 
 const flagCrashInPlace = "crash-in-place"
 
-// Zero values of flags stand for the defaults of package stand.
+// A zero flag value selects the default of package stand.
 
 func crashInPlace() cli.Flag {
-	return &cli.BoolFlag{Name: flagCrashInPlace, Usage: "a crash drops connections and memory but keeps the process and its stats"}
+	return &cli.BoolFlag{Name: flagCrashInPlace, Usage: "a crash drops connections and state, but the process and its statistics are kept"}
 }
 
 func engineCommand() *cli.Command {
 	return subcommand("engine", "a model engine", buildEngine, crashInPlace(),
 		&cli.StringFlag{Name: "role", Usage: "prefill or decode", Value: stand.RoleDecode},
-		&cli.StringSliceFlag{Name: "model", Usage: "model served; none means any"},
-		&cli.IntFlag{Name: "slots", Usage: "requests held at once by a decode engine"},
-		&cli.IntFlag{Name: "pieces", Usage: "pieces of memory"},
-		&cli.IntFlag{Name: "piece-tokens", Usage: "tokens a piece"},
+		&cli.StringSliceFlag{Name: "model", Usage: "model to serve; default: every model"},
+		&cli.IntFlag{Name: "slots", Usage: "concurrent requests of a decode engine"},
+		&cli.IntFlag{Name: "pieces", Usage: "number of memory pieces"},
+		&cli.IntFlag{Name: "piece-tokens", Usage: "tokens per memory piece"},
 		&cli.DurationFlag{Name: "token-time", Usage: "time between two tokens of a stream"},
-		&cli.IntFlag{Name: "prefill-rate", Usage: "prefill tokens a second"},
-		&cli.IntFlag{Name: "max-queued", Usage: "prefills that may wait"},
-		&cli.DurationFlag{Name: "kv-ttl", Usage: "life of an unclaimed KV cache"},
-		&cli.Int64Flag{Name: "kv-bytes", Usage: "bytes of KV cache a token"},
-		&cli.Int64Flag{Name: "link-rate", Usage: "bytes a second of the link for imports"},
-		&cli.DurationFlag{Name: "resume-ttl", Usage: "how long a stream without a connection is held"},
-		&cli.DurationFlag{Name: "load-lag", Usage: "age that a load report may reach"},
-		&cli.BoolFlag{Name: "checks-fencing", Usage: "refuse orders with an old fencing token"},
+		&cli.IntFlag{Name: "prefill-rate", Usage: "prefill tokens per second"},
+		&cli.IntFlag{Name: "max-queued", Usage: "maximum number of queued prefills"},
+		&cli.DurationFlag{Name: "kv-ttl", Usage: "lifetime of an unclaimed KV cache"},
+		&cli.Int64Flag{Name: "kv-bytes", Usage: "KV cache bytes per token"},
+		&cli.Int64Flag{Name: "link-rate", Usage: "bandwidth of the import link in bytes per second"},
+		&cli.DurationFlag{Name: "resume-ttl", Usage: "how long a disconnected stream can be resumed"},
+		&cli.DurationFlag{Name: "load-lag", Usage: "maximum age of a load report"},
+		&cli.BoolFlag{Name: "checks-fencing", Usage: "reject orders with an outdated fencing token"},
 		&cli.StringFlag{Name: "weights", Usage: "IP:port of the weight store"},
 	)
 }
@@ -55,8 +55,8 @@
 			ServiceTime: cmd.Duration("service-time"), Slots: cmd.Int("slots"), OnCrash: onCrash(cmd),
 		})
 	}, crashInPlace(),
-		&cli.DurationFlag{Name: "service-time", Usage: "time of a call"},
-		&cli.IntFlag{Name: "slots", Usage: "calls that run at once"},
+		&cli.DurationFlag{Name: "service-time", Usage: "duration of a call"},
+		&cli.IntFlag{Name: "slots", Usage: "concurrent calls"},
 	)
 }
 
@@ -66,20 +66,20 @@
 			AppendsPerSecond: cmd.Int("append-rate"), Retention: cmd.Duration("retention"), OnCrash: onCrash(cmd),
 		})
 	}, crashInPlace(),
-		&cli.IntFlag{Name: "append-rate", Usage: "append calls a second"},
+		&cli.IntFlag{Name: "append-rate", Usage: "append calls per second"},
 		&cli.DurationFlag{Name: "retention", Usage: "how long records are kept"},
 	)
 }
 
 func listCommand() *cli.Command {
-	return subcommand("list", "the lagging list of instances and upstreams", func(cmd *cli.Command) standIn {
+	return subcommand("list", "the list of instances and upstreams, with a configurable lag", func(cmd *cli.Command) standIn {
 		return stand.NewList(stand.ListConfig{
 			Lag:       cmd.Duration("lag"),
-			Instances: listed(cmd.StringSlice("instance")),
-			Upstreams: listed(cmd.StringSlice("upstream")),
+			Instances: parseListedAll(cmd.StringSlice("instance")),
+			Upstreams: parseListedAll(cmd.StringSlice("upstream")),
 		})
 	},
-		&cli.DurationFlag{Name: "lag", Usage: "age of what the list shows"},
+		&cli.DurationFlag{Name: "lag", Usage: "delay before a change becomes visible in the list"},
 		&cli.StringSliceFlag{Name: "instance", Usage: "NAME=IP:PORT=DATA-CENTRE"},
 		&cli.StringSliceFlag{Name: "upstream", Usage: "NAME=IP:PORT=DATA-CENTRE"},
 	)
@@ -91,12 +91,12 @@
 			DefaultBytes: cmd.Int64("bytes"), BytesPerSecond: cmd.Int64("rate"),
 		})
 	},
-		&cli.Int64Flag{Name: "bytes", Usage: "size of every model's weights"},
-		&cli.Int64Flag{Name: "rate", Usage: "bytes a second over all readers"},
+		&cli.Int64Flag{Name: "bytes", Usage: "size of each model's weights"},
+		&cli.Int64Flag{Name: "rate", Usage: "bytes per second, shared by all readers"},
 	)
 }
 
-func listed(values []string) []wire.Listed {
+func parseListedAll(values []string) []wire.Listed {
 	out := []wire.Listed{}
 	for _, value := range values {
 		out = append(out, parseListed(value))
@@ -104,7 +104,7 @@
 	return out
 }
 
-// parseListed reads NAME=IP:PORT=DATA-CENTRE; parts left out stay empty.
+// parseListed parses NAME=IP:PORT=DATA-CENTRE. Omitted parts are left empty.
 func parseListed(value string) wire.Listed {
 	name, rest, _ := strings.Cut(value, "=")
 	address, dataCentre, _ := strings.Cut(rest, "=")
--- a/cmd/cairnstand/main.go
+++ b/cmd/cairnstand/main.go
@@ -1,6 +1,5 @@
-// Command cairnstand runs one stand-in of a system outside the project as a
-// process: a model engine, a plain service, the log, the instance list or the
-// weight store. It serves tests and try-outs.
+// Command cairnstand runs a stand-in for an external system as a process: a model engine, a plain
+// service, the log, the instance list or the weight store. It is meant for tests and demonstrations.
 package main
 
 import (
@@ -20,15 +19,15 @@
 	"github.com/cairnworks/cairnworks/observe"
 )
 
-// crashExit is the exit status after POST /faults with "crash".
-const crashExit = 3
+// exitCrashed is the exit status after POST /faults with "crash".
+const exitCrashed = 3
 
-// shutdownTime bounds the end of open calls after SIGTERM.
-const shutdownTime = 2 * time.Second
+// shutdownTimeout is how long open calls may take to complete after SIGTERM.
+const shutdownTimeout = 2 * time.Second
 
 const flagListen = "listen"
 
-// standIn is what every stand-in offers.
+// standIn is the common interface of all stand-ins.
 type standIn interface {
 	Handler() http.Handler
 	Close()
@@ -47,7 +46,7 @@
 func command() *cli.Command {
 	return &cli.Command{
 		Name:  "cairnstand",
-		Usage: "stand-ins for the systems outside cairnworks",
+		Usage: "run stand-ins for the external systems that cairnworks uses",
 		Commands: []*cli.Command{
 			engineCommand(), plainCommand(), logCommand(), listCommand(), weightsCommand(),
 		},
@@ -55,7 +54,7 @@
 }
 
 func subcommand(name, usage string, build func(*cli.Command) standIn, flags ...cli.Flag) *cli.Command {
-	listen := &cli.StringFlag{Name: flagListen, Value: "127.0.0.1:0", Usage: "IP:port; port 0 picks one"}
+	listen := &cli.StringFlag{Name: flagListen, Value: "127.0.0.1:0", Usage: "IP:port; port 0 selects a free port"}
 	return &cli.Command{
 		Name: name, Usage: usage, Flags: append([]cli.Flag{listen}, flags...),
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -64,7 +63,7 @@
 	}
 }
 
-// serve runs s until ctx ends.
+// serve runs s until ctx is done.
 func serve(ctx context.Context, kind, address string, s standIn) error {
 	defer s.Close()
 	logger, _ := observe.NewLogger(os.Stdout, zap.InfoLevel)
@@ -77,9 +76,9 @@
 	server := &http.Server{Handler: s.Handler()}
 	go func() {
 		<-ctx.Done()
-		late, cancel := context.WithTimeout(context.Background(), shutdownTime)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		if server.Shutdown(late) != nil {
+		if server.Shutdown(shutdownCtx) != nil {
 			server.Close()
 		}
 	}()
@@ -89,10 +88,10 @@
 	return nil
 }
 
-// onCrash ends the process, unless the stand-in restarts in place.
+// onCrash returns a function that exits the process, or nil if the stand-in restarts in place.
 func onCrash(cmd *cli.Command) func() {
 	if cmd.Bool(flagCrashInPlace) {
 		return nil
 	}
-	return func() { os.Exit(crashExit) }
+	return func() { os.Exit(exitCrashed) }
 }
