--- a/cmd/cairnworksd/main.go
+++ b/cmd/cairnworksd/main.go
@@ -28,10 +28,10 @@
 )
 
 const description = `Exit codes:
-     0  drained, and ended by SIGTERM, SIGINT or an operator's drain
+     0  drained and stopped after SIGTERM, SIGINT or an operator's drain
      1  any other failure, for instance an address in use or a file that cannot be read
-     2  wrong use or wrong settings; starting again cannot help
-   130  ended at once by a second signal
+     2  invalid usage or settings; restarting does not help
+   130  terminated immediately by a second signal
 
 'cairnworksd completion bash' (zsh, fish, pwsh) prints the shell completion.`
 
@@ -48,14 +48,14 @@
 		Usage:                 "route requests to separate prefill and decode pools",
 		Description:           description,
 		EnableShellCompletion: true,
-		Action:                noCommand,
+		Action:                runWithoutCommand,
 		Commands: []*cli.Command{
 			{
 				Name:  "run",
-				Usage: "run one instance until SIGTERM; a second signal ends it at once",
+				Usage: "run one instance until SIGTERM; a second signal terminates it immediately",
 				Flags: []cli.Flag{
 					&cli.StringFlag{Name: "settings", Usage: "JSON settings `FILE`"},
-					&cli.BoolFlag{Name: "embedded", Usage: "run stand-ins and an example set in this process, on loopback"},
+					&cli.BoolFlag{Name: "embedded", Usage: "run stand-ins with an example configuration in this process, on loopback"},
 				},
 				Action: run,
 			},
@@ -69,31 +69,31 @@
 			},
 		},
 	}
-	markUsageErrors(app)
+	setUsageExitCode(app)
 	return app
 }
 
-// noCommand refuses an unknown command and helps whoever names none.
-func noCommand(_ context.Context, cmd *cli.Command) error {
+// runWithoutCommand rejects an unknown command. Without any command, it prints the help.
+func runWithoutCommand(_ context.Context, cmd *cli.Command) error {
 	if name := cmd.Args().First(); name != "" {
 		return cli.Exit(fmt.Sprintf("cairnworksd: unknown command %q", name), exitSettings)
 	}
 	return cli.ShowAppHelp(cmd)
 }
 
-// markUsageErrors gives every wrong flag the exit code of wrong settings, which
-// tells a supervisor that starting again cannot help.
-func markUsageErrors(cmd *cli.Command) {
+// setUsageExitCode makes usage errors return the same exit code as invalid settings, which tells a
+// supervisor that a restart does not help.
+func setUsageExitCode(cmd *cli.Command) {
 	cmd.OnUsageError = func(_ context.Context, _ *cli.Command, err error, _ bool) error {
 		return cli.Exit("cairnworksd: "+err.Error(), exitSettings)
 	}
 	for _, sub := range cmd.Commands {
-		markUsageErrors(sub)
+		setUsageExitCode(sub)
 	}
 }
 
 func run(ctx context.Context, cmd *cli.Command) error {
-	s, platform, err := load(ctx, cmd)
+	s, platform, err := loadSettings(ctx, cmd)
 	if err != nil {
 		return cli.Exit(err.Error(), exitSettings)
 	}
@@ -110,25 +110,25 @@
 		return err
 	}
 	if platform != nil {
-		go printWhenReady(ctx, i.Addresses(), platform)
+		go printCurlWhenReady(ctx, i.Addresses(), platform)
 	}
 	drainOnSignal(i, log)
 	return i.Run(ctx)
 }
 
-// readyPoll is how often a starting instance is asked whether it is ready.
-const readyPoll = 50 * time.Millisecond
+// readyPollInterval is the interval at which the readiness of a starting instance is polled.
+const readyPollInterval = 50 * time.Millisecond
 
-// printWhenReady prints the line to try. Printed at the start, its first answer
-// would be a refusal, as the rate homes are not settled yet.
-func printWhenReady(ctx context.Context, addresses instance.Addresses, platform *embedded.Platform) {
+// printCurlWhenReady prints an example curl command once the instance is ready. Before that, the
+// command would be refused, because the rate homes are not settled yet.
+func printCurlWhenReady(ctx context.Context, addresses instance.Addresses, platform *embedded.Platform) {
 	for ctx.Err() == nil && !ready(ctx, addresses.Operators) {
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
 	fmt.Println(platform.CurlLine(addresses.Callers))
 }
 
-// ready asks the operators' address whether callers may come.
+// ready queries the readiness endpoint at the operators' address.
 func ready(ctx context.Context, operators string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+operators+"/readyz", nil)
 	if err != nil {
@@ -142,12 +142,13 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// load reads the settings, or starts the stand-ins and makes settings for them.
-func load(ctx context.Context, cmd *cli.Command) (settings.Settings, *embedded.Platform, error) {
+// loadSettings reads the settings file. With --embedded, it starts the stand-ins and returns settings
+// that use them.
+func loadSettings(ctx context.Context, cmd *cli.Command) (settings.Settings, *embedded.Platform, error) {
 	file := cmd.String("settings")
 	if !cmd.Bool("embedded") {
 		if file == "" {
-			return settings.Settings{}, nil, fmt.Errorf("name a file with --settings, or try --embedded")
+			return settings.Settings{}, nil, fmt.Errorf("no settings file given: use --settings FILE or --embedded")
 		}
 		s, err := settings.Load(file)
 		return s, nil, err
@@ -160,17 +161,18 @@
 	if file == "" {
 		return s, platform, nil
 	}
-	// The file's addresses hold; the platform's are the stand-ins'.
-	given, err := settings.LoadPartial(file, s)
+	// The file overrides the embedded settings. Fields that it omits, such as the platform's
+	// addresses, keep referring to the stand-ins.
+	merged, err := settings.LoadPartial(file, s)
 	if err != nil {
 		platform.Close()
 		return settings.Settings{}, nil, err
 	}
-	return given, platform, nil
+	return merged, platform, nil
 }
 
-// drainOnSignal drains at the first SIGTERM or SIGINT and ends the process at
-// the second.
+// drainOnSignal drains the instance on the first SIGTERM or SIGINT and exits the process on the
+// second.
 func drainOnSignal(i *instance.Instance, log *zap.Logger) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
@@ -178,7 +180,7 @@
 		<-signals
 		i.Drain()
 		<-signals
-		log.Warn("ended at once by a second signal")
+		log.Warn("terminated immediately by a second signal")
 		os.Exit(exitKilled)
 	}()
 }
--- a/cmd/cairnworksd/main_test.go
+++ b/cmd/cairnworksd/main_test.go
@@ -15,9 +15,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A unit file has a typing error in its command line. With the code of an ordinary
-// failure the supervisor starts the daemon again and again; wrong use has a code
-// of its own, which it can be told to leave alone.
+// If a unit file contains an invalid command line, a supervisor would restart the daemon repeatedly.
+// Usage errors have a separate exit code so that a supervisor can be configured not to restart.
 func TestWrongUseHasItsOwnExitCode(t *testing.T) {
 	for _, line := range []string{"nonsense", "run --bogus", "run", "run --settings /nonexistent"} {
 		t.Run(line, func(t *testing.T) {
@@ -32,8 +31,8 @@
 	}
 }
 
-// The line to try was printed before the instance was ready, and a newcomer's
-// first answer was a refusal. It waits for the same probe as the balancer.
+// The example command was once printed before the instance was ready, and its first request was
+// refused. It must wait for the same readiness probe as the load balancer.
 func TestReadyFollowsTheProbe(t *testing.T) {
 	var settled atomic.Bool
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/cairnworksd/routed.go
+++ b/cmd/cairnworksd/routed.go
@@ -16,14 +16,14 @@
 	"github.com/cairnworks/cairnworks/settings"
 )
 
-// routedCommand runs an instance that serves routed requests on the platform.
+// routedCommand returns the command that runs an instance serving routed requests on the platform.
 func routedCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "routed",
 		Usage: "run one instance that serves routed requests, until SIGTERM",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Usage: "JSON settings `FILE`", Sources: cli.EnvVars(platform.SettingsVariable)},
-			&cli.BoolFlag{Name: "describe", Usage: "print every setting with its unit, default and effect, and end"},
+			&cli.BoolFlag{Name: "describe", Usage: "print every setting with its unit, default and effect, and exit"},
 		},
 		Action: runRouted,
 	}
@@ -52,19 +52,20 @@
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	go reloadOnHangup(ctx, file, atomic, log)
+	go reloadOnSIGHUP(ctx, file, atomic, log)
 	return i.Run(ctx)
 }
 
-// reloadOnHangup takes over what may change while an instance runs: the log level.
-func reloadOnHangup(ctx context.Context, file string, level zap.AtomicLevel, log *zap.Logger) {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+// reloadOnSIGHUP reloads the settings file on every SIGHUP and applies the only setting that can
+// change at run time, the log level.
+func reloadOnSIGHUP(ctx context.Context, file string, level zap.AtomicLevel, log *zap.Logger) {
+	sighup := make(chan os.Signal, 1)
+	signal.Notify(sighup, syscall.SIGHUP)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
+		case <-sighup:
 		}
 		s, err := settings.LoadRouted(file)
 		if err != nil {
