--- a/instance/embedded/embedded.go
+++ b/instance/embedded/embedded.go
@@ -1,6 +1,6 @@
-// Package embedded runs an instance and everything it needs in one process on
-// loopback: stand-ins for the engines, a plain service and the platform, and an
-// example object set. It is for a first look and for tests.
+// Package embedded provides the environment for running an instance in a single process on
+// loopback: stand-ins for the engines, a plain service and the platform, and an example object set.
+// It is meant for demonstrations and tests.
 package embedded
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/cairnworks/cairnworks/stand"
 )
 
-// Sizes of the example: small enough to read its status at a glance.
+// Dimensions of the example. They are small so that its status output stays short.
 const (
 	prefillEngines = 2
 	decodeEngines  = 2
@@ -29,9 +29,9 @@
 
 // Platform is the set of running stand-ins.
 type Platform struct {
-	// Set is the published example.
+	// Set is the published example object set.
 	Set object.Set
-	// Key is a caller's key of the example's first organisation.
+	// Key is a caller's key for the first organisation of the example set.
 	Key string
 	// Log and List are the addresses of the platform's stand-ins.
 	Log, List string
@@ -40,9 +40,9 @@
 	closers []func()
 }
 
-// StartPlatform starts the stand-ins and publishes the example set.
+// StartPlatform starts the stand-ins and publishes the example object set.
 func StartPlatform(ctx context.Context) (*Platform, error) {
-	p := &Platform{Key: newKey()}
+	p := &Platform{Key: generateKey()}
 	if err := p.start(ctx); err != nil {
 		p.Close()
 		return nil, err
@@ -52,7 +52,7 @@
 
 func (p *Platform) start(ctx context.Context) error {
 	var err error
-	if p.Log, err = p.serveLog(); err != nil {
+	if p.Log, err = p.startLog(); err != nil {
 		return err
 	}
 	list := stand.NewList(stand.ListConfig{})
@@ -69,7 +69,7 @@
 	return err
 }
 
-func (p *Platform) serveLog() (string, error) {
+func (p *Platform) startLog() (string, error) {
 	log := stand.NewLog(stand.LogConfig{})
 	return p.serve(log.Handler(), log.Close)
 }
@@ -85,13 +85,13 @@
 	}
 	for i := range prefillEngines {
 		e := stand.NewEngine(stand.EngineConfig{Role: string(object.RolePrefill)})
-		if err := add("pisar-prefill-"+digit(i), "pisar", object.RolePrefill, 4, e.Handler(), e.Close); err != nil {
+		if err := add("pisar-prefill-"+ordinal(i), "pisar", object.RolePrefill, 4, e.Handler(), e.Close); err != nil {
 			return nil, err
 		}
 	}
 	for i := range decodeEngines {
 		e := stand.NewEngine(stand.EngineConfig{Role: string(object.RoleDecode)})
-		if err := add("pisar-decode-"+digit(i), "pisar", object.RoleDecode, 20, e.Handler(), e.Close); err != nil {
+		if err := add("pisar-decode-"+ordinal(i), "pisar", object.RoleDecode, 20, e.Handler(), e.Close); err != nil {
 			return nil, err
 		}
 	}
@@ -106,7 +106,7 @@
 	return upstreams, err
 }
 
-func digit(i int) string { return string(rune('1' + i)) }
+func ordinal(i int) string { return string(rune('1' + i)) }
 
 func exampleSet(key string, upstreams []object.Upstream) object.Set {
 	return object.Set{
@@ -124,7 +124,7 @@
 	}
 }
 
-// serve puts a handler on a free loopback port and returns its address.
+// serve starts an HTTP server on a free loopback port and returns its address. Close calls closer.
 func (p *Platform) serve(handler http.Handler, closer func()) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -133,11 +133,11 @@
 	server := &http.Server{Handler: handler}
 	p.servers = append(p.servers, server)
 	p.closers = append(p.closers, closer)
-	go func() { _ = server.Serve(listener) }() // ends with Close
+	go func() { _ = server.Serve(listener) }() // returns when Close is called
 	return listener.Addr().String(), nil
 }
 
-// Close ends the stand-ins.
+// Close stops the stand-ins.
 func (p *Platform) Close() {
 	for _, closer := range p.closers {
 		closer()
@@ -147,7 +147,8 @@
 	}
 }
 
-// Settings returns settings for an instance on free loopback ports.
+// Settings returns settings for an instance that uses the stand-ins and listens on free loopback
+// ports.
 func (p *Platform) Settings(name string, seeds ...string) settings.Settings {
 	s := settings.Default()
 	s.Instance, s.DataCentre = name, dataCentre
@@ -157,7 +158,8 @@
 	return s
 }
 
-// CurlLine is a command that streams an answer from an instance at the address.
+// CurlLine returns a curl command that streams an answer from the instance with the given callers'
+// address.
 func (p *Platform) CurlLine(callers string) string {
 	body, err := json.Marshal(map[string]any{
 		"model": "pisar-small", "stream": true, "max_tokens": 24,
@@ -170,8 +172,8 @@
 		"' -H 'Content-Type: application/json' -d '" + string(body) + "'"
 }
 
-func newKey() string {
+func generateKey() string {
 	var raw [16]byte
-	_, _ = rand.Read(raw[:]) // never fails: crypto/rand ends the program instead
+	_, _ = rand.Read(raw[:]) // never returns an error: crypto/rand crashes the program instead
 	return "cw-" + hex.EncodeToString(raw[:])
 }
