--- a/instance/drain.go
+++ b/instance/drain.go
@@ -9,41 +9,43 @@
 )
 
 const (
-	// drainPoll is how often a drain looks whether the last request has ended.
-	drainPoll = 20 * time.Millisecond
-	// leaveTimeout bounds the hand-over of homes and the farewell to the fleet.
+	// drainPollInterval is the interval at which a drain checks whether the last request has
+	// completed.
+	drainPollInterval = 20 * time.Millisecond
+	// leaveTimeout limits the handover of rate homes, and the announcement that the instance leaves
+	// the fleet.
 	leaveTimeout = 10 * time.Second
 )
 
-// drainState is how far a graceful shutdown has come.
+// drainState is the progress of a graceful shutdown.
 type drainState struct {
 	once sync.Once
-	// begun is closed when the instance stops being ready.
-	begun chan struct{}
-	// finished is closed when nothing is left to do.
+	// started is closed when the instance stops being ready.
+	started chan struct{}
+	// finished is closed when the drain is complete.
 	finished chan struct{}
 }
 
 func newDrainState() *drainState {
-	return &drainState{begun: make(chan struct{}), finished: make(chan struct{})}
+	return &drainState{started: make(chan struct{}), finished: make(chan struct{})}
 }
 
 func (d *drainState) draining() bool {
 	select {
-	case <-d.begun:
+	case <-d.started:
 		return true
 	default:
 		return false
 	}
 }
 
-// Drain shuts the instance down gracefully and returns at once; Run returns when
-// it is done. Readiness goes first and requests are still taken for a while: the
-// platform's balancer learns late that the instance is leaving, and a connection
-// refused in that time would be a request lost.
+// Drain starts a graceful shutdown and returns immediately; Run returns when the shutdown is
+// complete. The instance first reports that it is not ready, and still accepts requests for some
+// time: the platform's load balancer detects the change with a delay, and a connection refused in
+// the meantime would be a lost request.
 func (i *Instance) Drain() {
 	i.drain.once.Do(func() {
-		close(i.drain.begun)
+		close(i.drain.started)
 		go i.runDrain()
 	})
 }
@@ -55,45 +57,46 @@
 		ctx, stop = context.WithTimeout(ctx, time.Duration(i.settings.DrainSeconds)*time.Second)
 		defer stop()
 	}
-	i.log.Info("draining", zap.Int64("open", i.door.Open()))
+	i.log.Info("draining", zap.Int64("open", i.callerHandler.Open()))
 	i.members.SetDraining(true)
-	i.door.CloseConnections()
-	i.handOver(ctx)
+	i.callerHandler.CloseConnections()
+	i.handOverHomes(ctx)
 	sleep(ctx, time.Duration(i.settings.DrainGraceSeconds)*time.Second)
-	// What is idle now has been idle since the balancer stopped sending here.
+	// Connections that are idle now have been idle since the load balancer stopped sending
+	// requests.
 	if err := i.listeners.callers.server.Shutdown(ctx); err != nil {
-		i.log.Warn("drain cut short", zap.Int64("open", i.door.Open()), zap.Error(err))
+		i.log.Warn("drain incomplete", zap.Int64("open", i.callerHandler.Open()), zap.Error(err))
 	}
-	i.waitUnused(ctx)
+	i.waitIdle(ctx)
 	leaveCtx, stop := context.WithTimeout(context.Background(), leaveTimeout)
 	defer stop()
 	if err := i.members.Leave(leaveCtx); err != nil {
-		i.log.Warn("left without farewell", zap.Error(err))
+		i.log.Warn("could not announce leaving the fleet", zap.Error(err))
 	}
 	i.log.Info("drained")
 	close(i.drain.finished)
 }
 
-// handOver gives the rate homes to other instances.
-func (i *Instance) handOver(ctx context.Context) {
+// handOverHomes transfers the rate homes to other instances.
+func (i *Instance) handOverHomes(ctx context.Context) {
 	ctx, stop := context.WithTimeout(ctx, leaveTimeout)
 	defer stop()
 	if err := i.rate.Drain(ctx); err != nil {
-		i.log.Warn("homes not handed over", zap.Error(err))
+		i.log.Warn("rate homes not handed over", zap.Error(err))
 	}
 }
 
-// waitUnused waits until no request is open and none of this instance's
-// schedulers has askers waiting.
-func (i *Instance) waitUnused(ctx context.Context) {
-	for i.door.Open() > 0 || i.sched.PendingReservations() > 0 {
-		if !sleep(ctx, drainPoll) {
+// waitIdle waits until no request is open and none of this instance's schedulers has pending
+// reservations.
+func (i *Instance) waitIdle(ctx context.Context) {
+	for i.callerHandler.Open() > 0 || i.scheduler.PendingReservations() > 0 {
+		if !sleep(ctx, drainPollInterval) {
 			return
 		}
 	}
 }
 
-// sleep waits and reports whether ctx is still alive.
+// sleep waits for d. It returns false if ctx is done first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/instance/fleet.go
+++ b/instance/fleet.go
@@ -5,10 +5,10 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// schedulerHome returns the instance that schedules a service by this instance's
-// view of the fleet. When every instance is draining each schedules for itself:
-// the requests that still arrive must be served, and an upstream refuses what two
-// schedulers ask too much of it.
+// schedulerHome returns the instance that schedules a service, according to this instance's view of
+// the fleet. If all instances are draining, each schedules for itself: requests that still arrive
+// must be served, and an upstream rejects requests beyond its capacity if several schedulers
+// overcommit it.
 func (i *Instance) schedulerHome(service string) (request.Holder, bool) {
 	home, ok := membership.Home("scheduler/"+service, i.members.Members())
 	if !ok {
@@ -17,9 +17,9 @@
 	return home.Holder, true
 }
 
-// givenUp reports whether the fleet has declared a run of an instance dead or
-// knows a later one. A run it has never heard of is not given up.
-func (i *Instance) givenUp(holder request.Holder) bool {
+// isDeadRun reports whether the fleet has declared a run of an instance dead or knows a later run
+// of that instance. A run of an unknown instance is not considered dead.
+func (i *Instance) isDeadRun(holder request.Holder) bool {
 	for _, m := range i.members.All() {
 		if m.Instance == holder.Instance {
 			return m.Incarnation > holder.Incarnation || m.Incarnation == holder.Incarnation && m.State.Terminal()
@@ -28,6 +28,6 @@
 	return false
 }
 
-// self is this instance with its present incarnation, which changes when the
-// fleet has declared it dead during a pause.
+// self returns this instance with its current incarnation. The incarnation changes if the fleet
+// declared the instance dead while its process was paused.
 func (i *Instance) self() request.Holder { return i.members.Self().Holder }
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -1,6 +1,6 @@
-// Package instance wires one instance of the router together: the callers' door,
-// the path of a request, the parts shared with other instances, and the
-// operators' endpoints. Programs and tests use it as a library.
+// Package instance assembles an instance of the router: the API for callers, the request path, the
+// services shared with other instances, and the operators' endpoints. Programs and tests use it as
+// a library.
 package instance
 
 import (
@@ -32,50 +32,52 @@
 
 // Instance is one running instance.
 type Instance struct {
-	settings settings.Settings
-	log      *zap.Logger
-	level    zap.AtomicLevel
-	metrics  *observe.Metrics
-	// began is when the instance was made; started is the run it started as.
-	began   time.Time
-	started request.Holder
-
-	// actors runs the concurrent parts. They share one system, since each holds
-	// about 4 MB for its registry.
-	actors   *actor.ActorSystem
-	members  *membership.Service
-	follower *config.Follower
-	sched    *scheduler.Server
-	placer   *scheduler.Client
-	door     *caller.Server
-	open     *openRequests
-	peers    *peer.Transport
-	engines  port.EngineDialer
-	services port.ServiceDialer
-	platform platformClients
-	fleet    *fleetid.Keeper
-	rate     *rate.Service
-	guard    *once.Service
-	orders   *order.Service
+	settings  settings.Settings
+	log       *zap.Logger
+	level     zap.AtomicLevel
+	metrics   *observe.Metrics
+	createdAt time.Time
+	// initialRun is the instance with the incarnation that it had at creation. Unlike self, it does
+	// not change.
+	initialRun request.Holder
+
+	// actors is the actor system that all components share, because every system allocates about
+	// 4 MB for its registry.
+	actors          *actor.ActorSystem
+	members         *membership.Service
+	follower        *config.Follower
+	scheduler       *scheduler.Server
+	schedulerClient *scheduler.Client
+	callerHandler   *caller.Server
+	openRequests    *openRequests
+	peers           *peer.Transport
+	engines         port.EngineDialer
+	services        port.ServiceDialer
+	platform        platformClients
+	fleetID         *fleetid.Keeper
+	rate            *rate.Service
+	guard           *once.Service
+	orders          *order.Service
 
 	listeners listeners
 	readiness readiness
-	leaving   leavingList
+	leaving   leavingUpstreams
 	drain     *drainState
 }
 
-// platformClients are the adapters of the platform's systems.
+// platformClients are the clients of the platform's services. list is nil if the platform has no
+// instance list.
 type platformClients struct {
 	log  port.Log
 	list port.InstanceList
 }
 
-// New binds every address and prepares the parts; Run starts them. Addresses
-// with port 0 are allowed and can be read back by Addresses.
+// New binds all addresses and creates the components, which Run starts. If an address has port 0,
+// Addresses returns the port that was selected.
 func New(s settings.Settings, log *zap.Logger, level zap.AtomicLevel) (*Instance, error) {
 	i := &Instance{
 		settings: s, log: log.With(zap.String("instance", s.Instance)), level: level,
-		metrics: observe.NewMetrics(), open: newOpenRequests(), actors: observe.NewActorSystem(), began: time.Now(), drain: newDrainState(),
+		metrics: observe.NewMetrics(), openRequests: newOpenRequests(), actors: observe.NewActorSystem(), createdAt: time.Now(), drain: newDrainState(),
 	}
 	secret, err := peerSecret(s)
 	if err != nil {
@@ -84,13 +86,13 @@
 	if err := i.listen(); err != nil {
 		return nil, err
 	}
-	i.connectOutside()
-	i.knowFleet()
-	if err := i.joinFleet(secret); err != nil {
+	i.createAdapters()
+	i.buildFleetID()
+	if err := i.buildMembership(secret); err != nil {
 		i.listeners.close()
 		return nil, err
 	}
-	if err := i.buildPath(); err != nil {
+	if err := i.buildRequestPath(); err != nil {
 		i.listeners.close()
 		return nil, err
 	}
@@ -101,8 +103,8 @@
 	return i, nil
 }
 
-// connectOutside makes the adapters of engines, services and the platform.
-func (i *Instance) connectOutside() {
+// createAdapters creates the adapters for engines, plain services and the platform.
+func (i *Instance) createAdapters() {
 	client := httpport.NewClient()
 	i.engines = func(address string) port.Engine { return httpport.NewEngine(address, client) }
 	i.services = func(address string) port.PlainService { return httpport.NewPlainService(address, client) }
@@ -112,10 +114,10 @@
 	}
 }
 
-// index returns the object set in force, or nil while there is none.
+// index returns the current object set, or nil if there is none yet.
 func (i *Instance) index() *object.Index { return i.follower.Current() }
 
-// upstreamAddress returns the address of an upstream in the set in force.
+// upstreamAddress returns the address of an upstream in the current object set.
 func (i *Instance) upstreamAddress(name string) (string, bool) {
 	index := i.index()
 	if index == nil {
@@ -128,25 +130,25 @@
 	return upstream.Address, true
 }
 
-// Run serves until ctx ends or Drain has finished. An error means that a part
-// failed and the instance ended at once.
+// Run serves until ctx is done or a drain has finished. It returns an error if a component failed
+// and stopped the instance.
 func (i *Instance) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return ignoreEnd(ctx, i.fleet.Run(ctx)) })
-	group.Go(func() error { return ignoreEnd(ctx, i.members.Run(ctx)) })
-	group.Go(func() error { return ignoreEnd(ctx, i.follower.Run(ctx)) })
-	group.Go(func() error { return ignoreEnd(ctx, i.placer.Run(ctx)) })
+	group.Go(func() error { return ignoreCancelled(ctx, i.fleetID.Run(ctx)) })
+	group.Go(func() error { return ignoreCancelled(ctx, i.members.Run(ctx)) })
+	group.Go(func() error { return ignoreCancelled(ctx, i.follower.Run(ctx)) })
+	group.Go(func() error { return ignoreCancelled(ctx, i.schedulerClient.Run(ctx)) })
 	rateEnded := make(chan struct{})
 	group.Go(func() error {
 		defer close(rateEnded)
-		return ignoreEnd(ctx, i.rate.Run(ctx))
+		return ignoreCancelled(ctx, i.rate.Run(ctx))
 	})
-	group.Go(func() error { return ignoreEnd(ctx, i.guard.Run(ctx)) })
-	group.Go(func() error { return i.awaitRate(ctx) })
+	group.Go(func() error { return ignoreCancelled(ctx, i.guard.Run(ctx)) })
+	group.Go(func() error { return i.waitForRate(ctx) })
 	group.Go(func() error { observe.WatchStalls(ctx, boottime.Now, i.log); return nil })
-	group.Go(func() error { return i.followUpstreams(ctx) })
+	group.Go(func() error { return i.pollUpstreamList(ctx) })
 	for _, l := range i.listeners.all() {
 		group.Go(func() error { return l.serve() })
 	}
@@ -156,8 +158,8 @@
 		case <-i.drain.finished:
 		}
 		stop()
-		// A peer that finds another run at this address takes this run's rate homes
-		// to have ended, so the address must not be free before they have.
+		// A peer that finds another run at this address assumes that the rate homes of this run
+		// have stopped. The address must therefore not be released before they have.
 		<-rateEnded
 		i.listeners.close()
 		return nil
@@ -171,27 +173,27 @@
 }
 
 func (i *Instance) close() {
-	i.sched.Close()
+	i.scheduler.Close()
 	i.actors.Shutdown()
 	i.peers.Close()
 	_ = i.metrics.Close()
-	i.log.Info("stopped", zap.Duration("ran", time.Since(i.began)))
+	i.log.Info("stopped", zap.Duration("ran", time.Since(i.createdAt)))
 }
 
-// ignoreEnd drops the error that a part returns because ctx ended.
-func ignoreEnd(ctx context.Context, err error) error {
+// ignoreCancelled drops an error that a component returns because ctx is done.
+func ignoreCancelled(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
 	return oops.In("instance").Wrap(err)
 }
 
-// Addresses are what the instance listens on.
+// Addresses are the addresses on which the instance listens.
 type Addresses struct {
 	Callers, Peers, Operators string
 }
 
-// Addresses returns the bound addresses.
+// Addresses returns the bound addresses, with the selected ports.
 func (i *Instance) Addresses() Addresses {
 	return Addresses{
 		Callers:   i.listeners.callers.address(),
--- a/instance/join.go
+++ b/instance/join.go
@@ -17,11 +17,11 @@
 	"github.com/cairnworks/cairnworks/tlsfile"
 )
 
-// loopbackSecret authenticates instances when the settings name no secret file,
-// which they may leave out on loopback addresses only.
+// loopbackSecret is the peer secret if the settings name no secret file, which is allowed on
+// loopback addresses only.
 const loopbackSecret = "loopback addresses only"
 
-// peerSecret is the secret that instances share.
+// peerSecret returns the secret that the instances of the fleet share.
 func peerSecret(s settings.Settings) (string, error) {
 	secret, err := readSecret(s.Peers.SecretFile)
 	if err != nil {
@@ -31,49 +31,50 @@
 	case secret == "":
 		secret = loopbackSecret
 	case len(secret) < membership.MinSecret:
-		return "", oops.In("instance").With("file", s.Peers.SecretFile).Errorf("the secret has fewer than %d bytes", membership.MinSecret)
+		return "", oops.In("instance").With("file", s.Peers.SecretFile).Errorf("the peer secret is shorter than %d bytes", membership.MinSecret)
 	}
 	return secret, nil
 }
 
-// knowFleet prepares what tells this fleet's instances from others.
-func (i *Instance) knowFleet() {
+// buildFleetID creates the keeper of the fleet ID, which distinguishes this fleet's instances from
+// those of other fleets.
+func (i *Instance) buildFleetID() {
 	store := fleetid.NewLogStore(i.platform.log, i.logRetention())
-	i.fleet = fleetid.NewKeeper(fleetid.KeeperConfig{
+	i.fleetID = fleetid.NewKeeper(fleetid.KeeperConfig{
 		Store: store, Name: i.settings.FleetName(), Interval: store.Interval(), Logger: i.log, Metrics: i.metrics.Scope,
 	})
 }
 
-// joinFleet prepares membership and the configuration's follower.
-func (i *Instance) joinFleet(secret string) error {
+// buildMembership creates the membership service and the configuration follower.
+func (i *Instance) buildMembership(secret string) error {
 	clientTLS, err := tlsfile.Client(i.settings.Peers.TLS)
 	if err != nil {
 		return err
 	}
-	i.peers = peer.NewTransport(clientTLS, secret, peer.WithFleet(i.fleet))
+	i.peers = peer.NewTransport(clientTLS, secret, peer.WithFleet(i.fleetID))
 	i.members, err = membership.New(membership.Config{
 		Holder: request.Holder{
 			Instance: i.settings.Instance, Incarnation: uint64(time.Now().UnixMilli()), Address: i.Addresses().Peers,
 		},
 		DataCentre: i.settings.DataCentre, OperatorAddress: i.Addresses().Operators,
-		Seeds: i.settings.Peers.Seeds, List: i.platform.list, Secret: []byte(secret), Fleet: i.fleet, Hints: i.loggedAddresses,
+		Seeds: i.settings.Peers.Seeds, List: i.platform.list, Secret: []byte(secret), Fleet: i.fleetID, Hints: i.rateHomeAddresses,
 		Conn: i.listeners.gossip, System: i.actors,
 		Logger: i.log, Metrics: i.metrics.Scope,
 	})
 	if err != nil {
 		return err
 	}
-	i.started = i.self()
+	i.initialRun = i.self()
 	i.follower = config.NewFollower(config.FollowerConfig{
 		Log: i.platform.log, Self: i.Addresses().Peers, Peers: i.configPeers, Dial: i.dialConfig,
 		Retention: i.logRetention(), Seed: uint64(time.Now().UnixNano()), Logger: i.log, Metrics: i.metrics,
 	})
-	i.subscribe()
+	i.registerCallbacks()
 	return nil
 }
 
-// subscribe connects what changes in the fleet with those who must know.
-func (i *Instance) subscribe() {
+// registerCallbacks registers the handlers for changes of the configuration and the membership.
+func (i *Instance) registerCallbacks() {
 	i.follower.Subscribe(i.applyConfig)
 	i.members.OnConfigVersion(func(peer membership.Member, version uint64) {
 		i.follower.Notice(peer.Address, version)
@@ -81,25 +82,25 @@
 	i.members.OnChange(func([]membership.Member) { i.refreshSchedulers() })
 	i.members.OnNewIncarnation(func(old, renewed uint64) {
 		i.log.Warn("declared dead while paused", zap.Uint64("old_incarnation", old), zap.Uint64("incarnation", renewed))
-		i.placer.DropAll()
+		i.schedulerClient.DropAll()
 	})
 }
 
-// applyConfig takes a new object set into force.
+// applyConfig activates a new object set.
 func (i *Instance) applyConfig(index *object.Index) {
 	i.members.SetConfigVersion(index.Version())
-	ended := i.open.apply(index)
+	cancelled := i.openRequests.cancelUnusable(index)
 	i.refreshSchedulers()
-	i.log.Info("configuration in force", zap.Uint64("version", index.Version()), zap.Int("requests_ended", ended))
+	i.log.Info("configuration in force", zap.Uint64("version", index.Version()), zap.Int("requests_ended", cancelled))
 }
 
 func (i *Instance) refreshSchedulers() {
-	if index := i.index(); index != nil && i.sched != nil {
-		i.sched.Refresh(index.Set().Services)
+	if index := i.index(); index != nil && i.scheduler != nil {
+		i.scheduler.Refresh(index.Set().Services)
 	}
 }
 
-// configPeers are the peers that a configuration can be fetched from.
+// configPeers returns the peers from which a configuration can be fetched.
 func (i *Instance) configPeers() []config.Peer {
 	var peers []config.Peer
 	self := i.self()
--- a/instance/keys.go
+++ b/instance/keys.go
@@ -8,9 +8,9 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// openRequests knows which requests are open under which key, so that those of a
-// withdrawn key end within the time the withdrawal takes to arrive. Checking keys
-// at the door only would let a stream begun before go on to its end.
+// openRequests tracks the open requests by key, so that requests are cancelled as soon as the
+// withdrawal of their key arrives. If keys were checked only when a request arrives, a stream that
+// started before the withdrawal would run to its end.
 type openRequests struct {
 	mu    sync.Mutex
 	next  uint64
@@ -21,8 +21,8 @@
 	return &openRequests{byKey: make(map[string]map[uint64]context.CancelCauseFunc)}
 }
 
-// watch registers an open request; the returned function unregisters it.
-func (o *openRequests) watch(keyID string, cancel context.CancelCauseFunc) func() {
+// add registers an open request. The returned function unregisters it.
+func (o *openRequests) add(keyID string, cancel context.CancelCauseFunc) func() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.next++
@@ -41,20 +41,20 @@
 	}
 }
 
-// apply ends the open requests of every key that the set no longer honours. It
-// returns how many it ended.
-func (o *openRequests) apply(index *object.Index) int {
+// cancelUnusable cancels the open requests of all keys that are no longer usable in the object set.
+// It returns the number of cancelled requests.
+func (o *openRequests) cancelUnusable(index *object.Index) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	ended := 0
+	cancelled := 0
 	for keyID, requests := range o.byKey {
 		if index.KeyUsable(keyID) {
 			continue
 		}
 		for _, cancel := range requests {
 			cancel(caller.WithdrawnVerdict(keyID))
-			ended++
+			cancelled++
 		}
 	}
-	return ended
+	return cancelled
 }
--- a/instance/listen.go
+++ b/instance/listen.go
@@ -17,12 +17,12 @@
 	"github.com/cairnworks/cairnworks/tlsfile"
 )
 
-// idleTimeout closes callers' connections that carry nothing. It is above the
-// usual 60 s of balancers, so that the balancer closes first and no request is
-// sent into a connection that is being closed.
+// idleTimeout is the time after which idle connections of callers are closed. It is longer than the
+// usual 60 s of load balancers, so that the balancer closes a connection first and does not send a
+// request on a connection that is being closed.
 const idleTimeout = 90 * time.Second
 
-// listener is one bound address with the server behind it.
+// listener is a bound address with its server.
 type listener struct {
 	net.Listener
 	server *http.Server
@@ -43,8 +43,7 @@
 	return oops.In("instance").With("address", l.address()).Wrap(err)
 }
 
-// listeners are the three addresses of an instance; gossip is the datagram socket at the
-// address for peers.
+// listeners are the three addresses of an instance. gossip is the UDP socket at the peers' address.
 type listeners struct {
 	callers, peers, operators *listener
 	gossip                    net.PacketConn
@@ -67,13 +66,13 @@
 	}
 }
 
-// listen binds the addresses, so that a taken one is found before anything runs.
+// listen binds the addresses, so that an address in use is detected before any component starts.
 func (i *Instance) listen() error {
 	peers, err := listenPeers(i.settings.Peers.Address, net.Listen)
 	if err != nil {
 		return oops.In("instance").With("address", i.settings.Peers.Address).Wrap(err)
 	}
-	i.listeners.peers, i.listeners.gossip = &listener{Listener: peers.streams}, peers.datagrams
+	i.listeners.peers, i.listeners.gossip = &listener{Listener: peers.listener}, peers.packetConn
 	for _, a := range []struct {
 		target  **listener
 		address string
@@ -91,7 +90,7 @@
 	return nil
 }
 
-// buildServers puts the handlers behind the bound addresses.
+// buildServers creates the servers of the bound addresses.
 func (i *Instance) buildServers(secret string) error {
 	callersTLS, err := tlsfile.Server(i.settings.Callers.TLS)
 	if err != nil {
@@ -101,14 +100,14 @@
 	if err != nil {
 		return err
 	}
-	i.listeners.callers.server = callerServer(i.door, callersTLS, i.settings)
-	// The library's own lines, such as those of failed handshakes, would break the
-	// one key=value line an event.
+	i.listeners.callers.server = callerServer(i.callerHandler, callersTLS, i.settings)
+	// Messages that net/http writes itself, such as those for failed TLS handshakes, must also be
+	// logged as one key=value line per event.
 	errorLog, err := zap.NewStdLogAt(i.log, zap.InfoLevel)
 	if err != nil {
 		return err
 	}
-	i.listeners.peers.server = peer.NewServer(i.peerHandler(), peersTLS, secret, peer.WithFleet(i.fleet))
+	i.listeners.peers.server = peer.NewServer(i.peerHandler(), peersTLS, secret, peer.WithFleet(i.fleetID))
 	operators, err := i.operatorHandler()
 	if err != nil {
 		return err
@@ -123,8 +122,8 @@
 func callerServer(handler http.Handler, config *tls.Config, s settings.Settings) *http.Server {
 	return &http.Server{
 		Handler: handler, TLSConfig: config, IdleTimeout: idleTimeout,
-		// A caller that sends its headers a byte at a time would hold a connection
-		// and a goroutine for ever.
+		// Without a timeout, a caller that sends its headers byte by byte would hold a connection
+		// and a goroutine indefinitely.
 		ReadHeaderTimeout: headerTimeout(s), MaxHeaderBytes: 64 << 10,
 	}
 }
@@ -133,7 +132,8 @@
 	return time.Duration(s.HeaderSeconds) * time.Second
 }
 
-// readSecret reads a secret file without the line end that editors add.
+// readSecret reads a secret file and strips the trailing newline that editors add. It returns an
+// empty secret if no file is given.
 func readSecret(file string) (string, error) {
 	if file == "" {
 		return "", nil
--- a/instance/operators.go
+++ b/instance/operators.go
@@ -15,10 +15,10 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// statusTimeout bounds one question to a scheduler for an operator.
+// statusTimeout limits a status request to a scheduler on behalf of an operator.
 const statusTimeout = time.Second
 
-// operatorHandler serves the operators' address.
+// operatorHandler returns the handler of the operators' address.
 func (i *Instance) operatorHandler() (http.Handler, error) {
 	token, err := readSecret(i.settings.Operators.TokenFile)
 	if err != nil {
@@ -29,13 +29,13 @@
 		Token: token, Logger: i.log, Metrics: i.metrics.Handler,
 		Status: sources, Instances: sources, Upstreams: sources, Queues: sources, Objects: i.follower,
 		Drainer: i, Level: i.level, Publisher: config.NewPublisher(i.platform.log),
-		Mounts: []func(*http.ServeMux){i.guard.AddQueries, i.orders.AddQueries, i.addOrderCommands, addProfiles},
+		Mounts: []func(*http.ServeMux){i.guard.AddQueries, i.orders.AddQueries, i.addOrderCommands, addProfiling},
 	}), nil
 }
 
-// addProfiles adds the runtime's profiles, for those who look into an instance's
-// memory or processor time.
-func addProfiles(mux *http.ServeMux) {
+// addProfiling adds the handlers for runtime profiles and traces, which show an instance's memory
+// and CPU usage.
+func addProfiling(mux *http.ServeMux) {
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
 	mux.HandleFunc("GET /debug/pprof/trace", pprof.Trace)
@@ -55,7 +55,7 @@
 	})
 }
 
-// operatorSources answers operators' queries about an instance and the fleet.
+// operatorSources provides the data for operators' queries about an instance and the fleet.
 type operatorSources struct{ i *Instance }
 
 // Status implements operator.StatusSource.
@@ -63,8 +63,8 @@
 	self := s.i.self()
 	status := operator.Status{
 		Instance: self.Instance, Incarnation: self.Incarnation, DataCentre: s.i.settings.DataCentre,
-		Started: s.i.began, Ready: s.i.ready(), Reason: s.i.notReadyReason(), Draining: s.i.drain.draining(),
-		OpenRequests: int(s.i.door.Open()), LogLevel: s.i.level.Level().String(),
+		Started: s.i.createdAt, Ready: s.i.ready(), Reason: s.i.notReadyReason(), Draining: s.i.drain.draining(),
+		OpenRequests: int(s.i.callerHandler.Open()), LogLevel: s.i.level.Level().String(),
 		Refusals: s.i.metrics.Refusals(),
 	}
 	if index := s.i.index(); index != nil {
@@ -90,7 +90,7 @@
 func (s operatorSources) Queues(ctx context.Context) ([]operator.Queue, error) {
 	var queues []operator.Queue
 	for _, name := range s.services("") {
-		status, home, err := s.ask(ctx, name)
+		status, home, err := s.schedulerStatus(ctx, name)
 		queue := operator.Queue{Service: name, Scheduler: home.Instance}
 		if err != nil {
 			queue.Error = err.Error()
@@ -107,18 +107,18 @@
 func (s operatorSources) Upstreams(ctx context.Context, service string) ([]operator.Upstream, error) {
 	var upstreams []operator.Upstream
 	for _, name := range s.services(service) {
-		status, _, err := s.ask(ctx, name)
+		status, _, err := s.schedulerStatus(ctx, name)
 		if err != nil {
 			return nil, err
 		}
 		for _, u := range status.Upstreams {
-			upstreams = append(upstreams, s.describe(name, u))
+			upstreams = append(upstreams, s.describeUpstream(name, u))
 		}
 	}
 	return upstreams, nil
 }
 
-func (s operatorSources) describe(service string, u *peerv1.UpstreamStatus) operator.Upstream {
+func (s operatorSources) describeUpstream(service string, u *peerv1.UpstreamStatus) operator.Upstream {
 	described := operator.Upstream{
 		Name: u.Name, Service: service, Health: u.Health, Running: int(u.Running), Slots: int(u.Slots),
 		PiecesUsed: int(u.PiecesUsed), Pieces: int(u.Pieces),
@@ -129,7 +129,7 @@
 	return described
 }
 
-// services lists the named service, or all of them.
+// services returns the names of the services that match name. An empty name matches all services.
 func (s operatorSources) services(name string) []string {
 	index := s.i.index()
 	if index == nil {
@@ -144,8 +144,8 @@
 	return names
 }
 
-// ask asks a service's scheduler for its status.
-func (s operatorSources) ask(ctx context.Context, service string) (*peerv1.StatusResponse, request.Holder, error) {
+// schedulerStatus requests the status of a service from its scheduler.
+func (s operatorSources) schedulerStatus(ctx context.Context, service string) (*peerv1.StatusResponse, request.Holder, error) {
 	home, _ := s.i.schedulerHome(service)
 	ctx, stop := context.WithTimeout(ctx, statusTimeout)
 	defer stop()
--- a/instance/path.go
+++ b/instance/path.go
@@ -12,49 +12,49 @@
 	"github.com/cairnworks/cairnworks/scheduler"
 )
 
-// buildPath joins the stages of a request.
-func (i *Instance) buildPath() error {
-	i.sched = scheduler.NewServer(scheduler.Config{
-		Self: i.self(), Catalogue: i.catalogue, Home: i.schedulerHome, IsDead: i.givenUp,
+// buildRequestPath creates and connects the stages that process a request.
+func (i *Instance) buildRequestPath() error {
+	i.scheduler = scheduler.NewServer(scheduler.Config{
+		Self: i.self(), Catalogue: i.catalogue, Home: i.schedulerHome, IsDead: i.isDeadRun,
 		Engines: i.engines, System: i.actors, Log: i.log, Metrics: i.metrics,
 	})
-	i.placer = scheduler.NewClient(scheduler.ClientConfig{
+	i.schedulerClient = scheduler.NewClient(scheduler.ClientConfig{
 		Self: i.self, DataCentre: i.settings.DataCentre, Home: i.schedulerHome, Dial: i.dialScheduler,
 		Log: i.log, Metrics: i.metrics,
 	})
-	if err := i.buildStages(); err != nil {
+	if err := i.buildSharedServices(); err != nil {
 		return err
 	}
 	retrier := retry.New(retry.DefaultConfig(), rand.Float64)
 	models := &route.ModelRunner{
-		Self: i.self, Placer: i.placer, Engines: i.engines, Address: i.upstreamAddress,
+		Self: i.self, Placer: i.schedulerClient, Engines: i.engines, Address: i.upstreamAddress,
 		Retrier: retrier, Log: i.log, Metrics: i.metrics,
 	}
 	plain := &route.PlainRunner{
-		Placer: i.placer, Guard: i.guard, Services: i.services, Address: i.upstreamAddress,
+		Placer: i.schedulerClient, Guard: i.guard, Services: i.services, Address: i.upstreamAddress,
 		Retrier: retrier, Log: i.log, Metrics: i.metrics,
 	}
-	i.door = caller.NewServer(caller.Config{
+	i.callerHandler = caller.NewServer(caller.Config{
 		Directory: i.index, Rate: i.rate, Models: models, Plain: plain,
-		Watch: i.open.watch, Log: i.log, Metrics: i.metrics,
+		Watch: i.openRequests.add, Log: i.log, Metrics: i.metrics,
 	})
 	return nil
 }
 
-// dialScheduler returns the scheduler at a peer's address; this instance's own is
-// called without the network.
+// dialScheduler returns a client of the scheduler at a peer's address. This instance's own
+// scheduler is called directly, without the network.
 func (i *Instance) dialScheduler(address string) peerv1connect.SchedulerServiceClient {
 	if address == i.self().Address {
-		return i.sched
+		return i.scheduler
 	}
 	return peerv1connect.NewSchedulerServiceClient(i.peers, i.peers.URL(address), peer.ClientOptions())
 }
 
-// peerHandler serves every service that instances offer one another.
+// peerHandler returns the handler of the services that instances provide to each other.
 func (i *Instance) peerHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(peerv1connect.NewSchedulerServiceHandler(i.sched, peer.HandlerOptions()))
+	mux.Handle(peerv1connect.NewSchedulerServiceHandler(i.scheduler, peer.HandlerOptions()))
 	mux.Handle(i.follower.Handler())
-	i.mountStages(mux)
+	i.mountSharedServices(mux)
 	return mux
 }
--- a/instance/peerport.go
+++ b/instance/peerport.go
@@ -5,34 +5,35 @@
 	"net"
 )
 
-// portTries bounds the search for a port that is free for streams and for datagrams.
-const portTries = 32
+// maxPortTries limits the search for a port that is free for both TCP and UDP.
+const maxPortTries = 32
 
-// peerSockets are the two sockets at the address for other instances, of the same port.
+// peerSockets are the TCP and the UDP socket of the address for other instances. Both have the same
+// port.
 type peerSockets struct {
-	streams   net.Listener
-	datagrams net.PacketConn
+	listener   net.Listener
+	packetConn net.PacketConn
 }
 
-// listenPeers binds the address for other instances. A port that is left open (0) is drawn anew
-// while the drawn one is taken for datagrams, since the system hands out the ports of the two
-// protocols apart.
+// listenPeers binds the address for other instances. The system assigns TCP and UDP ports
+// independently, so with port 0 the assigned TCP port may be in use for UDP. In that case,
+// listenPeers retries with another port.
 func listenPeers(address string, listen func(network, address string) (net.Listener, error)) (peerSockets, error) {
 	tries := 1
 	if _, port, err := net.SplitHostPort(address); err == nil && port == "0" {
-		tries = portTries
+		tries = maxPortTries
 	}
-	var taken []error
+	var errs []error
 	for range tries {
-		streams, err := listen("tcp", address)
+		listener, err := listen("tcp", address)
 		if err != nil {
 			return peerSockets{}, err
 		}
-		datagrams, err := net.ListenPacket("udp", streams.Addr().String())
+		packetConn, err := net.ListenPacket("udp", listener.Addr().String())
 		if err == nil {
-			return peerSockets{streams: streams, datagrams: datagrams}, nil
+			return peerSockets{listener: listener, packetConn: packetConn}, nil
 		}
-		taken = append(taken, err, streams.Close())
+		errs = append(errs, err, listener.Close())
 	}
-	return peerSockets{}, errors.Join(taken...)
+	return peerSockets{}, errors.Join(errs...)
 }
--- a/instance/peerport_test.go
+++ b/instance/peerport_test.go
@@ -7,25 +7,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against an instance that ends at its start since the port it drew is taken for datagrams.
-func TestOpenPortIsDrawnAgainWhenItsDatagramsAreTaken(t *testing.T) {
+// An instance with port 0 must not fail to start because the assigned TCP port is in use for UDP.
+func TestPortZeroIsRetriedWhenUDPPortIsInUse(t *testing.T) {
 	other, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer other.Close()
-	drawn := []string{other.LocalAddr().String(), "127.0.0.1:0"}
+	candidates := []string{other.LocalAddr().String(), "127.0.0.1:0"}
 	bound, err := listenPeers("127.0.0.1:0", func(network, _ string) (net.Listener, error) {
-		address := drawn[0]
-		drawn = drawn[1:]
+		address := candidates[0]
+		candidates = candidates[1:]
 		return net.Listen(network, address)
 	})
 	assert.NilError(t, err)
-	defer bound.streams.Close()
-	defer bound.datagrams.Close()
-	assert.Equal(t, bound.streams.Addr().String(), bound.datagrams.LocalAddr().String())
+	defer bound.listener.Close()
+	defer bound.packetConn.Close()
+	assert.Equal(t, bound.listener.Addr().String(), bound.packetConn.LocalAddr().String())
 }
 
-// Guards against an instance that listens elsewhere than its settings say.
-func TestGivenPortIsNotDrawnAgain(t *testing.T) {
+// An instance whose configured port is in use must fail to start instead of listening on another
+// port.
+func TestConfiguredPortIsNotRetried(t *testing.T) {
 	other, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer other.Close()
--- a/instance/ready.go
+++ b/instance/ready.go
@@ -12,28 +12,29 @@
 )
 
 const (
-	// readyPoll is how often a starting instance looks whether it can spend.
-	readyPoll = 50 * time.Millisecond
-	// readyPatience bounds the wait. It is above the time in which a new home waits
-	// for its predecessor's lease to end; past it the log is down or a peer hangs,
-	// and an instance that serves with fewer shares is better than none.
-	readyPatience = 15 * time.Second
+	// readyPollInterval is the interval at which a starting instance checks canSpend.
+	readyPollInterval = 50 * time.Millisecond
+	// readyTimeout limits the wait. It exceeds the time for which a new home waits until the lease
+	// of its predecessor expires. After it, the log is down or a peer hangs, and an instance that
+	// serves with fewer shares is better than none.
+	readyTimeout = 15 * time.Second
 )
 
-// readiness tells the balancer when an instance may get callers. Ready only with
-// a configuration would send callers to a fleet whose rate homes are still waiting
-// for their leases, or that does not hear an instance which cannot tell its id yet, and
-// refuse requests that are within their rate.
+// readiness determines when the load balancer may send callers to an instance. A configuration is
+// not sufficient: the rate homes may still be waiting for leases, or the other instances may ignore
+// this one because it does not know its fleet ID yet. Requests within their rate would then be
+// refused.
 type readiness struct {
 	rate atomic.Bool
 }
 
-// ready reports whether the balancer should send callers here.
+// ready reports whether the load balancer should send callers to this instance.
 func (i *Instance) ready() bool {
 	return i.notReadyReason() == ""
 }
 
-// notReadyReason says to operators what an instance that is not ready waits for.
+// notReadyReason returns the reason why the instance is not ready, for operators, or an empty
+// string if it is ready.
 func (i *Instance) notReadyReason() string {
 	switch {
 	case i.drain.draining():
@@ -47,29 +48,29 @@
 	}
 }
 
-// awaitRate waits once until the fleet's id and the rate homes of every shard are known and
-// those of this instance may spend.
-func (i *Instance) awaitRate(ctx context.Context) error {
-	deadline := time.Now().Add(readyPatience)
+// waitForRate waits until canSpend returns true or readyTimeout has passed, and then marks the rate
+// as ready. It runs once, at the start.
+func (i *Instance) waitForRate(ctx context.Context) error {
+	deadline := time.Now().Add(readyTimeout)
 	for !i.canSpend() && time.Now().Before(deadline) {
-		if !sleep(ctx, readyPoll) {
+		if !sleep(ctx, readyPollInterval) {
 			return nil
 		}
 	}
 	i.readiness.rate.Store(true)
-	i.log.Info("rate homes settled", zap.Bool("all", settled(i.rate.Status(), i.settings.Instance)), zap.Stringer("fleet_id", i.fleet.Identity().ID))
+	i.log.Info("rate homes settled", zap.Bool("all", homesSettled(i.rate.Status(), i.settings.Instance)), zap.Stringer("fleet_id", i.fleetID.Identity().ID))
 	return nil
 }
 
-// canSpend reports whether the others hear this instance by its fleet's id, and every share has
-// a home that may spend as far as is known here.
+// canSpend reports whether the fleet ID is known, without which other instances ignore this one,
+// and whether the rate homes are settled.
 func (i *Instance) canSpend() bool {
-	return i.fleet.Identity().ID != 0 && settled(i.rate.Status(), i.settings.Instance)
+	return i.fleetID.Identity().ID != 0 && homesSettled(i.rate.Status(), i.settings.Instance)
 }
 
-// settled reports whether every shard has a holder and this instance may spend
-// under each term that is its own.
-func settled(status rate.Status, self string) bool {
+// homesSettled reports whether every shard has a holder and this instance may spend under each of
+// its own terms.
+func homesSettled(status rate.Status, self string) bool {
 	spending := make(map[uint32]bool, len(status.Held))
 	for _, held := range status.Held {
 		if held.Phase != lease.PhaseSpending {
--- a/instance/stages.go
+++ b/instance/stages.go
@@ -15,19 +15,19 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// buildStages prepares the parts whose state the fleet shares through the log: the
-// token rate, the at-most-once guard, and orders to upstreams.
-func (i *Instance) buildStages() error {
+// buildSharedServices creates the services whose state the fleet shares through the log: the token
+// rate, the at-most-once guard, and orders to upstreams.
+func (i *Instance) buildSharedServices() error {
 	var err error
 	i.rate, err = rate.New(rate.Config{
-		Self: i.started, Log: i.platform.log, Members: i.placedHolders, Limit: i.limit,
+		Self: i.initialRun, Log: i.platform.log, Members: i.eligibleHolders, Limit: i.limit,
 		Dial: i.dialRate, System: i.actors, Logger: i.log, Metrics: i.metrics,
 	})
 	if err != nil {
 		return err
 	}
 	i.guard, err = once.New(once.Config{
-		Self: i.started, Log: i.platform.log, Members: i.liveHolders, Dial: i.dialOnce, System: i.actors, Logger: i.log, Metrics: i.metrics,
+		Self: i.initialRun, Log: i.platform.log, Members: i.liveHolders, Dial: i.dialOnce, System: i.actors, Logger: i.log, Metrics: i.metrics,
 		LogRetention: i.logRetention(),
 		Window:       i.logRetention() / 2,
 	})
@@ -40,7 +40,7 @@
 	return err
 }
 
-// limit returns the rate and burst of an organisation in the set in force.
+// limit returns the rate and burst of an organisation in the current object set.
 func (i *Instance) limit(organisation string) (object.Limit, bool) {
 	index := i.index()
 	if index == nil {
@@ -65,18 +65,19 @@
 	return time.Duration(i.settings.Platform.LogRetentionSeconds) * time.Second
 }
 
-// mountStages adds the stages' services to the peers' address.
-func (i *Instance) mountStages(mux *http.ServeMux) {
+// mountSharedServices adds the handlers of the token rate and the at-most-once guard to the peers'
+// address.
+func (i *Instance) mountSharedServices(mux *http.ServeMux) {
 	mux.Handle(peerv1connect.NewRateServiceHandler(i.rate.Handler(), peer.HandlerOptions()))
 	path, guard := i.guard.Handler()
 	mux.Handle(path, peer.RequireSameLog(guard))
 }
 
-// loggedAddresses are the addresses of the instances that the log names as homes of rates. Two
-// groups of instances that were given no address of each other's would otherwise share one log
-// and never meet: each would take all homes from the other, without end, and callers of both
-// would be refused for as long as it lasts.
-func (i *Instance) loggedAddresses() []string {
+// rateHomeAddresses returns the addresses of the instances that hold rate homes according to the
+// log. Membership uses them to discover instances. Otherwise, two groups of instances that share a
+// log but are not configured with addresses of each other would never discover each other: each
+// group would take over all homes from the other repeatedly, and callers of both would be refused.
+func (i *Instance) rateHomeAddresses() []string {
 	if i.rate == nil {
 		return nil
 	}
@@ -87,28 +88,30 @@
 	return addresses
 }
 
-// placedHolders are the instances that may be given homes: alive, not draining.
-func (i *Instance) placedHolders() []request.Holder {
+// eligibleHolders returns the instances that may be assigned rate homes: those that are alive and
+// not draining.
+func (i *Instance) eligibleHolders() []request.Holder {
 	return i.holders(func(draining bool) bool { return !draining })
 }
 
-// liveHolders are the instances that are alive.
+// liveHolders returns the instances that are alive, including draining ones.
 func (i *Instance) liveHolders() []request.Holder {
 	return i.holders(func(bool) bool { return true })
 }
 
-// holders lists members for the rate and the guard, this instance as the run that
-// these were started as. Membership gives it a new incarnation when it was declared
-// dead in a pause; the rate, which keeps the identity that its terms in the log
-// have, would not find itself among the members and claim nothing any more.
-func (i *Instance) holders(take func(draining bool) bool) []request.Holder {
+// holders returns members for the token rate and the at-most-once guard, with this instance's
+// initial run in place of its current one. Membership assigns a new incarnation if this instance
+// was declared dead while its process was paused. The rate service keeps the identity that its
+// terms in the log refer to; with the new incarnation, it would not find itself among the members
+// and would claim no homes.
+func (i *Instance) holders(include func(draining bool) bool) []request.Holder {
 	members := i.members.Members()
 	holders := make([]request.Holder, 0, len(members))
 	for _, m := range members {
 		switch {
-		case !take(m.Draining):
-		case m.Instance == i.started.Instance:
-			holders = append(holders, i.started)
+		case !include(m.Draining):
+		case m.Instance == i.initialRun.Instance:
+			holders = append(holders, i.initialRun)
 		default:
 			holders = append(holders, m.Holder)
 		}
--- a/instance/upstreams.go
+++ b/instance/upstreams.go
@@ -12,32 +12,32 @@
 	"github.com/cairnworks/cairnworks/scheduler"
 )
 
-// upstreamListInterval is how often the platform's list of upstreams is read. It
-// adds to the list's own lag, and a leaving upstream must get no new work after a
-// few seconds.
+// upstreamListInterval is the interval at which the platform's list of upstreams is read. It adds
+// to the lag of the list, and a leaving upstream must receive no new work after a few seconds.
 const upstreamListInterval = time.Second
 
-// leavingList is what the platform's list says of leaving upstreams, by address.
-type leavingList struct {
+// leavingUpstreams are the addresses of the upstreams that are leaving according to the platform's
+// list.
+type leavingUpstreams struct {
 	addresses atomic.Pointer[map[string]bool]
 }
 
-func (l *leavingList) has(address string) bool {
+func (l *leavingUpstreams) contains(address string) bool {
 	addresses := l.addresses.Load()
 	return addresses != nil && (*addresses)[address]
 }
 
-// followUpstreams reads the list until ctx ends. While the list cannot be read
-// what it last said stays: taking an upstream for staying when it leaves costs
-// requests, the other way round costs a few slots.
-func (i *Instance) followUpstreams(ctx context.Context) error {
+// pollUpstreamList reads the list periodically until ctx is done. If the list cannot be read, the
+// last result is kept: treating a leaving upstream as staying would fail requests, whereas treating
+// a staying upstream as leaving only leaves a few slots unused.
+func (i *Instance) pollUpstreamList(ctx context.Context) error {
 	if i.platform.list == nil {
 		return nil
 	}
 	for sleep(ctx, upstreamListInterval) {
-		// Only schedulers use the list. At 400 instances and 600 upstreams each
-		// reading costs 64 KB.
-		if !i.sched.HasServices() {
+		// Only schedulers use the list. With 400 instances and 600 upstreams, every read transfers
+		// 64 KB.
+		if !i.scheduler.HasServices() {
 			continue
 		}
 		listed, err := i.platform.list.Upstreams(ctx)
@@ -61,12 +61,11 @@
 	return nil
 }
 
-// catalogue gives schedulers the object set with what the list says of leaving
-// upstreams. Of the set, the list and an upstream's own report the most careful
-// one holds.
+// catalogue is the object set for schedulers, combined with the list of leaving upstreams. An
+// upstream is leaving if the object set, the list or the upstream's own report says so.
 type catalogue struct {
 	*object.Index
-	leaving *leavingList
+	leaving *leavingUpstreams
 }
 
 // Upstreams implements scheduler.Catalogue.
@@ -75,7 +74,7 @@
 	upstreams := make([]*object.Upstream, len(published))
 	for n, u := range published {
 		upstreams[n] = u
-		if !u.Leaving && c.leaving.has(u.Address) {
+		if !u.Leaving && c.leaving.contains(u.Address) {
 			copied := *u
 			copied.Leaving = true
 			upstreams[n] = &copied
