--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -1,9 +1,9 @@
 // Package boottime reads a clock that continues to advance while the machine is suspended.
 //
-// Go's monotonic clock stops while the machine is suspended. An expired lease or an outdated proof of
-// freshness would still appear valid after a suspension of several minutes, and a resumed instance
-// would act on outdated state. The wall clock advances during a suspension but jumps when it is
-// adjusted.
+// Go's monotonic clock stops while the machine is suspended. An expired lease or an outdated proof
+// of freshness would still appear valid after a suspension of several minutes, and a resumed
+// instance would act on outdated state. The wall clock advances during a suspension but jumps when
+// it is adjusted.
 package boottime
 
 import (
--- a/cmd/cairnstand/main.go
+++ b/cmd/cairnstand/main.go
@@ -1,5 +1,6 @@
 // Command cairnstand runs a stand-in for an external system as a process: a model engine, a plain
-// service, the log, the instance list or the weight store. It is meant for tests and demonstrations.
+// service, the log, the instance list or the weight store. It is meant for tests and
+// demonstrations.
 package main
 
 import (
--- a/cmd/cairnworksd/main.go
+++ b/cmd/cairnworksd/main.go
@@ -142,8 +142,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// loadSettings reads the settings file. With --embedded, it starts the stand-ins and returns settings
-// that use them.
+// loadSettings reads the settings file. With --embedded, it starts the stand-ins and returns
+// settings that use them.
 func loadSettings(ctx context.Context, cmd *cli.Command) (settings.Settings, *embedded.Platform, error) {
 	file := cmd.String("settings")
 	if !cmd.Bool("embedded") {
--- a/cmd/cairnworksd/main_test.go
+++ b/cmd/cairnworksd/main_test.go
@@ -15,8 +15,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// If a unit file contains an invalid command line, a supervisor would restart the daemon repeatedly.
-// Usage errors have a separate exit code so that a supervisor can be configured not to restart.
+// If a unit file contains an invalid command line, a supervisor would restart the daemon
+// repeatedly. Usage errors have a separate exit code so that a supervisor can be configured not to
+// restart.
 func TestWrongUseHasItsOwnExitCode(t *testing.T) {
 	for _, line := range []string{"nonsense", "run --bogus", "run", "run --settings /nonexistent"} {
 		t.Run(line, func(t *testing.T) {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -19,9 +19,9 @@
 	assert.Equal(t, s.DrainGraceSeconds, 5)
 }
 
-// If an operator mistypes a setting, the daemon must not start with an unintended default. The error
-// must name the file and, for every invalid field at once, the field, its value and the allowed
-// values.
+// If an operator mistypes a setting, the daemon must not start with an unintended default. The
+// error must name the file and, for every invalid field at once, the field, its value and the
+// allowed values.
 func TestWrongSettingsAreAllNamed(t *testing.T) {
 	for _, test := range []struct {
 		name, data string
@@ -46,8 +46,8 @@
 	}
 }
 
-// If an operator sets the CA for callers' certificates but omits the listener's own certificate, the
-// instance would listen on plain TCP and accept every caller. The settings must be rejected.
+// If an operator sets the CA for callers' certificates but omits the listener's own certificate,
+// the instance would listen on plain TCP and accept every caller. The settings must be rejected.
 func TestAuthorityWithoutCertificateIsRefused(t *testing.T) {
 	data := strings.Replace(goodSettings, `"127.0.0.1:1"`, `"127.0.0.1:1","tls":{"ca_file":"ca.pem"}`, 1)
 	_, err := Parse("f", []byte(data))
