--- a/instance/routed/evacuation_test.go
+++ b/instance/routed/evacuation_test.go
@@ -10,36 +10,36 @@
 	"gotest.tools/v3/assert"
 )
 
-// Operators want a data centre emptied. An instance that sends on there loses the requests
-// when the power goes, though other data centres could have served them; once it is given back
-// its upstreams are needed again. An instance that reads the list for the first time while
-// it holds must know it too.
+// While a data centre is evacuated, its upstreams must receive no requests: they would be lost when
+// its power is turned off, although other data centres could serve them. After the evacuation ends,
+// its upstreams must be used again. An instance that first reads the list during an evacuation must
+// apply the evacuation as well.
 func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
-	f := start(t, signed)
-	var elsewhere atomic.Int64
+	f := start(t, respondSigned)
+	var otherRequests atomic.Int64
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		elsewhere.Add(1)
-		signed(w, r)
+		otherRequests.Add(1)
+		respondSigned(w, r)
 	}))
 	defer other.Close()
 	f.store.put("keyed.servers", "i-2", fmt.Sprintf(`{"service":"s","address":%q,"zone":"y","slots":4,"state":"ready","seq":1}`, other.Listener.Addr()))
 	f.store.put("keyed.op", "evacuate/z", "{}")
-	f.await(t, func() bool {
-		before := elsewhere.Load()
+	f.eventually(t, func() bool {
+		before := otherRequests.Load()
 		for range 10 {
-			if status, _, err := f.ask("k"); err != nil || status != http.StatusOK {
+			if status, _, err := f.request("k"); err != nil || status != http.StatusOK {
 				return false
 			}
 		}
-		return elsewhere.Load() == before+10
+		return otherRequests.Load() == before+10
 	})
 	f.store.put("keyed.op", "evacuate/y", "{}")
-	f.await(t, func() bool { status, _, _ := f.ask("k"); return status == http.StatusServiceUnavailable })
+	f.eventually(t, func() bool { status, _, _ := f.request("k"); return status == http.StatusServiceUnavailable })
 	f.store.put("keyed.op", "evacuate/z", "")
-	f.await(t, func() bool { status, _, _ := f.ask("k"); return status == http.StatusOK })
-	before := elsewhere.Load()
-	status, _, err := f.ask("k")
+	f.eventually(t, func() bool { status, _, _ := f.request("k"); return status == http.StatusOK })
+	before := otherRequests.Load()
+	status, _, err := f.request("k")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
-	assert.Equal(t, elsewhere.Load(), before)
+	assert.Equal(t, otherRequests.Load(), before)
 }
--- a/instance/routed/events_test.go
+++ b/instance/routed/events_test.go
@@ -10,12 +10,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// The table of log events in the operations page is what an on-call engineer goes by.
-// One that lacks an event, or names one that is no longer written, sends them astray.
-func TestEveryEventAndMetricStandsInTheTables(t *testing.T) {
-	page, err := os.ReadFile("../../docs/OPERATIONS.md")
+// On-call engineers rely on the tables of log events and metrics in the operations manual. The
+// tables must contain every event and metric in the code, and no others.
+func TestEventAndMetricTablesMatchCode(t *testing.T) {
+	doc, err := os.ReadFile("../../docs/OPERATIONS.md")
 	assert.NilError(t, err)
-	_, section, ok := strings.Cut(string(page), "## Routed instances")
+	_, section, ok := strings.Cut(string(doc), "## Routed instances")
 	assert.Assert(t, ok)
 	table := map[string]bool{}
 	for _, line := range strings.Split(section, "\n") {
@@ -28,7 +28,7 @@
 		}
 	}
 	written := map[string]bool{}
-	call := regexp.MustCompile(`(?:\.(?:Info|Warn|Error)|\btell)\("([^"]+)"`)
+	call := regexp.MustCompile(`(?:\.(?:Info|Warn|Error)|\b(?:tell|logChange))\("([^"]+)"`)
 	for _, folder := range []string{"../../gateway", "../../fleet", "../../follow", "../../fleetid", ".", "../../cmd/cairnworksd"} {
 		files, err := filepath.Glob(filepath.Join(folder, "*.go"))
 		assert.NilError(t, err)
@@ -53,9 +53,9 @@
 		}
 	}
 	for name := range written {
-		assert.Check(t, table[name], "%q is not in the table", name)
+		assert.Check(t, table[name], "%q is written but missing from the tables", name)
 	}
 	for name := range table {
-		assert.Check(t, written[name], "%q is in the table and not written", name)
+		assert.Check(t, written[name], "%q is in the tables but never written", name)
 	}
 }
--- a/instance/routed/readers.go
+++ b/instance/routed/readers.go
@@ -13,82 +13,85 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// How often the store is asked, all calls being paid for. The shares are of the time in
-// which a change must be known everywhere: a new configuration in force, a leaving
-// upstream given no more work.
+// Intervals of store calls, each of which is billed. The fractions are relative to the time
+// within which all instances must apply a change: activate a new configuration, or assign no more
+// work to a leaving upstream.
 const (
-	// waitShare is how long a call waits at the store for a new configuration. A proof
-	// counts from the start of its call and holds until the next one's end, so that it is
-	// up to twice as old.
-	waitShare = 0.2
-	configGap = 50 * time.Millisecond
-	// leavingShare passes between two reads of the list of upstreams. They renew their
-	// entries all the time, so that a waiting call would return with each of them.
-	leavingShare = 0.25
-	// spareShare is the age of a proof from which others read too. It is above what two
-	// regular readers and a lost report make of it, and leaves a third of the bound for
-	// the read, the report and the others' reads.
-	spareShare = 0.6
-	// staggerShare spreads the reads of all others, so that the first of them spare the
-	// rest theirs.
-	staggerShare = 0.15
-	// memberGap: instances seldom come and go, and are known by their reports before
-	// their entry is read. An entry holds for three times as long.
-	memberGap = 4 * time.Second
+	// configWaitFraction is how long a call waits at the store for a new configuration. A proof of
+	// freshness dates from the start of its call and is used until the next call ends, so it can
+	// become twice as old.
+	configWaitFraction = 0.2
+	// configReadGap is the pause between two calls for the configuration.
+	configReadGap = 50 * time.Millisecond
+	// upstreamGapFraction is the pause between two reads of the list of upstreams. Upstreams renew
+	// their entries continuously, so a waiting call would return for every renewal.
+	upstreamGapFraction = 0.25
+	// spareFraction is the age of a proof from which other instances read as well. It exceeds the
+	// age that results from two regular readers and one lost report, and leaves a third of the
+	// bound for the read, the report and the reads of the others.
+	spareFraction = 0.6
+	// staggerFraction is the time over which the reads of all other instances are spread, so that
+	// the first reads make the remaining ones unnecessary.
+	staggerFraction = 0.15
+	// memberReadGap is the pause between two reads of the list of instances. It is long because
+	// instances rarely start or stop, and their reports arrive before their entries are read. An
+	// entry is valid for three times as long.
+	memberReadGap = 4 * time.Second
 )
 
-// How often the list of instances is read.
+// Factors of memberReadGap.
 const (
-	// calmReads is how much more seldom the list of instances is read while others are
-	// heard, aloneReads how much more often while nobody is, and firstReads until it is known
-	// who is in the fleet.
-	calmReads, aloneReads, firstReads = 15, 0.4, 0.1
+	// largeFleetGapFactor applies in a large fleet while other instances are heard,
+	// isolatedGapFactor while none is heard, and initialGapFactor until the members of the fleet
+	// are known.
+	largeFleetGapFactor, isolatedGapFactor, initialGapFactor = 15, 0.4, 0.1
 )
 
-// unlisted reports whether this instance needs no entry: who starts must find the hubs of a
-// large fleet only, and hubs hear of the others by their reports.
+// unlisted reports whether this instance needs no entry in the list of instances. In a large fleet,
+// a starting instance only needs to find the hubs, and the hubs learn of the others from their
+// reports.
 func (i *Instance) unlisted() bool {
 	return i.fleetSize().Large() && !i.exchange.IsHub()
 }
 
-// readSlowly is how much more seldom than in a small fleet the list of instances is read.
-func (i *Instance) readSlowly() float64 {
+// memberGapFactor returns the current factor of memberReadGap, relative to a small fleet.
+func (i *Instance) memberGapFactor() float64 {
 	switch {
 	case !i.members.Settled():
-		return firstReads
+		return initialGapFactor
 	case i.exchange.Alone():
-		return aloneReads
+		return isolatedGapFactor
 	case i.fleetSize().Large():
-		return calmReads
+		return largeFleetGapFactor
 	default:
 		return 1
 	}
 }
 
-// follower returns a follower of a topic of which every instance must know a change
-// within a time.
-func (i *Instance) follower(topic port.Topic, within time.Duration, reader follow.Reader) *follow.Follower {
-	part := func(share float64) time.Duration { return time.Duration(share * float64(within)) }
-	pace := follow.Pace{Spare: part(spareShare), Stagger: part(staggerShare) / maxStagger}
+// newSharedFollower returns a follower of a topic whose changes all instances must know within the
+// given time.
+func (i *Instance) newSharedFollower(topic port.Topic, within time.Duration, reader follow.Reader) *follow.Follower {
+	fractionOf := func(fraction float64) time.Duration { return time.Duration(fraction * float64(within)) }
+	pace := follow.Pace{Spare: fractionOf(spareFraction), Stagger: fractionOf(staggerFraction) / maxStaggerRank}
 	if topic == port.TopicConfiguration {
-		pace.Wait, pace.Gap = part(waitShare), configGap
+		pace.Wait, pace.Gap = fractionOf(configWaitFraction), configReadGap
 	} else {
-		pace.Gap = part(leavingShare)
+		pace.Gap = fractionOf(upstreamGapFraction)
 	}
 	f := follow.NewFollower(topic, pace, reader)
-	f.Turn = func() int { return min(i.exchange.Rank(topic.String()), maxStagger) }
+	f.Turn = func() int { return min(i.exchange.Rank(topic.String()), maxStaggerRank) }
 	f.Kick = func() { i.exchange.Announce() }
 	return f
 }
 
-// maxStagger is the number of instances over which reads are spread.
-const maxStagger = 16
+// maxStaggerRank is the number of instances over which reads are spread.
+const maxStaggerRank = 16
 
 // Fill implements fleet.Handler.
 func (i *Instance) Fill(now time.Duration, r *fleet.Report) {
 	i.gateway.FillReport(now, r)
-	r.Known = make(map[port.Topic]uint64, len(i.shared))
-	for _, f := range i.shared {
+	r.Known = make(map[port.Topic]uint64, len(i.sharedFollowers))
+	for _, f := range i.sharedFollowers {
 		if n, ok := f.Note(now); ok {
 			r.Notes = append(r.Notes, n)
 		}
@@ -106,9 +109,9 @@
 // Answer implements fleet.Handler.
 func (i *Instance) Answer(now time.Duration, poll, r *fleet.Report) {
 	i.gateway.FillPollAnswer(now, poll, r)
-	for _, f := range i.shared {
-		known, told := poll.Known[f.Topic]
-		if !told {
+	for _, f := range i.sharedFollowers {
+		known, present := poll.Known[f.Topic]
+		if !present {
 			known = math.MaxUint64
 		}
 		if n, ok := f.Tell(now, known); ok {
@@ -136,7 +139,7 @@
 func (i *Instance) Take(now time.Duration, r *fleet.Report) {
 	i.gateway.ApplyReport(now, r)
 	for _, n := range r.Notes {
-		for _, f := range i.shared {
+		for _, f := range i.sharedFollowers {
 			if f.Topic == n.Topic {
 				f.Hear(n, r.Earliest)
 			}
@@ -144,37 +147,37 @@
 	}
 }
 
-// configReader takes in what operators write: configurations, and which data centres are
-// evacuated.
+// configReader applies the records that operators write: configurations and evacuations of data
+// centres.
 type configReader struct{ instance *Instance }
 
 // Replace implements follow.Reader.
 func (r *configReader) Replace(records []port.KeyedRecord) bool {
-	changed := r.keepEvacuated(records)
+	changed := r.liftMissingEvacuations(records)
 	for _, record := range records {
 		changed = r.Add(record) || changed
 	}
 	return changed
 }
 
-// keepEvacuated gives back the data centres that a whole read no longer names.
-func (r *configReader) keepEvacuated(records []port.KeyedRecord) bool {
+// liftMissingEvacuations ends the evacuation of data centres that a full read no longer names.
+func (r *configReader) liftMissingEvacuations(records []port.KeyedRecord) bool {
 	named := make(map[string]bool)
 	for _, record := range records {
-		if dataCentre, evacuated, ok := r.instance.outside.Evacuation(record); ok && evacuated {
+		if dataCentre, evacuated, ok := r.instance.adapters.Evacuation(record); ok && evacuated {
 			named[dataCentre] = true
 		}
 	}
 	changed := false
 	for _, dataCentre := range r.instance.state.Directory.Evacuated() {
 		if !named[dataCentre] {
-			changed = r.evacuate(dataCentre, false) || changed
+			changed = r.setEvacuated(dataCentre, false) || changed
 		}
 	}
 	return changed
 }
 
-func (r *configReader) evacuate(dataCentre string, evacuated bool) bool {
+func (r *configReader) setEvacuated(dataCentre string, evacuated bool) bool {
 	if !r.instance.state.Directory.Evacuate(dataCentre, evacuated) {
 		return false
 	}
@@ -185,10 +188,10 @@
 // Add implements follow.Reader.
 func (r *configReader) Add(record port.KeyedRecord) bool {
 	i := r.instance
-	if dataCentre, evacuated, ok := i.outside.Evacuation(record); ok {
-		return r.evacuate(dataCentre, evacuated)
+	if dataCentre, evacuated, ok := i.adapters.Evacuation(record); ok {
+		return r.setEvacuated(dataCentre, evacuated)
 	}
-	c, ok, err := i.outside.Configuration(record)
+	c, ok, err := i.adapters.Configuration(record)
 	if err != nil {
 		i.log.Error("configuration not readable; the one before stays in force", zap.Error(err))
 		return false
@@ -206,7 +209,7 @@
 	i.quotas.SetLimits(index)
 	i.mu.Lock()
 	if c.Intake.HeaderBytes > 0 {
-		i.intake = c.Intake
+		i.requestLimits = c.Intake
 	}
 	i.mu.Unlock()
 	i.log.Info("configuration applied", zap.Uint64("version", c.Version), zap.Uint64("offset", record.Offset),
@@ -215,32 +218,34 @@
 }
 
 // Proven implements follow.Reader.
-func (r *configReader) Proven(begun time.Duration) {
+func (r *configReader) Proven(start time.Duration) {
 	if r.instance.state.Index() != nil {
-		r.instance.state.ConfirmCurrent(begun)
+		r.instance.state.ConfirmCurrent(start)
 	}
 }
 
 // Lost implements follow.Reader.
 func (r *configReader) Lost() {}
 
-// upstreamReader takes in upstreams' entries.
+// upstreamReader applies the entries of upstreams.
 type upstreamReader struct {
 	instance *Instance
-	// lost tells that the last call failed; holdUntil is the time up to which removed
-	// entries stay: those that lapsed while the store was away come back.
-	lost      bool
-	holdUntil time.Duration
-	removed   map[string]bool
+	// lost is set if the last call to the store failed.
+	lost bool
+	// keepRemovedUntil is the time until which removed entries are kept, because entries that
+	// expired during a store outage are registered again.
+	keepRemovedUntil time.Duration
+	// pendingRemovals are the entries to remove after keepRemovedUntil.
+	pendingRemovals map[string]bool
 }
 
-// returnTime is how long after the store's return the entries of living upstreams
-// may still be missing.
-const returnTime = 2200 * time.Millisecond
+// reregistrationTime is how long entries of running upstreams may still be missing after an outage
+// of the store.
+const reregistrationTime = 2200 * time.Millisecond
 
 // Replace implements follow.Reader.
 func (r *upstreamReader) Replace(records []port.KeyedRecord) bool {
-	r.returned()
+	r.noteStoreReachable()
 	changed := false
 	named := make(map[string]bool, len(records))
 	for _, record := range records {
@@ -256,65 +261,65 @@
 
 // Add implements follow.Reader.
 func (r *upstreamReader) Add(record port.KeyedRecord) bool {
-	r.returned()
+	r.noteStoreReachable()
 	i := r.instance
 	if record.Value == nil {
 		r.remove(record.Key)
 		return true
 	}
-	entry, err := i.outside.Entry(record)
+	entry, err := i.adapters.Entry(record)
 	if err != nil {
-		i.log.Debug("entry names no upstream", zap.String("key", record.Key), zap.Error(err))
+		i.log.Debug("entry does not describe an upstream", zap.String("key", record.Key), zap.Error(err))
 		return false
 	}
-	held := r.removed[record.Key]
-	delete(r.removed, record.Key)
+	wasPending := r.pendingRemovals[record.Key]
+	delete(r.pendingRemovals, record.Key)
 	changed := i.state.Directory.Put(entry)
-	if tell := i.informs(); changed {
-		tell("upstream changed", zap.String("upstream", entry.ID), zap.String("service", entry.Service), zap.String("address", entry.Address),
+	if logChange := i.changeLogger(); changed {
+		logChange("upstream changed", zap.String("upstream", entry.ID), zap.String("service", entry.Service), zap.String("address", entry.Address),
 			zap.Stringer("role", entry.Role), zap.Bool("leaving", entry.Leaving), zap.Uint64("offset", record.Offset))
 	}
-	return changed || held
+	return changed || wasPending
 }
 
-// remove drops an entry, or notes that it is to be dropped once the store has been
-// back for long enough.
+// remove removes an entry. Shortly after a store outage, it postpones the removal until
+// keepRemovedUntil.
 func (r *upstreamReader) remove(id string) {
-	if boottime.Now() < r.holdUntil {
-		if r.removed == nil {
-			r.removed = make(map[string]bool)
+	if boottime.Now() < r.keepRemovedUntil {
+		if r.pendingRemovals == nil {
+			r.pendingRemovals = make(map[string]bool)
 		}
-		r.removed[id] = true
+		r.pendingRemovals[id] = true
 		return
 	}
 	r.drop(id)
 }
 
 func (r *upstreamReader) drop(id string) {
-	if tell := r.instance.informs(); r.instance.state.Directory.Remove(id) {
-		tell("upstream gone", zap.String("upstream", id))
+	if logChange := r.instance.changeLogger(); r.instance.state.Directory.Remove(id) {
+		logChange("upstream gone", zap.String("upstream", id))
 	}
 }
 
-// returned notes the store's return.
-func (r *upstreamReader) returned() {
+// noteStoreReachable starts the time for re-registration if the store was unreachable before.
+func (r *upstreamReader) noteStoreReachable() {
 	if r.lost {
 		r.lost = false
-		r.holdUntil = boottime.Now() + returnTime
+		r.keepRemovedUntil = boottime.Now() + reregistrationTime
 	}
 }
 
 // Proven implements follow.Reader.
 func (r *upstreamReader) Proven(time.Duration) {
 	r.instance.state.UpstreamsRead()
-	r.returned()
-	if len(r.removed) == 0 || boottime.Now() < r.holdUntil {
+	r.noteStoreReachable()
+	if len(r.pendingRemovals) == 0 || boottime.Now() < r.keepRemovedUntil {
 		return
 	}
-	for id := range r.removed {
+	for id := range r.pendingRemovals {
 		r.drop(id)
 	}
-	r.removed = nil
+	r.pendingRemovals = nil
 }
 
 // Lost implements follow.Reader.
--- a/instance/routed/routed.go
+++ b/instance/routed/routed.go
@@ -1,5 +1,5 @@
-// Package routed wires an instance that serves routed requests: callers' door, what
-// it follows of the platform's store, and what it tells the other instances.
+// Package routed assembles an instance that serves routed requests: the server for callers, the
+// followers of the platform's store, and the exchange of reports with other instances.
 package routed
 
 import (
@@ -29,20 +29,21 @@
 	"github.com/cairnworks/cairnworks/upstream"
 )
 
-// Outside is what an instance meets through a platform's adapter.
+// Outside contains the adapters for the platform on which an instance runs.
 type Outside struct {
 	Log       port.KeyedLog
 	Codec     gateway.Codec
 	Upstreams gateway.Upstreams
 	Engines   gateway.EngineController
 	Pool      *httpconn.Pool
-	// Configuration reads a record; ok is false where it holds no configuration.
+	// Configuration decodes a record. ok is false if the record contains no configuration.
 	Configuration func(port.KeyedRecord) (c Configuration, ok bool, err error)
-	// Evacuation reads a record of the same topic that empties a data centre or gives it back;
-	// ok is false for others.
+	// Evacuation decodes a record of the same topic that starts or ends the evacuation of a data
+	// centre. ok is false for other records.
 	Evacuation func(port.KeyedRecord) (dataCentre string, evacuated, ok bool)
-	Entry      func(port.KeyedRecord) (upstream.Entry, error)
-	// ReadyPath is where the balancer asks.
+	// Entry decodes the entry of an upstream.
+	Entry func(port.KeyedRecord) (upstream.Entry, error)
+	// ReadyPath is the path of the load balancer's readiness probe.
 	ReadyPath string
 }
 
@@ -53,47 +54,45 @@
 	Intake  Intake
 }
 
-// Intake bounds what callers may send.
+// Intake limits the size and duration of callers' requests.
 type Intake struct {
 	HeaderBytes          int
 	HeaderTime, IdleTime time.Duration
 }
 
-// Figures of an instance.
 const (
-	// memoryShare is the part of the process's memory from which the runtime collects
-	// garbage harder; the rest is for what it does not count: sockets' buffers, stacks,
-	// and what is allocated while it collects.
-	memoryShare = 0.5
-	// bodyShare is the part of the memory that request bodies may take.
-	bodyShare = 0.2
-	// proofShare is the part of the bound on withdrawn keys after which an instance
-	// that has not reached the store refuses requests with a key. The rest covers the
-	// way of a request to its engine.
-	proofShare = 0.85
-	// readyAge is the age of the configuration's proof up to which an instance calls
-	// itself ready: requests that reach it then still find it certain of its keys.
-	readyShare = 0.6
-	// lingerShare is the part of the grace after SIGTERM in which new connections are
-	// still taken: the balancer notices after two questions, a second apart, and a stream
-	// that begins later may not end within the grace.
-	lingerShare = 0.33
-	// exitMargin is left of the grace for the end of the process.
-	exitMargin = 600 * time.Millisecond
-	// millicores is the unit of what machines tell of their processors.
-	millicores = 1000
-	// sweepInterval is how often idle connections to upstreams are looked over, and gauges
-	// set.
+	// memoryLimitFraction is the fraction of the process's memory that is set as the memory limit
+	// of the Go runtime. The rest is for memory that the limit does not cover: socket buffers,
+	// stacks, and allocations during a garbage collection.
+	memoryLimitFraction = 0.5
+	// bodyMemoryFraction is the fraction of the memory that request bodies may use.
+	bodyMemoryFraction = 0.2
+	// proofAgeFraction is the fraction of the bound on withdrawn keys after which an instance that
+	// has not reached the store refuses requests with a key. The rest covers the time that a
+	// request takes to reach its engine.
+	proofAgeFraction = 0.85
+	// readyAgeFraction is the fraction of the same bound up to which an instance reports that it is
+	// ready. Requests that arrive in response can then still be authenticated.
+	readyAgeFraction = 0.6
+	// lingerFraction is the fraction of the grace period after SIGTERM in which new connections are
+	// still accepted. The load balancer detects the change after two probes, one second apart, and
+	// a stream that starts later may not complete within the grace period.
+	lingerFraction = 0.33
+	// exitMargin is the part of the grace period that is reserved for the exit of the process.
+	exitMargin        = 600 * time.Millisecond
+	millicoresPerCore = 1000
+	// sweepInterval is the interval at which idle connections to upstreams are closed and gauges
+	// are updated.
 	sweepInterval = time.Second
 )
 
-// defaultIntake holds until the configuration says otherwise.
-var defaultIntake = Intake{HeaderBytes: 16 << 10, HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}
+// defaultRequestLimits apply until a configuration sets others.
+var defaultRequestLimits = Intake{HeaderBytes: 16 << 10, HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}
 
 // Instance is one running instance.
 type Instance struct {
 	settings settings.Routed
-	outside  Outside
+	adapters Outside
 	log      *zap.Logger
 	metrics  *observe.Metrics
 	state    *gateway.State
@@ -101,42 +100,42 @@
 	gateway  *gateway.Gateway
 	members  *fleet.Members
 	exchange *fleet.Exchange
-	fleet    *fleetid.Keeper
-	// shared are the topics that a few instances read for all.
-	shared []*follow.Follower
-	began  time.Time
-	// hubs are those that were logged last.
-	hubs []string
+	fleetID  *fleetid.Keeper
+	// sharedFollowers follow the topics that a few instances read on behalf of all.
+	sharedFollowers []*follow.Follower
+	createdAt       time.Time
+	// loggedHubs are the names of the hubs that were logged last.
+	loggedHubs []string
 
-	mu       sync.Mutex
-	intake   Intake
-	draining bool
+	mu            sync.Mutex
+	requestLimits Intake
+	draining      bool
 }
 
-// New prepares an instance; Run starts it.
-func New(s settings.Routed, outside Outside, log *zap.Logger) (*Instance, error) {
+// New creates an instance, which Run starts.
+func New(s settings.Routed, adapters Outside, log *zap.Logger) (*Instance, error) {
 	metrics := observe.NewMetrics()
-	outside.Log = &countedLog{outside.Log, metrics}
-	i := &Instance{settings: s, outside: outside, log: log, metrics: metrics, began: time.Now(), intake: defaultIntake}
+	adapters.Log = &instrumentedLog{adapters.Log, metrics}
+	i := &Instance{settings: s, adapters: adapters, log: log, metrics: metrics, createdAt: time.Now(), requestLimits: defaultRequestLimits}
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryShare * 1e6))
+		debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryLimitFraction * 1e6))
 	}
-	i.state = gateway.NewState(boottime.Now, time.Duration(float64(s.RevokeMS)*proofShare)*time.Millisecond)
+	i.state = gateway.NewState(boottime.Now, time.Duration(float64(s.RevokeMS)*proofAgeFraction)*time.Millisecond)
 	self := fleet.Member{
-		Name: s.Instance, Incarnation: fleet.NewIncarnation(i.began), Address: s.Reports,
-		Machine: fleet.Machine{DataCentre: s.DataCentre, Millicores: int(s.Cores * millicores)},
+		Name: s.Instance, Incarnation: fleet.NewIncarnation(i.createdAt), Address: s.Reports,
+		Machine: fleet.Machine{DataCentre: s.DataCentre, Millicores: int(s.Cores * millicoresPerCore)},
 	}
 	bound := gateway.QuotaBound{Window: seconds(s.QuotaS), Over: s.QuotaOver, Slack: s.QuotaSlack}
 	i.quotas = gateway.NewQuotas(boottime.Now, self, bound)
 	i.gateway = gateway.New(gateway.Options{
-		Codec: outside.Codec, Upstreams: outside.Upstreams, State: i.state, Quotas: i.quotas, Log: log, Metrics: i.metrics,
-		ApplyTimeout: time.Duration(s.ApplyMS) * time.Millisecond, DataCentre: s.DataCentre, TriggerReport: i.kick, MaxBufferedBodyBytes: i.bodyLimit(),
+		Codec: adapters.Codec, Upstreams: adapters.Upstreams, State: i.state, Quotas: i.quotas, Log: log, Metrics: i.metrics,
+		ApplyTimeout: time.Duration(s.ApplyMS) * time.Millisecond, DataCentre: s.DataCentre, TriggerReport: i.triggerReport, MaxBufferedBodyBytes: i.maxBufferedBodyBytes(),
 		RetryBudget: gateway.RetryBudget{Ratio: s.RetryRatio, Window: seconds(s.RetryS), Slack: s.RetrySlack, FirstStart: s.FirstStart},
 		FleetSize:   i.fleetSize,
 	})
-	i.shared = []*follow.Follower{
-		i.follower(port.TopicConfiguration, time.Duration(s.ApplyMS)*time.Millisecond, &configReader{instance: i}),
-		i.follower(port.TopicUpstreams, time.Duration(s.LeaveMS)*time.Millisecond, &upstreamReader{instance: i}),
+	i.sharedFollowers = []*follow.Follower{
+		i.newSharedFollower(port.TopicConfiguration, time.Duration(s.ApplyMS)*time.Millisecond, &configReader{instance: i}),
+		i.newSharedFollower(port.TopicUpstreams, time.Duration(s.LeaveMS)*time.Millisecond, &upstreamReader{instance: i}),
 	}
 	exchange, err := fleet.Listen(self, i, log)
 	if err != nil {
@@ -145,24 +144,25 @@
 	i.exchange = exchange
 	i.quotas.Connect(exchange)
 	i.gateway.Connect(exchange)
-	i.members = fleet.NewMembers(self, outside.Log, log, i.setMembers)
+	i.members = fleet.NewMembers(self, adapters.Log, log, i.setMembers)
 	i.members.Unlisted, i.members.ReadFirst = i.unlisted, !s.FirstStart
-	i.members.Informs = i.informs
+	i.members.Informs = i.changeLogger
 	exchange.OnReport(i.members.Introduce)
 	exchange.OnVouched(i.members.Vouch)
 	exchange.OnExpire(i.members.Expire)
 	exchange.OnlyFrom(i.members.Current)
 	exchange.OnceListed(i.members.Settled)
-	i.fleet = fleetid.NewKeeper(fleetid.KeeperConfig{
-		Store: fleetid.NewKeyedStore(outside.Log), Spread: idSpread(s.FirstStart), Name: s.FleetName(), Logger: log, Metrics: metrics.Scope,
+	i.fleetID = fleetid.NewKeeper(fleetid.KeeperConfig{
+		Store: fleetid.NewKeyedStore(adapters.Log), Spread: idReadSpread(s.FirstStart), Name: s.FleetName(), Logger: log, Metrics: metrics.Scope,
 	})
-	exchange.Of(i.fleet)
+	exchange.Of(i.fleetID)
 	return i, nil
 }
 
-// idSpread is over what time instances read the fleet's id that start for the first time, when
-// there is none yet: one of them is to draw it, and the rest to find it.
-func idSpread(firstStart bool) time.Duration {
+// idReadSpread returns the time over which the instances of a fleet that starts for the first time
+// spread their reads of the fleet ID. The store contains no ID yet, and the spread lets one instance
+// create it and the others find it.
+func idReadSpread(firstStart bool) time.Duration {
 	if firstStart {
 		return time.Second
 	}
@@ -171,26 +171,26 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// noMemoryBound stands for settings without one, in MB.
-const noMemoryBound = 1024
+// defaultMemoryMB is the memory assumed for request bodies if the settings contain no limit.
+const defaultMemoryMB = 1024
 
-func (i *Instance) bodyLimit() int64 {
+func (i *Instance) maxBufferedBodyBytes() int64 {
 	mb := i.settings.MemoryMB
 	if mb <= 0 {
-		mb = noMemoryBound
+		mb = defaultMemoryMB
 	}
-	return int64(float64(mb) * bodyShare * 1e6)
+	return int64(float64(mb) * bodyMemoryFraction * 1e6)
 }
 
-func (i *Instance) kick() {
+func (i *Instance) triggerReport() {
 	if i.exchange != nil {
 		i.exchange.Kick()
 	}
 }
 
-// informs returns what tells of changes that all instances learn of: in a large fleet the hubs'
-// lines are enough.
-func (i *Instance) informs() func(string, ...zap.Field) {
+// changeLogger returns the log function for changes that all instances observe. In a large fleet,
+// only hubs log them at the info level.
+func (i *Instance) changeLogger() func(string, ...zap.Field) {
 	if i.fleetSize().Large() && !i.exchange.IsHub() {
 		return i.log.Debug
 	}
@@ -199,7 +199,7 @@
 
 func (i *Instance) fleetSize() fleet.Size { return i.exchange.Size() }
 
-// setMembers takes over the list of other instances.
+// setMembers applies a changed list of other instances.
 func (i *Instance) setMembers(members []fleet.Member) {
 	i.exchange.SetMembers(members)
 	if i.members.Settled() {
@@ -207,13 +207,13 @@
 	}
 }
 
-// Run serves until ctx ends, then drains: what was read is answered, new requests
-// are taken while the balancer still sends them, and the process ends within its
-// grace.
+// Run serves until ctx is done and then drains the instance: requests that were read are answered,
+// new requests are accepted while the load balancer still sends them, and the process exits within
+// its grace period.
 func (i *Instance) Run(ctx context.Context) error {
-	work, stop := context.WithCancel(context.Background())
+	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	group, work := errgroup.WithContext(work)
+	group, runCtx := errgroup.WithContext(runCtx)
 	callers, err := net.Listen("tcp4", i.settings.Callers)
 	if err != nil {
 		return err
@@ -222,75 +222,76 @@
 	if err != nil {
 		return err
 	}
-	i.startFollowing(work, group)
-	readiness := &http.Server{Handler: http.HandlerFunc(i.serveReady), ReadHeaderTimeout: defaultIntake.HeaderTime}
-	group.Go(func() error { return ended(readiness.Serve(ready)) })
+	i.startBackground(runCtx, group)
+	readiness := &http.Server{Handler: http.HandlerFunc(i.serveReady), ReadHeaderTimeout: defaultRequestLimits.HeaderTime}
+	group.Go(func() error { return ignoreServerClosed(readiness.Serve(ready)) })
 	i.serveMetrics(group)
 	i.log.Info("started", zap.String("instance", i.settings.Instance), zap.String("data_centre", i.settings.DataCentre),
 		zap.String("callers", i.settings.Callers), zap.Bool("first_start", i.settings.FirstStart))
-	server := i.callersServer(ctx)
-	group.Go(func() error { return ended(server.Serve(callers)) })
+	server := i.callerServer(ctx)
+	group.Go(func() error { return ignoreServerClosed(server.Serve(callers)) })
 	select {
 	case <-ctx.Done():
-	case <-work.Done():
+	case <-runCtx.Done():
 		return group.Wait()
 	}
-	i.drain(server)
+	i.shutDown(server)
 	stop()
 	_ = readiness.Close()
 	i.gateway.Close()
-	i.log.Info("stopped", zap.Duration("ran", time.Since(i.began)))
+	i.log.Info("stopped", zap.Duration("ran", time.Since(i.createdAt)))
 	return nil
 }
 
-// callersServer waits a moment for what requests are decided by, the configuration with what
-// callers may send among it, and returns the server for them.
-func (i *Instance) callersServer(ctx context.Context) *http.Server {
-	const patience = 2 * time.Second
+// callerServer returns the server for callers. It first waits up to completeTimeout for the state
+// that is required to handle requests, which includes the configuration with the request limits.
+func (i *Instance) callerServer(ctx context.Context) *http.Server {
+	const completeTimeout = 2 * time.Second
 	select {
 	case <-i.state.Complete():
 	case <-ctx.Done():
-	case <-time.After(patience):
+	case <-time.After(completeTimeout):
 	}
 	i.mu.Lock()
-	intake := i.intake
+	requestLimits := i.requestLimits
 	i.mu.Unlock()
 	return &http.Server{
-		Handler: i.gateway, ReadHeaderTimeout: intake.HeaderTime, IdleTimeout: intake.IdleTime, MaxHeaderBytes: intake.HeaderBytes,
+		Handler: i.gateway, ReadHeaderTimeout: requestLimits.HeaderTime, IdleTimeout: requestLimits.IdleTime, MaxHeaderBytes: requestLimits.HeaderBytes,
 		ErrorLog: zap.NewStdLog(i.log.WithOptions(zap.IncreaseLevel(zap.WarnLevel))),
 	}
 }
 
-// startFollowing starts what keeps this instance's beliefs.
-func (i *Instance) startFollowing(ctx context.Context, group *errgroup.Group) {
-	members := follow.NewFollower(port.TopicInstances, follow.Pace{Gap: memberGap}, i.members)
-	members.Slow = i.readSlowly
-	for _, f := range append(i.shared[:len(i.shared):len(i.shared)], members) {
-		f.Log, f.Logger = i.outside.Log, i.log
+// startBackground starts the goroutines that maintain the instance's state and report it.
+func (i *Instance) startBackground(ctx context.Context, group *errgroup.Group) {
+	members := follow.NewFollower(port.TopicInstances, follow.Pace{Gap: memberReadGap}, i.members)
+	members.Slow = i.memberGapFactor
+	for _, f := range append(i.sharedFollowers[:len(i.sharedFollowers):len(i.sharedFollowers)], members) {
+		f.Log, f.Logger = i.adapters.Log, i.log
 		group.Go(func() error {
-			// Without the id no other instance is heard, and this one would spend every quota by itself.
+			// Without the fleet ID, reports of other instances are ignored, and this instance would
+			// spend every quota as if it were alone.
 			select {
-			case <-i.fleet.Known():
-				return ignoreEnd(ctx, f.Run(ctx))
+			case <-i.fleetID.Known():
+				return ignoreCancelled(ctx, f.Run(ctx))
 			case <-ctx.Done():
 				return nil
 			}
 		})
 	}
-	group.Go(func() error { return ignoreEnd(ctx, i.fleet.Run(ctx)) })
-	group.Go(func() error { return ignoreEnd(ctx, i.members.Run(ctx)) })
-	group.Go(func() error { return ignoreEnd(ctx, i.exchange.Run(ctx)) })
-	group.Go(func() error { return i.sweep(ctx) })
+	group.Go(func() error { return ignoreCancelled(ctx, i.fleetID.Run(ctx)) })
+	group.Go(func() error { return ignoreCancelled(ctx, i.members.Run(ctx)) })
+	group.Go(func() error { return ignoreCancelled(ctx, i.exchange.Run(ctx)) })
+	group.Go(func() error { return i.runSweep(ctx) })
 	group.Go(func() error {
-		return ignoreEnd(ctx, i.gateway.RunRoles(ctx, gateway.RoleOptions{
-			Engines: i.outside.Engines, Log: i.outside.Log, Holder: i.settings.Instance, IsLeader: func(service string) bool { return i.exchange.Rank(service) == 0 },
+		return ignoreCancelled(ctx, i.gateway.RunRoles(ctx, gateway.RoleOptions{
+			Engines: i.adapters.Engines, Log: i.adapters.Log, Holder: i.settings.Instance, IsLeader: func(service string) bool { return i.exchange.Rank(service) == 0 },
 			Lease: time.Duration(i.settings.LeaseMS) * time.Millisecond, MayLead: i.exchange.IsHub,
 		}))
 	})
 }
 
-// sweep closes idle connections to upstreams, and shows what the instance believes.
-func (i *Instance) sweep(ctx context.Context) error {
+// runSweep periodically closes idle connections to upstreams and updates the gauges.
+func (i *Instance) runSweep(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
@@ -298,31 +299,31 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			i.outside.Pool.Sweep()
+			i.adapters.Pool.Sweep()
 			i.quotas.Sweep(i.exchange.Knows)
 			i.gateway.Sweep()
-			i.tellHubs()
-			i.metrics.Beliefs(i.beliefs())
+			i.logHubChange()
+			i.metrics.Beliefs(i.gaugeValues())
 		}
 	}
 }
 
-// tellHubs logs whom this instance reports to when that has changed.
-func (i *Instance) tellHubs() {
+// logHubChange logs the hubs to which this instance reports if they have changed.
+func (i *Instance) logHubChange() {
 	var names []string
 	for _, h := range i.exchange.Hubs() {
 		names = append(names, h.Name)
 	}
-	if !slices.Equal(names, i.hubs) {
-		i.hubs = names
+	if !slices.Equal(names, i.loggedHubs) {
+		i.loggedHubs = names
 		i.log.Info("hubs changed", zap.Strings("hubs", names[:min(len(names), hub.Hubs)]), zap.Bool("hub", i.exchange.IsHub()), zap.Stringer("instances", i.fleetSize()))
 	}
 }
 
-func (i *Instance) beliefs() observe.Beliefs {
+func (i *Instance) gaugeValues() observe.Beliefs {
 	instances, _ := i.fleetSize().Instances()
 	b := observe.Beliefs{
-		Ready: i.notReady() == "", Upstreams: i.state.Directory.Len(), Instances: instances, Hubs: len(i.exchange.Hubs()), Hub: i.exchange.IsHub(),
+		Ready: i.notReadyReason() == "", Upstreams: i.state.Directory.Len(), Instances: instances, Hubs: len(i.exchange.Hubs()), Hub: i.exchange.IsHub(),
 	}
 	if index := i.state.Index(); index != nil {
 		b.Version, b.Age = index.Version(), i.state.Age()
@@ -330,37 +331,38 @@
 	return b
 }
 
-// ignoreEnd drops the error that a part returns because ctx ended.
-func ignoreEnd(ctx context.Context, err error) error {
+// ignoreCancelled drops an error that a component returns because ctx is done.
+func ignoreCancelled(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-// ended drops the error of a server that was closed.
-func ended(err error) error {
+// ignoreServerClosed drops the error of a server that was closed.
+func ignoreServerClosed(err error) error {
 	if err == http.ErrServerClosed {
 		return nil
 	}
 	return err
 }
 
-// serveReady answers the balancer.
+// serveReady answers the load balancer's readiness probe.
 func (i *Instance) serveReady(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != i.outside.ReadyPath {
+	if r.URL.Path != i.adapters.ReadyPath {
 		http.NotFound(w, r)
 		return
 	}
-	if why := i.notReady(); why != "" {
-		http.Error(w, why, http.StatusServiceUnavailable)
+	if reason := i.notReadyReason(); reason != "" {
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// notReady says why callers should not come, or nothing.
-func (i *Instance) notReady() string {
+// notReadyReason returns the reason why the instance is not ready, or an empty string if it is
+// ready.
+func (i *Instance) notReadyReason() string {
 	i.mu.Lock()
 	draining := i.draining
 	i.mu.Unlock()
@@ -371,7 +373,7 @@
 		return fmt.Sprintf("no %s yet", i.state.Missing())
 	case i.state.Directory.Len() == 0:
 		return "no upstreams"
-	case i.state.Age() > time.Duration(float64(i.settings.RevokeMS)*readyShare)*time.Millisecond:
+	case i.state.Age() > time.Duration(float64(i.settings.RevokeMS)*readyAgeFraction)*time.Millisecond:
 		return fmt.Sprintf("store not reached for %v", i.state.Age())
 	}
 	return ""
@@ -383,17 +385,17 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", i.metrics.Handler)
-	server := &http.Server{Addr: i.settings.Metrics, Handler: mux, ReadHeaderTimeout: defaultIntake.HeaderTime}
+	server := &http.Server{Addr: i.settings.Metrics, Handler: mux, ReadHeaderTimeout: defaultRequestLimits.HeaderTime}
 	group.Go(func() error {
-		if err := ended(server.ListenAndServe()); err != nil {
+		if err := ignoreServerClosed(server.ListenAndServe()); err != nil {
 			i.log.Error("metrics not served", zap.Error(err))
 		}
 		return nil
 	})
 }
 
-// drain ends the instance without losing a request.
-func (i *Instance) drain(server *http.Server) {
+// shutDown drains the instance without losing a request.
+func (i *Instance) shutDown(server *http.Server) {
 	i.mu.Lock()
 	i.draining = true
 	i.mu.Unlock()
@@ -401,7 +403,7 @@
 	i.log.Info("draining", zap.Duration("grace", grace))
 	i.gateway.Drain()
 	i.exchange.Leave()
-	linger := time.Duration(float64(grace) * lingerShare)
+	linger := time.Duration(float64(grace) * lingerFraction)
 	time.Sleep(linger)
 	ctx, cancel := context.WithTimeout(context.Background(), grace-linger-exitMargin)
 	defer cancel()
--- a/instance/routed/routed_test.go
+++ b/instance/routed/routed_test.go
@@ -25,15 +25,16 @@
 	"github.com/cairnworks/cairnworks/settings"
 )
 
-// store stands in for the platform's store: keyed topics in memory, which forget
-// nothing, and an outage.
+// store is a fake of the platform's store. It keeps all records of its topics in memory and can
+// simulate an outage.
 type store struct {
 	mu     sync.Mutex
 	topics map[string][][2]string
 	down   bool
-	// refused are topics that are not served.
+	// refused are the topics whose calls fail.
 	refused map[string]bool
-	// forgotten is the number of records that are no longer kept, by topic.
+	// forgotten is the number of oldest records that cannot be read individually any more, by
+	// topic.
 	forgotten map[string]int
 }
 
@@ -43,7 +44,7 @@
 	s.topics[topic] = append(s.topics[topic], [2]string{key, value})
 }
 
-func (s *store) refuse(topic string, refused bool) {
+func (s *store) setRefused(topic string, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.refused == nil {
@@ -98,8 +99,8 @@
  "services":[{"name":"s"}],"limits":{"max-header-bytes":16384,"max-body-bytes":1000,"header-timeout-ms":3000,"idle-timeout-ms":15000},
  "tenants":[{"name":"t","api-keys":[%s]}]}`
 
-// fleet is one instance before a stand-in store and one upstream.
-type fleet struct {
+// fixture is an instance with a fake store and one upstream.
+type fixture struct {
 	store    *store
 	engine   *httptest.Server
 	settings settings.Routed
@@ -114,21 +115,21 @@
 	return address
 }
 
-func start(t *testing.T, engine http.HandlerFunc) *fleet { return startNamed(t, "a", engine) }
+func start(t *testing.T, engine http.HandlerFunc) *fixture { return startNamed(t, "a", engine) }
 
-func startNamed(t *testing.T, name string, engine http.HandlerFunc) *fleet {
+func startNamed(t *testing.T, name string, engine http.HandlerFunc) *fixture {
 	t.Helper()
 	f := prepare(t, name, engine)
 	f.run(t)
-	f.await(t, func() bool { return f.ready() })
-	f.await(t, func() bool { status, _, err := f.ask("k"); return err == nil && status == http.StatusOK })
+	f.eventually(t, func() bool { return f.ready() })
+	f.eventually(t, func() bool { status, _, err := f.request("k"); return err == nil && status == http.StatusOK })
 	return f
 }
 
-// prepare returns an instance that does not run yet.
-func prepare(t *testing.T, name string, engine http.HandlerFunc) *fleet {
+// prepare returns a fixture whose instance is not running yet.
+func prepare(t *testing.T, name string, engine http.HandlerFunc) *fixture {
 	t.Helper()
-	f := &fleet{store: &store{topics: map[string][][2]string{}}, engine: httptest.NewServer(engine), done: make(chan error, 1)}
+	f := &fixture{store: &store{topics: map[string][][2]string{}}, engine: httptest.NewServer(engine), done: make(chan error, 1)}
 	t.Cleanup(f.engine.Close)
 	server := httptest.NewServer(f.store)
 	t.Cleanup(server.Close)
@@ -143,7 +144,7 @@
 }
 
 // run starts the instance.
-func (f *fleet) run(t *testing.T) {
+func (f *fixture) run(t *testing.T) {
 	t.Helper()
 	i, err := routed.New(f.settings, platform.Outside(f.settings), zap.NewNop())
 	assert.NilError(t, err)
@@ -153,19 +154,19 @@
 	t.Cleanup(cancel)
 }
 
-// await waits until something holds.
-func (f *fleet) await(t *testing.T, holds func() bool) {
+// eventually waits up to 10 s until condition returns true.
+func (f *fixture) eventually(t *testing.T, condition func() bool) {
 	t.Helper()
 	for range 1000 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("it never held")
+	t.Fatal("the condition was not met within 10 s")
 }
 
-func (f *fleet) ready() bool {
+func (f *fixture) ready() bool {
 	resp, err := http.Get("http://" + f.settings.Readiness + platform.PathReady)
 	if err != nil {
 		return false
@@ -174,7 +175,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (f *fleet) ask(key string) (int, *http.Response, error) {
+func (f *fixture) request(key string) (int, *http.Response, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+f.settings.Callers+"/x/1", strings.NewReader("b"))
 	if err != nil {
 		return 0, nil, err
@@ -191,58 +192,60 @@
 	return resp.StatusCode, resp, err
 }
 
-func signed(w http.ResponseWriter, r *http.Request) {
+func respondSigned(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Response-Signature", "s")
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	fmt.Fprint(w, "ok")
 }
 
-// A key is withdrawn, and the next version takes it away everywhere; an entry that
-// names no upstream is passed over; metrics are served.
+// A key that a new version of the configuration no longer contains must be refused. Invalid
+// configurations and entries that do not describe an upstream must be ignored. Metrics must be
+// served.
 func TestConfigurationIsFollowed(t *testing.T) {
-	f := start(t, signed)
+	f := start(t, respondSigned)
 	f.store.put("keyed.op", "config", "{not a configuration")
 	f.store.put("keyed.op", "config", fmt.Sprintf(configuration, 5, `"other"`))
-	f.await(t, func() bool { status, _, _ := f.ask("k"); return status == http.StatusUnauthorized })
-	status, _, err := f.ask("other")
+	f.eventually(t, func() bool { status, _, _ := f.request("k"); return status == http.StatusUnauthorized })
+	status, _, err := f.request("other")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
-	f.await(t, func() bool { return strings.Contains(f.metrics(t), "cairnworks_configuration_version 5") })
+	f.eventually(t, func() bool { return strings.Contains(f.metrics(t), "cairnworks_configuration_version 5") })
 	for _, name := range []string{
 		`cairnworks_refusals{ran="not_run",reason="unauthenticated",stage="gateway"}`, `cairnworks_answers{service="s",status="200"}`,
 		`cairnworks_stage_seconds_bucket{service="s",stage="admission",le="0.001"}`, `cairnworks_quota{decision="admitted"}`,
 		`cairnworks_store_calls{call="since",result="ok",topic="configuration"}`, "cairnworks_store_seconds_bucket",
 		"cairnworks_configuration_age_seconds", "cairnworks_ready 1", "cairnworks_upstreams 1", "cairnworks_instances 1", "cairnworks_hubs 1", "cairnworks_hub 1",
 	} {
-		f.await(t, func() bool { return strings.Contains(f.metrics(t), name) })
+		f.eventually(t, func() bool { return strings.Contains(f.metrics(t), name) })
 	}
 }
 
-// metrics reads the page for scrapers.
-func (f *fleet) metrics(t *testing.T) string {
+// metrics returns the metrics page.
+func (f *fixture) metrics(t *testing.T) string {
 	t.Helper()
 	resp, err := http.Get("http://" + f.settings.Metrics + "/metrics")
 	assert.NilError(t, err)
 	defer resp.Body.Close()
-	page, err := io.ReadAll(resp.Body)
+	doc, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
-	return string(page)
+	return string(doc)
 }
 
-// The store stays away for longer than a withdrawn key may go on working. The instance
-// cannot know which keys hold, and says so until the store is back.
-func TestLongOutageStopsKeys(t *testing.T) {
-	f := start(t, signed)
+// If the store is unreachable for longer than a withdrawn key may still be accepted, the instance
+// cannot know which keys are valid. It must refuse requests and report that it is not ready until
+// the store is reachable again.
+func TestKeysAreRejectedAfterLongStoreOutage(t *testing.T) {
+	f := start(t, respondSigned)
 	f.store.setDown(true)
-	f.await(t, func() bool { status, _, _ := f.ask("k"); return status == http.StatusServiceUnavailable })
+	f.eventually(t, func() bool { status, _, _ := f.request("k"); return status == http.StatusServiceUnavailable })
 	assert.Assert(t, !f.ready())
 	f.store.setDown(false)
-	f.await(t, func() bool { status, _, _ := f.ask("k"); return status == http.StatusOK })
+	f.eventually(t, func() bool { status, _, _ := f.request("k"); return status == http.StatusOK })
 }
 
-// An instance is told to stop while it answers a request and the balancer still sends
-// others. All of them are answered, and callers are told to connect elsewhere.
-func TestShutdownAnswersWhatWasRead(t *testing.T) {
+// An instance that is stopped while it handles a request, and while the load balancer still sends
+// new ones, must answer all of them and tell callers to close their connections.
+func TestShutdownAnswersPendingRequests(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	var slow atomic.Bool
 	f := start(t, func(w http.ResponseWriter, r *http.Request) {
@@ -250,12 +253,12 @@
 			close(entered)
 			<-release
 		}
-		signed(w, r)
+		respondSigned(w, r)
 	})
 	slow.Store(true)
 	first := make(chan error, 1)
 	go func() {
-		status, _, err := f.ask("k")
+		status, _, err := f.request("k")
 		if err == nil && status != http.StatusOK {
 			err = fmt.Errorf("status %d", status)
 		}
@@ -263,60 +266,60 @@
 	}()
 	<-entered
 	f.stop()
-	f.await(t, func() bool { return !f.ready() })
-	status, resp, err := f.ask("k")
+	f.eventually(t, func() bool { return !f.ready() })
+	status, resp, err := f.request("k")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
-	assert.Assert(t, resp.Close, "callers are not told to connect elsewhere")
+	assert.Assert(t, resp.Close, "the answer does not close the connection")
 	close(release)
 	assert.NilError(t, <-first)
 	assert.NilError(t, <-f.done)
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
-	last := f.store.topics["keyed.instances"]
-	assert.Equal(t, last[len(last)-1], [2]string{"a", ""}, "the entry was not dropped")
+	records := f.store.topics["keyed.instances"]
+	assert.Equal(t, records[len(records)-1], [2]string{"a", ""}, "the entry was not removed")
 }
 
-// Guards against an upstream that left during an outage, whose end was read with a whole list in
-// the time in which entries may still come back, and that got work for good.
-func TestUpstreamMissingAfterAnOutageIsGone(t *testing.T) {
-	f := start(t, signed)
+// An upstream that left during a store outage must be removed, even if its absence is found by a
+// full read during the time in which removed entries are kept. It once received work indefinitely.
+func TestUpstreamMissingAfterOutageIsRemoved(t *testing.T) {
+	f := start(t, respondSigned)
 	f.store.setDown(true)
-	f.await(t, func() bool { return !f.ready() })
+	f.eventually(t, func() bool { return !f.ready() })
 	f.store.mu.Lock()
-	kept := f.store.topics["keyed.servers"][:0:0]
+	remaining := f.store.topics["keyed.servers"][:0:0]
 	for _, record := range f.store.topics["keyed.servers"] {
 		if record[0] != "i-1" {
-			kept = append(kept, record)
+			remaining = append(remaining, record)
 		}
 	}
-	// The history is forgotten, so that the list is read whole.
-	f.store.topics["keyed.servers"] = append(kept, [2]string{"ghost", `{"service":8}`}, [2]string{"ghost", `{"service":9}`})
+	// Discard the history, so that the instance reads the full list.
+	f.store.topics["keyed.servers"] = append(remaining, [2]string{"ghost", `{"service":8}`}, [2]string{"ghost", `{"service":9}`})
 	f.store.forgotten = map[string]int{"keyed.servers": len(f.store.topics["keyed.servers"])}
 	f.store.mu.Unlock()
 	f.store.setDown(false)
-	f.await(t, func() bool { status, _, err := f.ask("k"); return err == nil && status == http.StatusOK })
-	f.await(t, func() bool {
-		status, _, err := f.ask("k")
+	f.eventually(t, func() bool { status, _, err := f.request("k"); return err == nil && status == http.StatusOK })
+	f.eventually(t, func() bool {
+		status, _, err := f.request("k")
 		return err == nil && status == http.StatusServiceUnavailable
 	})
 }
 
-// Guards against an instance that has not read the list of instances and spends quotas as if it
-// were the whole fleet.
-func TestInstanceWithoutTheListSpendsNothing(t *testing.T) {
-	f := prepare(t, "a", signed)
+// An instance that has not read the list of instances must not spend quotas as if it were the only
+// instance of the fleet.
+func TestInstanceWithoutInstanceListSpendsNoQuota(t *testing.T) {
+	f := prepare(t, "a", respondSigned)
 	f.store.put("keyed.op", "config", `{"version":2,"routes":[{"name":"r","host":"h.example","path-prefix":"/x/","route-type":"unsafe","service":"s","timeout-ms":5000}],
  "services":[{"name":"s"}],"limits":{"max-header-bytes":16384,"max-body-bytes":1000,"header-timeout-ms":3000,"idle-timeout-ms":15000},
  "tenants":[{"name":"t","api-keys":["k"],"rate-per-s":1000,"burst":1000}]}`)
-	f.store.refuse("keyed.instances", true)
+	f.store.setRefused("keyed.instances", true)
 	f.run(t)
-	f.await(t, func() bool { _, _, err := f.ask("k"); return err == nil })
+	f.eventually(t, func() bool { _, _, err := f.request("k"); return err == nil })
 	for range 100 {
-		status, _, err := f.ask("k")
+		status, _, err := f.request("k")
 		assert.Assert(t, err != nil || status == http.StatusServiceUnavailable, "status %d", status)
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.store.refuse("keyed.instances", false)
-	f.await(t, func() bool { status, _, err := f.ask("k"); return err == nil && status == http.StatusOK })
+	f.store.setRefused("keyed.instances", false)
+	f.eventually(t, func() bool { status, _, err := f.request("k"); return err == nil && status == http.StatusOK })
 }
--- a/instance/routed/storecalls.go
+++ b/instance/routed/storecalls.go
@@ -9,46 +9,46 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// countedLog counts the calls of the store, all of which are paid for, by topic, call and
-// result, and how long they took.
-type countedLog struct {
+// instrumentedLog records the number and duration of calls to the store, each of which is billed,
+// by topic, call and result.
+type instrumentedLog struct {
 	port.KeyedLog
 	metrics *observe.Metrics
 }
 
 // Newest implements port.KeyedLog.
-func (l *countedLog) Newest(ctx context.Context, topic port.Topic) ([]port.KeyedRecord, uint64, error) {
-	begun := time.Now()
+func (l *instrumentedLog) Newest(ctx context.Context, topic port.Topic) ([]port.KeyedRecord, uint64, error) {
+	start := time.Now()
 	records, next, err := l.KeyedLog.Newest(ctx, topic)
-	l.count(topic, "newest", begun, err)
+	l.count(topic, "newest", start, err)
 	return records, next, err
 }
 
 // Since implements port.KeyedLog.
-func (l *countedLog) Since(ctx context.Context, topic port.Topic, from uint64, wait time.Duration) ([]port.KeyedRecord, uint64, error) {
-	begun := time.Now()
+func (l *instrumentedLog) Since(ctx context.Context, topic port.Topic, from uint64, wait time.Duration) ([]port.KeyedRecord, uint64, error) {
+	start := time.Now()
 	records, next, err := l.KeyedLog.Since(ctx, topic, from, wait)
-	l.count(topic, "since", begun, err)
+	l.count(topic, "since", start, err)
 	return records, next, err
 }
 
 // Put implements port.KeyedLog.
-func (l *countedLog) Put(ctx context.Context, topic port.Topic, key string, value []byte) error {
-	begun := time.Now()
+func (l *instrumentedLog) Put(ctx context.Context, topic port.Topic, key string, value []byte) error {
+	start := time.Now()
 	err := l.KeyedLog.Put(ctx, topic, key, value)
-	l.count(topic, "put", begun, err)
+	l.count(topic, "put", start, err)
 	return err
 }
 
 // PutAt implements port.KeyedLog.
-func (l *countedLog) PutAt(ctx context.Context, topic port.Topic, at uint64, key string, value []byte) error {
-	begun := time.Now()
+func (l *instrumentedLog) PutAt(ctx context.Context, topic port.Topic, at uint64, key string, value []byte) error {
+	start := time.Now()
 	err := l.KeyedLog.PutAt(ctx, topic, at, key, value)
-	l.count(topic, "put_at", begun, err)
+	l.count(topic, "put_at", start, err)
 	return err
 }
 
-func (l *countedLog) count(topic port.Topic, call string, begun time.Time, err error) {
+func (l *instrumentedLog) count(topic port.Topic, call string, start time.Time, err error) {
 	result := "ok"
 	switch {
 	case errors.Is(err, port.ErrForgotten):
@@ -58,5 +58,5 @@
 	case err != nil:
 		result = "failed"
 	}
-	l.metrics.StoreCall(topic.String(), call, result, time.Since(begun))
+	l.metrics.StoreCall(topic.String(), call, result, time.Since(start))
 }
