--- a/cmd/cairnworksd/main_test.go
+++ b/cmd/cairnworksd/main_test.go
@@ -18,7 +18,7 @@
 // If a unit file contains an invalid command line, a supervisor would restart the daemon
 // repeatedly. Usage errors have a separate exit code so that a supervisor can be configured not to
 // restart.
-func TestWrongUseHasItsOwnExitCode(t *testing.T) {
+func TestUsageErrorsHaveSeparateExitCode(t *testing.T) {
 	for _, line := range []string{"nonsense", "run --bogus", "run", "run --settings /nonexistent"} {
 		t.Run(line, func(t *testing.T) {
 			app := newApp()
@@ -34,7 +34,7 @@
 
 // The example command was once printed before the instance was ready, and its first request was
 // refused. It must wait for the same readiness probe as the load balancer.
-func TestReadyFollowsTheProbe(t *testing.T) {
+func TestReadyQueriesReadinessProbe(t *testing.T) {
 	var settled atomic.Bool
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.URL.Path == "/readyz")
