--- a/instance/routed/readers.go
+++ b/instance/routed/readers.go
@@ -208,8 +208,8 @@
 	}
 	i.quotas.SetLimits(index)
 	i.mu.Lock()
-	if c.Intake.HeaderBytes > 0 {
-		i.requestLimits = c.Intake
+	if c.Limits.HeaderBytes > 0 {
+		i.requestLimits = c.Limits
 	}
 	i.mu.Unlock()
 	i.log.Info("configuration applied", zap.Uint64("version", c.Version), zap.Uint64("offset", record.Offset),
--- a/instance/routed/routed.go
+++ b/instance/routed/routed.go
@@ -29,8 +29,8 @@
 	"github.com/cairnworks/cairnworks/upstream"
 )
 
-// Outside contains the adapters for the platform on which an instance runs.
-type Outside struct {
+// Adapters contains the adapters for the platform on which an instance runs.
+type Adapters struct {
 	Log       port.KeyedLog
 	Codec     gateway.Codec
 	Upstreams gateway.Upstreams
@@ -51,13 +51,13 @@
 type Configuration struct {
 	Version uint64
 	Set     object.Set
-	Intake  Intake
+	Limits  RequestLimits
 }
 
-// Intake limits the size and duration of callers' requests.
-type Intake struct {
+// RequestLimits limits the size and duration of callers' requests.
+type RequestLimits struct {
 	HeaderBytes          int
-	HeaderTime, IdleTime time.Duration
+	HeaderTimeout, IdleTimeout time.Duration
 }
 
 const (
@@ -87,12 +87,12 @@
 )
 
 // defaultRequestLimits apply until a configuration sets others.
-var defaultRequestLimits = Intake{HeaderBytes: 16 << 10, HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}
+var defaultRequestLimits = RequestLimits{HeaderBytes: 16 << 10, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
 // Instance is one running instance.
 type Instance struct {
 	settings settings.Routed
-	adapters Outside
+	adapters Adapters
 	log      *zap.Logger
 	metrics  *observe.Metrics
 	state    *gateway.State
@@ -108,12 +108,12 @@
 	loggedHubs []string
 
 	mu            sync.Mutex
-	requestLimits Intake
+	requestLimits RequestLimits
 	draining      bool
 }
 
 // New creates an instance, which Run starts.
-func New(s settings.Routed, adapters Outside, log *zap.Logger) (*Instance, error) {
+func New(s settings.Routed, adapters Adapters, log *zap.Logger) (*Instance, error) {
 	metrics := observe.NewMetrics()
 	adapters.Log = &instrumentedLog{adapters.Log, metrics}
 	i := &Instance{settings: s, adapters: adapters, log: log, metrics: metrics, createdAt: time.Now(), requestLimits: defaultRequestLimits}
@@ -223,7 +223,7 @@
 		return err
 	}
 	i.startBackground(runCtx, group)
-	readiness := &http.Server{Handler: http.HandlerFunc(i.serveReady), ReadHeaderTimeout: defaultRequestLimits.HeaderTime}
+	readiness := &http.Server{Handler: http.HandlerFunc(i.serveReady), ReadHeaderTimeout: defaultRequestLimits.HeaderTimeout}
 	group.Go(func() error { return ignoreServerClosed(readiness.Serve(ready)) })
 	i.serveMetrics(group)
 	i.log.Info("started", zap.String("instance", i.settings.Instance), zap.String("data_centre", i.settings.DataCentre),
@@ -256,7 +256,7 @@
 	requestLimits := i.requestLimits
 	i.mu.Unlock()
 	return &http.Server{
-		Handler: i.gateway, ReadHeaderTimeout: requestLimits.HeaderTime, IdleTimeout: requestLimits.IdleTime, MaxHeaderBytes: requestLimits.HeaderBytes,
+		Handler: i.gateway, ReadHeaderTimeout: requestLimits.HeaderTimeout, IdleTimeout: requestLimits.IdleTimeout, MaxHeaderBytes: requestLimits.HeaderBytes,
 		ErrorLog: zap.NewStdLog(i.log.WithOptions(zap.IncreaseLevel(zap.WarnLevel))),
 	}
 }
@@ -385,7 +385,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", i.metrics.Handler)
-	server := &http.Server{Addr: i.settings.Metrics, Handler: mux, ReadHeaderTimeout: defaultRequestLimits.HeaderTime}
+	server := &http.Server{Addr: i.settings.Metrics, Handler: mux, ReadHeaderTimeout: defaultRequestLimits.HeaderTimeout}
 	group.Go(func() error {
 		if err := ignoreServerClosed(server.ListenAndServe()); err != nil {
 			i.log.Error("metrics not served", zap.Error(err))
