--- a/cmd/cairnworksd/main.go
+++ b/cmd/cairnworksd/main.go
@@ -125,7 +125,7 @@
 	for ctx.Err() == nil && !ready(ctx, addresses.Operators) {
 		time.Sleep(readyPollInterval)
 	}
-	fmt.Println(platform.CurlLine(addresses.Callers))
+	fmt.Println(platform.CurlCommand(addresses.Callers))
 }
 
 // ready queries the readiness endpoint at the operators' address.
--- a/instance/embedded/embedded.go
+++ b/instance/embedded/embedded.go
@@ -158,9 +158,9 @@
 	return s
 }
 
-// CurlLine returns a curl command that streams an answer from the instance with the given callers'
-// address.
-func (p *Platform) CurlLine(callers string) string {
+// CurlCommand returns a curl command that streams an answer from the instance with the given
+// callers' address.
+func (p *Platform) CurlCommand(callers string) string {
 	body, err := json.Marshal(map[string]any{
 		"model": "pisar-small", "stream": true, "max_tokens": 24,
 		"messages": []map[string]string{{"role": "user", "content": "Summarise the night rota of the seal house."}},
--- a/instance/routed/routed.go
+++ b/instance/routed/routed.go
@@ -56,7 +56,7 @@
 
 // RequestLimits limits the size and duration of callers' requests.
 type RequestLimits struct {
-	HeaderBytes          int
+	HeaderBytes                int
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
@@ -125,12 +125,12 @@
 		Name: s.Instance, Incarnation: fleet.NewIncarnation(i.createdAt), Address: s.Reports,
 		Machine: fleet.Machine{DataCentre: s.DataCentre, Millicores: int(s.Cores * millicoresPerCore)},
 	}
-	bound := gateway.QuotaBound{Window: seconds(s.QuotaS), Over: s.QuotaOver, Slack: s.QuotaSlack}
+	bound := gateway.QuotaBound{Window: seconds(s.QuotaWindowS), Over: s.QuotaOver, Slack: s.QuotaSlack}
 	i.quotas = gateway.NewQuotas(boottime.Now, self, bound)
 	i.gateway = gateway.New(gateway.Options{
 		Codec: adapters.Codec, Upstreams: adapters.Upstreams, State: i.state, Quotas: i.quotas, Log: log, Metrics: i.metrics,
 		ApplyTimeout: time.Duration(s.ApplyMS) * time.Millisecond, DataCentre: s.DataCentre, TriggerReport: i.triggerReport, MaxBufferedBodyBytes: i.maxBufferedBodyBytes(),
-		RetryBudget: gateway.RetryBudget{Ratio: s.RetryRatio, Window: seconds(s.RetryS), Slack: s.RetrySlack, FirstStart: s.FirstStart},
+		RetryBudget: gateway.RetryBudget{Ratio: s.RetryRatio, Window: seconds(s.RetryWindowS), Slack: s.RetrySlack, FirstStart: s.FirstStart},
 		FleetSize:   i.fleetSize,
 	})
 	i.sharedFollowers = []*follow.Follower{
@@ -160,8 +160,8 @@
 }
 
 // idReadSpread returns the time over which the instances of a fleet that starts for the first time
-// spread their reads of the fleet ID. The store contains no ID yet, and the spread lets one instance
-// create it and the others find it.
+// spread their reads of the fleet ID. The store contains no ID yet, and the spread lets one
+// instance create it and the others find it.
 func idReadSpread(firstStart bool) time.Duration {
 	if firstStart {
 		return time.Second
--- a/settings/routed.go
+++ b/settings/routed.go
@@ -29,23 +29,23 @@
 	Cores    float64 `json:"cores" doc:"processor time that the process may use; of a large fleet the machines with most pass on what the others tell" unit:"cores" default:"0, which is least"`
 	MemoryMB int     `json:"memory_mb" doc:"memory that the process may use; the runtime collects garbage harder from half of it on" unit:"MB" default:"no bound"`
 	// RevokeMS is the platform's upper bound on how long a withdrawn key may still be accepted.
-	RevokeMS   int     `json:"revoke_ms" doc:"longest time that a withdrawn key may still work, also on an instance that is cut off" unit:"ms" default:"5000"`
-	ApplyMS    int     `json:"apply_ms" doc:"time in which a new configuration must be in force" unit:"ms" default:"2000"`
-	LeaveMS    int     `json:"leave_ms" doc:"longest time in which an upstream that has told that it leaves may still get work" unit:"ms" default:"2000"`
-	GraceS     float64 `json:"grace_s" doc:"time from SIGTERM until the process is killed" unit:"seconds" default:"8"`
-	RetryRatio float64 `json:"retry_ratio" doc:"repeated sends to a service, relative to its requests in a window" unit:"share" default:"0.1"`
-	RetryS     float64 `json:"retry_window_s" doc:"window of the retry budget" unit:"seconds" default:"10"`
-	RetrySlack float64 `json:"retry_slack" doc:"repeated sends that a window may hold besides, over the fleet" unit:"sends" default:"20"`
-	QuotaS     float64 `json:"quota_window_s" doc:"window over which quotas are judged" unit:"seconds" default:"8"`
-	QuotaOver  float64 `json:"quota_over" doc:"share by which a quota may be passed in a window" unit:"share" default:"0"`
-	QuotaSlack float64 `json:"quota_slack" doc:"tokens by which a quota may be passed in a window besides" unit:"tokens" default:"0"`
-	LeaseMS    int     `json:"lease_ms" doc:"time within which two instances must not take turns in giving orders to an engine" unit:"ms" default:"3000"`
-	LogLevel   string  `json:"log_level" doc:"least severe level that is logged" unit:"debug, info, warn or error" default:"info"`
+	RevokeMS     int     `json:"revoke_ms" doc:"longest time that a withdrawn key may still work, also on an instance that is cut off" unit:"ms" default:"5000"`
+	ApplyMS      int     `json:"apply_ms" doc:"time in which a new configuration must be in force" unit:"ms" default:"2000"`
+	LeaveMS      int     `json:"leave_ms" doc:"longest time in which an upstream that has told that it leaves may still get work" unit:"ms" default:"2000"`
+	GraceS       float64 `json:"grace_s" doc:"time from SIGTERM until the process is killed" unit:"seconds" default:"8"`
+	RetryRatio   float64 `json:"retry_ratio" doc:"repeated sends to a service, relative to its requests in a window" unit:"share" default:"0.1"`
+	RetryWindowS float64 `json:"retry_window_s" doc:"window of the retry budget" unit:"seconds" default:"10"`
+	RetrySlack   float64 `json:"retry_slack" doc:"repeated sends that a window may hold besides, over the fleet" unit:"sends" default:"20"`
+	QuotaWindowS float64 `json:"quota_window_s" doc:"window over which quotas are judged" unit:"seconds" default:"8"`
+	QuotaOver    float64 `json:"quota_over" doc:"share by which a quota may be passed in a window" unit:"share" default:"0"`
+	QuotaSlack   float64 `json:"quota_slack" doc:"tokens by which a quota may be passed in a window besides" unit:"tokens" default:"0"`
+	LeaseMS      int     `json:"lease_ms" doc:"time within which two instances must not take turns in giving orders to an engine" unit:"ms" default:"3000"`
+	LogLevel     string  `json:"log_level" doc:"least severe level that is logged" unit:"debug, info, warn or error" default:"info"`
 }
 
 // DefaultRouted returns the default values of the settings.
 func DefaultRouted() Routed {
-	return Routed{RevokeMS: 5000, ApplyMS: 2000, LeaveMS: 2000, GraceS: 8, RetryRatio: 0.1, RetryS: 10, RetrySlack: 20, QuotaS: 8, LeaseMS: 3000, LogLevel: "info"}
+	return Routed{RevokeMS: 5000, ApplyMS: 2000, LeaveMS: 2000, GraceS: 8, RetryRatio: 0.1, RetryWindowS: 10, RetrySlack: 20, QuotaWindowS: 8, LeaseMS: 3000, LogLevel: "info"}
 }
 
 // LoadRouted reads and validates a settings file. The returned error joins a FieldError for every
@@ -106,7 +106,7 @@
 		field string
 		value float64
 	}{
-		{"revoke_ms", float64(s.RevokeMS)}, {"apply_ms", float64(s.ApplyMS)}, {"lease_ms", float64(s.LeaseMS)}, {"leave_ms", float64(s.LeaveMS)}, {"grace_s", s.GraceS}, {"retry_window_s", s.RetryS}, {"quota_window_s", s.QuotaS},
+		{"revoke_ms", float64(s.RevokeMS)}, {"apply_ms", float64(s.ApplyMS)}, {"lease_ms", float64(s.LeaseMS)}, {"leave_ms", float64(s.LeaveMS)}, {"grace_s", s.GraceS}, {"retry_window_s", s.RetryWindowS}, {"quota_window_s", s.QuotaWindowS},
 	} {
 		if n.value <= 0 {
 			v.reject(n.field, fmt.Sprint(n.value), "above 0")
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -48,7 +48,7 @@
 	s.Fleet = fleetName()
 	s.Store, s.MemoryMB = p.address(), memoryMB
 	s.RevokeMS = int(revokeBound / time.Millisecond)
-	s.QuotaS, s.QuotaOver, s.QuotaSlack = quotaWindow.Seconds(), quotaOver, quotaSlack
+	s.QuotaWindowS, s.QuotaOver, s.QuotaSlack = quotaWindow.Seconds(), quotaOver, quotaSlack
 	for _, address := range []*string{&s.Callers, &s.Readiness, &s.Reports} {
 		if *address, err = loopback.FreeAddress(); err != nil {
 			return nil, err
