--- a/settings/routed.go
+++ b/settings/routed.go
@@ -16,31 +16,31 @@
 	Instance   string `json:"instance" doc:"name of this instance, unique in the fleet" unit:"name" default:"required"`
 	DataCentre string `json:"data_centre" doc:"data centre of this instance; upstreams in it are preferred when all else is equal" unit:"name" default:"required"`
 	// Fleet is the name of the fleet in logs.
-	Fleet string `json:"fleet" doc:"name of the fleet in logs, up to 64 bytes. It decides nothing: fleets are told apart by the id that their store keeps" unit:"name" default:"the address of the store"`
+	Fleet string `json:"fleet" doc:"name of the fleet in logs, up to 64 bytes. It has no other effect: fleets are distinguished by the ID in their store" unit:"name" default:"the address of the store"`
 	// FirstStart is set when the whole system starts for the first time.
-	FirstStart bool `json:"first_start" doc:"the whole system starts for the first time: nothing of any quota can have been used" unit:"true or false" default:"false"`
+	FirstStart bool `json:"first_start" doc:"the whole system starts for the first time, so no part of any quota has been used" unit:"true or false" default:"false"`
 
 	Callers   string `json:"callers" doc:"address for callers" unit:"IP:port" default:"required"`
-	Readiness string `json:"readiness" doc:"address at which the balancer asks whether callers may come" unit:"IP:port" default:"required"`
-	Reports   string `json:"reports" doc:"address for other instances' reports, UDP" unit:"IP:port" default:"required"`
+	Readiness string `json:"readiness" doc:"address of the load balancer's readiness probe" unit:"IP:port" default:"required"`
+	Reports   string `json:"reports" doc:"UDP address for reports of other instances" unit:"IP:port" default:"required"`
 	Metrics   string `json:"metrics" doc:"address that serves /metrics" unit:"IP:port" default:"none"`
 	Store     string `json:"store" doc:"address of the platform's store" unit:"IP:port" default:"required"`
 
-	Cores    float64 `json:"cores" doc:"processor time that the process may use; of a large fleet the machines with most pass on what the others tell" unit:"cores" default:"0, which is least"`
-	MemoryMB int     `json:"memory_mb" doc:"memory that the process may use; the runtime collects garbage harder from half of it on" unit:"MB" default:"no bound"`
+	Cores    float64 `json:"cores" doc:"CPU cores that the process may use; in a large fleet, the instances with most cores relay the reports of the others" unit:"cores" default:"0, the lowest rank"`
+	MemoryMB int     `json:"memory_mb" doc:"memory that the process may use; half of it is the memory limit of the Go runtime" unit:"MB" default:"unlimited"`
 	// RevokeMS is the platform's upper bound on how long a withdrawn key may still be accepted.
-	RevokeMS     int     `json:"revoke_ms" doc:"longest time that a withdrawn key may still work, also on an instance that is cut off" unit:"ms" default:"5000"`
-	ApplyMS      int     `json:"apply_ms" doc:"time in which a new configuration must be in force" unit:"ms" default:"2000"`
-	LeaveMS      int     `json:"leave_ms" doc:"longest time in which an upstream that has told that it leaves may still get work" unit:"ms" default:"2000"`
+	RevokeMS     int     `json:"revoke_ms" doc:"longest time that a withdrawn key may still be accepted, even by an instance that is disconnected from the store" unit:"ms" default:"5000"`
+	ApplyMS      int     `json:"apply_ms" doc:"time within which a new configuration must be active" unit:"ms" default:"2000"`
+	LeaveMS      int     `json:"leave_ms" doc:"longest time that an upstream may still receive work after it has announced that it is leaving" unit:"ms" default:"2000"`
 	GraceS       float64 `json:"grace_s" doc:"time from SIGTERM until the process is killed" unit:"seconds" default:"8"`
-	RetryRatio   float64 `json:"retry_ratio" doc:"repeated sends to a service, relative to its requests in a window" unit:"share" default:"0.1"`
+	RetryRatio   float64 `json:"retry_ratio" doc:"retries to a service, relative to its requests in a window" unit:"fraction" default:"0.1"`
 	RetryWindowS float64 `json:"retry_window_s" doc:"window of the retry budget" unit:"seconds" default:"10"`
-	RetrySlack   float64 `json:"retry_slack" doc:"repeated sends that a window may hold besides, over the fleet" unit:"sends" default:"20"`
-	QuotaWindowS float64 `json:"quota_window_s" doc:"window over which quotas are judged" unit:"seconds" default:"8"`
-	QuotaOver    float64 `json:"quota_over" doc:"share by which a quota may be passed in a window" unit:"share" default:"0"`
-	QuotaSlack   float64 `json:"quota_slack" doc:"tokens by which a quota may be passed in a window besides" unit:"tokens" default:"0"`
-	LeaseMS      int     `json:"lease_ms" doc:"time within which two instances must not take turns in giving orders to an engine" unit:"ms" default:"3000"`
-	LogLevel     string  `json:"log_level" doc:"least severe level that is logged" unit:"debug, info, warn or error" default:"info"`
+	RetrySlack   float64 `json:"retry_slack" doc:"additional retries per window, for the whole fleet" unit:"retries" default:"20"`
+	QuotaWindowS float64 `json:"quota_window_s" doc:"window over which quotas are enforced" unit:"seconds" default:"8"`
+	QuotaOver    float64 `json:"quota_over" doc:"fraction by which a quota may be exceeded in a window" unit:"fraction" default:"0"`
+	QuotaSlack   float64 `json:"quota_slack" doc:"tokens by which a quota may additionally be exceeded in a window" unit:"tokens" default:"0"`
+	LeaseMS      int     `json:"lease_ms" doc:"time within which at most one instance may give orders to an engine" unit:"ms" default:"3000"`
+	LogLevel     string  `json:"log_level" doc:"lowest severity that is logged" unit:"debug, info, warn or error" default:"info"`
 }
 
 // DefaultRouted returns the default values of the settings.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -10,7 +10,7 @@
 	DataCentre string `json:"data_centre" doc:"data centre of this instance; upstreams in it are preferred when all else is equal" unit:"name" default:"required"`
 
 	// Fleet is the name of the fleet. The default is the address of the log.
-	Fleet string `json:"fleet" doc:"name of the fleet in logs, up to 64 bytes. It tells fleets apart until the log has been read, so no two fleets on one network may share it; what makes a fleet is its log, which keeps the fleet's id" unit:"name" default:"the address of the log"`
+	Fleet string `json:"fleet" doc:"name of the fleet in logs, up to 64 bytes. It distinguishes fleets until the log has been read, so it must be unique on a network; the fleet itself is identified by the ID in its log" unit:"name" default:"the address of the log"`
 
 	Callers   Callers   `json:"callers"`
 	Peers     Peers     `json:"peers"`
@@ -18,11 +18,11 @@
 	Platform  Platform  `json:"platform"`
 
 	// LogLevel is the initial log level. Operators can change the level at run time.
-	LogLevel string `json:"log_level" doc:"least severe level that is logged; can be changed while running" unit:"debug, info, warn or error" default:"info"`
+	LogLevel string `json:"log_level" doc:"lowest severity that is logged; can be changed at run time" unit:"debug, info, warn or error" default:"info"`
 	// DrainSeconds is how long a graceful shutdown waits for open requests; 0 means no limit.
-	DrainSeconds int `json:"drain_seconds" doc:"longest time that a graceful shutdown waits for open requests; 0 waits however long they take" unit:"seconds" default:"0"`
+	DrainSeconds int `json:"drain_seconds" doc:"longest time that a graceful shutdown waits for open requests; 0 means no limit" unit:"seconds" default:"0"`
 	// DrainGraceSeconds is how long a draining instance still accepts requests.
-	DrainGraceSeconds int `json:"drain_grace_seconds" doc:"time in which a draining instance still takes requests, since the platform's balancer learns late that it leaves; set it above the balancer's lag" unit:"seconds" default:"5"`
+	DrainGraceSeconds int `json:"drain_grace_seconds" doc:"time for which a draining instance still accepts requests, because the platform's load balancer detects the drain with a delay; must exceed that delay" unit:"seconds" default:"5"`
 	// HeaderSeconds limits the time that a connection may take to send complete headers.
 	HeaderSeconds int `json:"header_seconds" doc:"longest time a caller may take to send its headers" unit:"seconds" default:"5"`
 }
@@ -37,8 +37,8 @@
 // heartbeats over UDP.
 type Peers struct {
 	Address    string   `json:"address" doc:"address for other instances, TCP and UDP" unit:"IP:port" default:"required"`
-	Seeds      []string `json:"seeds" doc:"peer addresses tried at the start, besides the platform's list" unit:"list of IP:port" default:"none"`
-	SecretFile string   `json:"secret_file" doc:"file with the secret that instances share; without it any process that reaches the address is taken for an instance" unit:"path" default:"none, loopback addresses only"`
+	Seeds      []string `json:"seeds" doc:"peer addresses to contact at the start, in addition to the platform's list" unit:"list of IP:port" default:"none"`
+	SecretFile string   `json:"secret_file" doc:"file with the secret that instances share; without it, any process that can reach the address is accepted as an instance" unit:"path" default:"none, loopback addresses only"`
 	TLS        TLS      `json:"tls"`
 }
 
@@ -52,7 +52,7 @@
 type TLS struct {
 	CertFile string `json:"cert_file" doc:"certificate chain in PEM form; reloaded on change" unit:"path" default:"none, plain TCP"`
 	KeyFile  string `json:"key_file" doc:"private key in PEM form; reloaded on change" unit:"path" default:"none"`
-	CAFile   string `json:"ca_file" doc:"authorities that the other side's certificate must come from" unit:"path" default:"none"`
+	CAFile   string `json:"ca_file" doc:"certificate authorities that must have issued the other side's certificate" unit:"path" default:"none"`
 }
 
 // Platform holds the addresses of the platform's services.
