--- a/cmd/cairnworksd/main_test.go
+++ b/cmd/cairnworksd/main_test.go
@@ -15,10 +15,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A unit file has a typing error in its command line. With the code of an ordinary
-// failure the supervisor starts the daemon again and again; wrong use has a code
-// of its own, which it can be told to leave alone.
-func TestWrongUseHasItsOwnExitCode(t *testing.T) {
+// If a unit file contains an invalid command line, a supervisor would restart the daemon
+// repeatedly. Usage errors have a separate exit code so that a supervisor can be configured not to
+// restart.
+func TestUsageErrorsHaveSeparateExitCode(t *testing.T) {
 	for _, line := range []string{"nonsense", "run --bogus", "run", "run --settings /nonexistent"} {
 		t.Run(line, func(t *testing.T) {
 			app := newApp()
@@ -32,9 +32,9 @@
 	}
 }
 
-// The line to try was printed before the instance was ready, and a newcomer's
-// first answer was a refusal. It waits for the same probe as the balancer.
-func TestReadyFollowsTheProbe(t *testing.T) {
+// The example command was once printed before the instance was ready, and its first request was
+// refused. It must wait for the same readiness probe as the load balancer.
+func TestReadyQueriesReadinessProbe(t *testing.T) {
 	var settled atomic.Bool
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.URL.Path == "/readyz")
