--- a/caller/auth.go
+++ b/caller/auth.go
@@ -14,7 +14,7 @@
 func (s *Server) authenticate(x *exchange) error {
 	header := x.r.Header.Get("Authorization")
 	x.r.Header.Del("Authorization")
-	x.directory = s.Directory()
+	x.directory = s.Index()
 	if x.directory == nil {
 		return verdict.Refuse(verdict.ReasonNoConfiguration, time.Second, "this instance has no configuration yet")
 	}
--- a/caller/server.go
+++ b/caller/server.go
@@ -22,11 +22,11 @@
 
 // Config is what the door needs from the rest of the instance.
 type Config struct {
-	// Directory returns the set in force, or nil while there is none.
-	Directory func() *object.Index
-	Rate      route.RateLimiter
-	Models    ModelRunner
-	Plain     PlainRunner
+	// Index returns the set in force, or nil while there is none.
+	Index  func() *object.Index
+	Rate   route.RateLimiter
+	Models ModelRunner
+	Plain  PlainRunner
 	// Watch registers an open request; its cancel is called with the verdict when
 	// the request's key is withdrawn. The returned function unregisters it.
 	Watch   func(keyID string, cancel context.CancelCauseFunc) (done func())
@@ -57,8 +57,8 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Open returns the number of requests being answered.
-func (s *Server) Open() int64 { return s.open.Load() }
+// OpenRequests returns the number of requests being answered.
+func (s *Server) OpenRequests() int64 { return s.open.Load() }
 
 // CloseConnections ends each connection with its next answer. Closing an idle
 // connection instead would race with a request that its caller is just sending,
--- a/caller/server_test.go
+++ b/caller/server_test.go
@@ -74,7 +74,7 @@
 	metrics := observe.NewMetrics()
 	t.Cleanup(func() { _ = metrics.Close() })
 	return NewServer(Config{
-		Directory: func() *object.Index { return index }, Rate: path, Models: path, Plain: fakePlain{path},
+		Index: func() *object.Index { return index }, Rate: path, Models: path, Plain: fakePlain{path},
 		Watch: func(string, context.CancelCauseFunc) func() { return func() {} }, Log: zap.NewNop(), Metrics: metrics,
 	})
 }
--- a/instance/drain.go
+++ b/instance/drain.go
@@ -55,14 +55,14 @@
 		ctx, stop = context.WithTimeout(ctx, time.Duration(i.settings.DrainSeconds)*time.Second)
 		defer stop()
 	}
-	i.log.Info("draining", zap.Int64("open", i.door.Open()))
+	i.log.Info("draining", zap.Int64("open", i.door.OpenRequests()))
 	i.members.SetDraining(true)
 	i.door.CloseConnections()
 	i.handOver(ctx)
 	sleep(ctx, time.Duration(i.settings.DrainGraceSeconds)*time.Second)
 	// What is idle now has been idle since the balancer stopped sending here.
 	if err := i.listeners.callers.server.Shutdown(ctx); err != nil {
-		i.log.Warn("drain cut short", zap.Int64("open", i.door.Open()), zap.Error(err))
+		i.log.Warn("drain cut short", zap.Int64("open", i.door.OpenRequests()), zap.Error(err))
 	}
 	i.waitUnused(ctx)
 	leaveCtx, stop := context.WithTimeout(context.Background(), leaveTimeout)
@@ -86,7 +86,7 @@
 // waitUnused waits until no request is open and none of this instance's
 // schedulers has askers waiting.
 func (i *Instance) waitUnused(ctx context.Context) {
-	for i.door.Open() > 0 || i.sched.Waiting() > 0 {
+	for i.door.OpenRequests() > 0 || i.sched.Waiting() > 0 {
 		if !sleep(ctx, drainPoll) {
 			return
 		}
--- a/instance/operators.go
+++ b/instance/operators.go
@@ -64,7 +64,7 @@
 	status := operator.Status{
 		Instance: self.Instance, Incarnation: self.Incarnation, DataCentre: s.i.settings.DataCentre,
 		Started: s.i.began, Ready: s.i.ready(), Reason: s.i.notReadyReason(), Draining: s.i.drain.draining(),
-		OpenRequests: int(s.i.door.Open()), LogLevel: s.i.level.Level().String(),
+		OpenRequests: int(s.i.door.OpenRequests()), LogLevel: s.i.level.Level().String(),
 		Refusals: s.i.metrics.Refusals(),
 	}
 	if index := s.i.index(); index != nil {
--- a/instance/path.go
+++ b/instance/path.go
@@ -35,7 +35,7 @@
 		Retrier: retrier, Log: i.log, Metrics: i.metrics,
 	}
 	i.door = caller.NewServer(caller.Config{
-		Directory: i.index, Rate: i.rate, Models: models, Plain: plain,
+		Index: i.index, Rate: i.rate, Models: models, Plain: plain,
 		Watch: i.open.watch, Log: i.log, Metrics: i.metrics,
 	})
 	return nil
