--- a/once/memlog/control.go
+++ b/once/memlog/control.go
@@ -6,8 +6,8 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// Fail sets the faults of the next appends.
-func (l *Log) Fail(faults ...Fault) {
+// InjectFaults sets the faults of the next appends.
+func (l *Log) InjectFaults(faults ...Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = faults
@@ -21,8 +21,8 @@
 	l.wake()
 }
 
-// SetSlow delays the effect of each append.
-func (l *Log) SetSlow(d time.Duration) {
+// SetAppendDelay delays the effect of each append.
+func (l *Log) SetAppendDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.slow = d
--- a/once/memlog/link.go
+++ b/once/memlog/link.go
@@ -54,11 +54,11 @@
 // Read implements port.Log.
 func (k *Link) Read(ctx context.Context, name string, from uint64, limit int, wait time.Duration) (port.Page, error) {
 	if k.isCut() {
-		return port.Page{}, ErrBroken
+		return port.Page{}, ErrConnectionBroken
 	}
 	page, err := k.log.Read(ctx, name, from, limit, wait)
 	if k.isCut() {
-		return port.Page{}, ErrBroken
+		return port.Page{}, ErrConnectionBroken
 	}
 	return page, err
 }
--- a/once/memlog/log.go
+++ b/once/memlog/log.go
@@ -17,14 +17,14 @@
 type Fault uint8
 
 const (
-	// LoseAnswer appends and then fails as if the connection had broken.
-	LoseAnswer Fault = iota + 1
+	// LoseResponse appends and then fails as if the connection had broken.
+	LoseResponse Fault = iota + 1
 	// LoseRequest fails as if the connection had broken, without appending.
 	LoseRequest
 )
 
-// ErrBroken is the failure of a call whose connection broke.
-var ErrBroken = errors.New("connection broken")
+// ErrConnectionBroken is the failure of a call whose connection broke.
+var ErrConnectionBroken = errors.New("connection broken")
 
 // Log implements port.Log. Its zero value is not usable; see New.
 type Log struct {
@@ -63,11 +63,11 @@
 	l.appends++
 	fault := l.nextFault()
 	if fault == LoseRequest {
-		return 0, ErrBroken
+		return 0, ErrConnectionBroken
 	}
 	first := l.add(name, entries)
-	if fault == LoseAnswer {
-		return 0, ErrBroken
+	if fault == LoseResponse {
+		return 0, ErrConnectionBroken
 	}
 	return first, nil
 }
@@ -134,7 +134,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
-		return port.Page{}, nil, ErrBroken
+		return port.Page{}, nil, ErrConnectionBroken
 	}
 	s := l.stream(name)
 	page := port.Page{First: s.first, Next: uint64(len(s.records)) + 1}
--- a/once/owner_test.go
+++ b/once/owner_test.go
@@ -62,7 +62,7 @@
 	c.net.set(func() { fault, handler = c.net.faults[c.to], c.net.handlers[c.to] })
 	switch fault {
 	case unreachable:
-		return nil, memlog.ErrBroken
+		return nil, memlog.ErrConnectionBroken
 	case paused:
 		<-req.Context().Done()
 		return nil, req.Context().Err()
@@ -70,7 +70,7 @@
 	answer := httptest.NewRecorder()
 	handler.ServeHTTP(answer, req)
 	if fault == answersLost {
-		return nil, memlog.ErrBroken
+		return nil, memlog.ErrConnectionBroken
 	}
 	return answer.Result(), nil
 }
@@ -207,12 +207,12 @@
 // the owner's death, every instance would turn to the slow log itself.
 func TestSlowLogIsNoDeadOwner(t *testing.T) {
 	inPeerFleet(t, func(t *testing.T, f *fleet, s map[string]*Service, order []string) {
-		f.log.SetSlow(900 * time.Millisecond)
+		f.log.SetAppendDelay(900 * time.Millisecond)
 		last := s[order[2]]
 		ticket := claims(t, last, booking)
-		f.log.SetSlow(4 * time.Second)
+		f.log.SetAppendDelay(4 * time.Second)
 		assert.NilError(t, last.Finish(t.Context(), ticket, booked))
-		f.log.SetSlow(0)
+		f.log.SetAppendDelay(0)
 		time.Sleep(time.Minute)
 		stream := streamName(partitionOf(keyOf(booking)))
 		assert.Equal(t, f.links[order[1]].Appends(stream)+f.links[order[2]].Appends(stream), 0)
--- a/once/service_test.go
+++ b/once/service_test.go
@@ -224,15 +224,15 @@
 // the instance sees the same broken connection. The booking must go on, and its
 // intent must stand in the log once.
 func TestLogAnswersAreLost(t *testing.T) {
-	for name, broken := range map[string]memlog.Fault{"answer lost": memlog.LoseAnswer, "request lost": memlog.LoseRequest} {
+	for name, broken := range map[string]memlog.Fault{"answer lost": memlog.LoseResponse, "request lost": memlog.LoseRequest} {
 		t.Run(name, func(t *testing.T) {
 			inFleet(t, func(t *testing.T, f *fleet) {
 				a, _ := f.start("a")
-				f.log.Fail(broken)
+				f.log.InjectFaults(broken)
 				ticket := claims(t, a, booking)
 				assert.Equal(t, ticket.Offset, uint64(1))
 				settle()
-				f.log.Fail(broken)
+				f.log.InjectFaults(broken)
 				assert.NilError(t, a.Finish(t.Context(), ticket, booked))
 				assert.Equal(t, f.log.Len(ticket.Stream), 2)
 				b, _ := f.start("b")
@@ -278,9 +278,9 @@
 func TestCallerGivesUpBeforeTheLogDecides(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
 		a, _ := f.start("a")
-		f.log.SetSlow(1700 * time.Millisecond)
+		f.log.SetAppendDelay(1700 * time.Millisecond)
 		refused(t, a, booking, verdict.ReasonLogUnavailable, verdict.NotRun)
-		f.log.SetSlow(0)
+		f.log.SetAppendDelay(0)
 		time.Sleep(time.Minute)
 		b, _ := f.start("b")
 		ticket := claims(t, b, booking)
--- a/order/fakes_test.go
+++ b/order/fakes_test.go
@@ -33,7 +33,7 @@
 		e.role = o.Name
 	}
 	if e.loseAnswer {
-		return memlog.ErrBroken
+		return memlog.ErrConnectionBroken
 	}
 	return nil
 }
--- a/order/service_test.go
+++ b/order/service_test.go
@@ -85,7 +85,7 @@
 func TestOperatorsRace(t *testing.T) {
 	atSite(t, false, func(t *testing.T, s *site) {
 		first, second := s.command(t, s.a, "prefill"), s.command(t, s.b, "decode")
-		s.log.SetSlow(time.Millisecond) // both appends are on their way at once
+		s.log.SetAppendDelay(time.Millisecond) // both appends are on their way at once
 		errs := [2]<-chan error{background(t, s.a, first), background(t, s.b, second)}
 		one, two := <-errs[0], <-errs[1]
 		if one == nil {
@@ -183,12 +183,12 @@
 func TestClaimAnswerIsLost(t *testing.T) {
 	atSite(t, true, func(t *testing.T, s *site) {
 		cmd := s.command(t, s.a, "prefill")
-		s.log.Fail(memlog.LoseAnswer)
+		s.log.InjectFaults(memlog.LoseResponse)
 		outcome, err := s.a.Execute(t.Context(), cmd)
 		assert.NilError(t, err)
 		assert.Equal(t, outcome.Fence, uint64(1))
 		cmd = s.command(t, s.a, "decode")
-		s.log.Fail(memlog.LoseRequest)
+		s.log.InjectFaults(memlog.LoseRequest)
 		_, err = s.a.Execute(t.Context(), cmd)
 		failed(t, err, verdict.ReasonLogUnavailable, verdict.NotRun)
 		assert.Equal(t, s.engine.role, "prefill")
