--- a/caller/auth.go
+++ b/caller/auth.go
@@ -9,22 +9,22 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// authenticate finds the organisation by the key and removes the key from the
-// request, so that nothing further along can send it to an upstream or log it.
+// authenticate looks up the organisation by the API key. It removes the key from the request
+// headers so that later stages cannot log it or send it to an upstream.
 func (s *Server) authenticate(x *exchange) error {
 	header := x.r.Header.Get("Authorization")
 	x.r.Header.Del("Authorization")
-	x.directory = s.Index()
-	if x.directory == nil {
-		return verdict.Refuse(verdict.ReasonNoConfiguration, time.Second, "this instance has no configuration yet")
+	x.index = s.Index()
+	if x.index == nil {
+		return verdict.Refuse(verdict.ReasonNoConfiguration, time.Second, "this instance has not loaded a configuration yet")
 	}
 	token, ok := strings.CutPrefix(header, "Bearer ")
 	if !ok || token == "" {
-		return verdict.Refuse(verdict.ReasonUnauthenticated, 0, "send the key as 'Authorization: Bearer KEY'")
+		return verdict.Refuse(verdict.ReasonUnauthenticated, 0, "the API key is missing; expected 'Authorization: Bearer KEY'")
 	}
-	key, organisation, ok := x.directory.KeyByHash(object.HashKey(token))
+	key, organisation, ok := x.index.KeyByHash(object.HashKey(token))
 	if !ok {
-		return verdict.Refuse(verdict.ReasonUnauthenticated, 0, "the key is not known")
+		return verdict.Refuse(verdict.ReasonUnauthenticated, 0, "the API key is unknown")
 	}
 	x.key, x.organisation = key, organisation
 	if key.Withdrawn {
@@ -33,12 +33,13 @@
 	return nil
 }
 
-// WithdrawnVerdict is the refusal for a withdrawn key.
+// WithdrawnVerdict returns the verdict for requests with a withdrawn API key.
 func WithdrawnVerdict(keyID string) *verdict.Verdict {
 	return verdict.Refuse(verdict.ReasonKeyWithdrawn, 0, "key %s has been withdrawn", keyID)
 }
 
-// mayUse reports whether the organisation may use the service.
+// mayUse reports whether the organisation may use the service. An organisation without a list
+// of services may use all of them.
 func mayUse(organisation *object.Organisation, service string) bool {
 	return len(organisation.Services) == 0 || slices.Contains(organisation.Services, service)
 }
--- a/caller/completion.go
+++ b/caller/completion.go
@@ -8,7 +8,7 @@
 	"github.com/cairnworks/cairnworks/route"
 )
 
-// usage is the token count that usual clients read.
+// usage holds the token counts in the form that OpenAI clients expect.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
@@ -37,26 +37,29 @@
 	Content string `json:"content"`
 }
 
-// completionWriter turns tokens into the OpenAI-style response, streamed or whole.
+// completionWriter writes tokens as an OpenAI-compatible response, either streamed or as one
+// body.
 type completionWriter struct {
-	x     *exchange
-	req   *Request
-	chat  bool
-	usage bool
-	// events is nil for a response sent whole.
+	x    *exchange
+	req  *Request
+	chat bool
+	// includeUsage adds an event with the token counts at the end of a stream.
+	includeUsage bool
+	// events is nil if the response is not streamed.
 	events *eventWriter
-	whole  strings.Builder
-	// token renders the events of a stream that carry one token each.
-	token *tokenEvent
+	// buffered collects the text of a response that is not streamed.
+	buffered strings.Builder
+	// tokenEvents encodes the events of a stream that contain a single token.
+	tokenEvents *tokenEventEncoder
 }
 
 func newCompletionWriter(x *exchange, req *Request, chat bool, body *completionBody) *completionWriter {
 	w := &completionWriter{x: x, req: req, chat: chat}
-	w.usage = body.StreamOptions != nil && body.StreamOptions.IncludeUsage
+	w.includeUsage = body.StreamOptions != nil && body.StreamOptions.IncludeUsage
 	if req.Stream {
 		w.events = newEventWriter(x.w)
 		x.w = w.events
-		w.token = newTokenEvent(x.id, func(text string) completion { return w.chunk(text, nil) })
+		w.tokenEvents = newTokenEventEncoder(x.id, func(text string) completion { return w.chunk(text, nil) })
 	}
 	return w
 }
@@ -64,60 +67,61 @@
 // Token implements route.Sink.
 func (w *completionWriter) Token(text string) error {
 	if w.events == nil {
-		w.whole.WriteString(text)
+		w.buffered.WriteString(text)
 		return nil
 	}
-	data, err := w.token.render(text)
+	data, err := w.tokenEvents.encode(text)
 	if err != nil {
 		return err
 	}
-	return w.events.event(data)
+	return w.events.writeEvent(data)
 }
 
 func (w *completionWriter) chunk(text string, finish *string) completion {
 	c := choice{FinishReason: finish}
 	if w.chat {
 		c.Delta = &message{Role: "assistant", Content: text}
-		return w.envelope("chat.completion.chunk", c)
+		return w.newCompletion("chat.completion.chunk", c)
 	}
 	c.Text = &text
-	return w.envelope("text_completion", c)
+	return w.newCompletion("text_completion", c)
 }
 
-func (w *completionWriter) envelope(object string, choices ...choice) completion {
+func (w *completionWriter) newCompletion(object string, choices ...choice) completion {
 	return completion{
 		ID: "cmpl-" + w.x.id, Object: object, Created: w.x.arrived.Unix(), Model: w.req.Model, Choices: choices,
 	}
 }
 
-// finish ends the answer: the last event and the terminator, or the whole body.
+// finish completes the response. It writes the final events and the terminator of a stream, or
+// the complete body.
 func (w *completionWriter) finish(answer route.Answer) error {
 	counts := &usage{answer.PromptTokens, answer.OutputTokens, answer.PromptTokens + answer.OutputTokens}
 	if w.events == nil {
-		return w.finishWhole(answer, counts)
+		return w.finishBuffered(answer, counts)
 	}
-	if err := w.events.json(w.chunk("", &answer.FinishReason)); err != nil {
-		return callerGone(err)
+	if err := w.events.writeJSON(w.chunk("", &answer.FinishReason)); err != nil {
+		return wrapWriteError(err)
 	}
-	if w.usage {
-		last := w.envelope("chat.completion.chunk")
+	if w.includeUsage {
+		last := w.newCompletion("chat.completion.chunk")
 		last.Choices, last.Usage = []choice{}, counts
-		if err := w.events.json(last); err != nil {
-			return callerGone(err)
+		if err := w.events.writeJSON(last); err != nil {
+			return wrapWriteError(err)
 		}
 	}
-	return callerGone(w.events.done())
+	return wrapWriteError(w.events.writeDone())
 }
 
-func (w *completionWriter) finishWhole(answer route.Answer, counts *usage) error {
-	text := w.whole.String()
+func (w *completionWriter) finishBuffered(answer route.Answer, counts *usage) error {
+	text := w.buffered.String()
 	c, object := choice{FinishReason: &answer.FinishReason}, "text_completion"
 	if w.chat {
 		c.Message, object = &message{Role: "assistant", Content: text}, "chat.completion"
 	} else {
 		c.Text = &text
 	}
-	body := w.envelope(object, c)
+	body := w.newCompletion(object, c)
 	body.Usage = counts
 	return writeJSON(w.x.w, body)
 }
@@ -129,5 +133,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_, err = w.Write(data)
-	return callerGone(err)
+	return wrapWriteError(err)
 }
--- a/caller/errors.go
+++ b/caller/errors.go
@@ -9,7 +9,8 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// errorBody is the form that usual OpenAI clients parse, with the verdict added.
+// errorBody is an error response in the format of the OpenAI API, extended by the fields of the
+// verdict.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -20,16 +21,16 @@
 	Code    string `json:"code"`
 	// Ran is "not_run", "may_have_run" or "ran".
 	Ran string `json:"ran"`
-	// Retryable tells whether the same request can succeed later.
+	// Retryable reports whether the same request can succeed later.
 	Retryable bool `json:"retryable"`
-	// RetryAfterMS is the time after which asking again can help.
+	// RetryAfterMS is the time in milliseconds after which a retry can succeed.
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 	RequestID    string `json:"request_id"`
 }
 
-// statuses maps reasons to HTTP statuses; others are 503 when the request has
-// not run and 502 when it may have.
-var statuses = map[verdict.Reason]int{
+// statusByReason maps reasons to HTTP status codes. Other reasons map to 503 if the request has
+// not run and to 502 if it may have run or has run.
+var statusByReason = map[verdict.Reason]int{
 	verdict.ReasonBadRequest:            http.StatusBadRequest,
 	verdict.ReasonBodyTooLarge:          http.StatusRequestEntityTooLarge,
 	verdict.ReasonPromptTooLong:         http.StatusBadRequest,
@@ -49,8 +50,8 @@
 	verdict.ReasonInternal:              http.StatusInternalServerError,
 }
 
-func statusOf(v *verdict.Verdict) int {
-	if status, ok := statuses[v.Reason]; ok {
+func httpStatus(v *verdict.Verdict) int {
+	if status, ok := statusByReason[v.Reason]; ok {
 		return status
 	}
 	if v.Ran == verdict.NotRun {
@@ -60,24 +61,24 @@
 }
 
 func (x *exchange) errorBody(v *verdict.Verdict) errorBody {
-	kind := "server_error"
-	if status := statusOf(v); status < http.StatusInternalServerError {
-		kind = "invalid_request_error"
+	errorType := "server_error"
+	if status := httpStatus(v); status < http.StatusInternalServerError {
+		errorType = "invalid_request_error"
 	}
 	if v.Reason == verdict.ReasonRateLimited {
-		kind = "rate_limit_error"
+		errorType = "rate_limit_error"
 	}
 	return errorBody{errorDetail{
-		Message: v.Detail, Type: kind, Code: string(v.Reason), Ran: v.Ran.String(),
+		Message: v.Detail, Type: errorType, Code: string(v.Reason), Ran: v.Ran.String(),
 		Retryable: v.Reason.Retryable(), RetryAfterMS: v.RetryAfter.Milliseconds(), RequestID: x.id,
 	}}
 }
 
-// writeVerdict sends a verdict as the whole response. An answer that has begun
-// ends with an error event instead, which its writer has sent.
+// writeVerdict sends the verdict as an error response. If a stream has already started, it
+// sends an error event instead.
 func (x *exchange) writeVerdict(v *verdict.Verdict) {
-	if w, ok := x.w.(*eventWriter); ok && w.begun {
-		w.fail(x.errorBody(v))
+	if w, ok := x.w.(*eventWriter); ok && w.headersSent {
+		w.writeError(x.errorBody(v))
 		return
 	}
 	header := x.w.Header()
@@ -86,6 +87,6 @@
 	}
 	header.Set("X-Request-Ran", v.Ran.String())
 	header.Set("Content-Type", "application/json")
-	x.w.WriteHeader(statusOf(v))
-	_ = json.NewEncoder(x.w).Encode(x.errorBody(v)) // a failed write means the caller is gone
+	x.w.WriteHeader(httpStatus(v))
+	_ = json.NewEncoder(x.w).Encode(x.errorBody(v)) // a write error means that the caller disconnected
 }
--- a/caller/events.go
+++ b/caller/events.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// writeTimeout bounds one write to a caller that does not read. Without it a
-// stuck caller holds a decode slot for as long as its connection stays open.
+// writeTimeout limits a single write to a caller that does not read. Without it, such a caller
+// occupies a decode slot as long as its connection stays open.
 const writeTimeout = 10 * time.Second
 
-// eventWriter writes server-sent events. It sends the headers with the first
-// event, so that a failure before it can still be an ordinary error response.
+// eventWriter writes server-sent events. It sends the headers with the first event, so that an
+// earlier failure can still be reported as a regular error response.
 type eventWriter struct {
 	http.ResponseWriter
 	control *http.ResponseController
-	begun   bool
-	// line is the buffer of one event, used again for the next.
-	line []byte
+
+	headersSent bool
+	// buffer holds the encoded event and is reused for the next one.
+	buffer []byte
 }
 
 func newEventWriter(w http.ResponseWriter) *eventWriter {
@@ -28,44 +29,43 @@
 // Unwrap lets http.ResponseController reach the connection.
 func (w *eventWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (w *eventWriter) begin() {
-	if w.begun {
+func (w *eventWriter) sendHeaders() {
+	if w.headersSent {
 		return
 	}
-	w.begun = true
+	w.headersSent = true
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(http.StatusOK)
 }
 
-// event sends one data line and flushes it.
-func (w *eventWriter) event(data []byte) error {
-	w.begin()
+// writeEvent writes one event and flushes it.
+func (w *eventWriter) writeEvent(data []byte) error {
+	w.sendHeaders()
 	if err := w.control.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return err
 	}
-	w.line = append(w.line[:0], "data: "...)
-	w.line = append(w.line, data...)
-	w.line = append(w.line, "\n\n"...)
-	if _, err := w.Write(w.line); err != nil {
+	w.buffer = append(w.buffer[:0], "data: "...)
+	w.buffer = append(w.buffer, data...)
+	w.buffer = append(w.buffer, "\n\n"...)
+	if _, err := w.Write(w.buffer); err != nil {
 		return err
 	}
 	return w.control.Flush()
 }
 
-func (w *eventWriter) json(v any) error {
+func (w *eventWriter) writeJSON(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	return w.event(data)
+	return w.writeEvent(data)
 }
 
-// done sends the terminator. Its absence is how a caller notices that an answer
-// was cut off.
-func (w *eventWriter) done() error { return w.event([]byte("[DONE]")) }
+// writeDone writes the terminator. A caller recognises a truncated response by its absence.
+func (w *eventWriter) writeDone() error { return w.writeEvent([]byte("[DONE]")) }
 
-// fail ends a begun answer with an error event and without the terminator.
-func (w *eventWriter) fail(body errorBody) {
-	_ = w.json(body) // a failed write means the caller is gone
+// writeError ends a started stream with an error event and without the terminator.
+func (w *eventWriter) writeError(body errorBody) {
+	_ = w.writeJSON(body) // a write error means that the caller disconnected
 }
--- a/caller/model.go
+++ b/caller/model.go
@@ -9,11 +9,12 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-func (s *Server) chat(x *exchange) error { return s.completion(x, true) }
+func (s *Server) chatCompletion(x *exchange) error { return s.completion(x, true) }
 
-func (s *Server) text(x *exchange) error { return s.completion(x, false) }
+func (s *Server) textCompletion(x *exchange) error { return s.completion(x, false) }
 
-// completion answers a chat or text completion.
+// completion handles a chat or text completion: it parses the body, charges the organisation's
+// rate, runs the request and writes the response.
 func (s *Server) completion(x *exchange, chat bool) error {
 	data, err := readBody(x.r, defaultMaxBody)
 	if err != nil {
@@ -40,9 +41,9 @@
 	return writer.finish(answer)
 }
 
-// usedTokens is what a request is charged in the end, by the engine's own count of
-// the prompt. Where that is above the estimate taken at admission, the excess is
-// taken from the bucket afterwards, at the organisation's own cost.
+// usedTokens returns the number of tokens finally charged for a request, based on the engine's
+// count of the prompt tokens. If that exceeds the estimate charged at admission, the excess is
+// taken from the organisation's bucket afterwards.
 func usedTokens(req *Request, promptTokens, outputTokens int, err error) uint64 {
 	if err != nil && verdict.From(err).Ran == verdict.NotRun {
 		return 0
@@ -53,38 +54,39 @@
 	return uint64(promptTokens + outputTokens)
 }
 
-// modelRequest checks the body against the published objects.
+// modelRequest validates the body against the published objects and builds the request.
 func (s *Server) modelRequest(x *exchange, body *completionBody, prompt string) (*Request, error) {
-	service, ok := x.directory.ServiceByModel(body.Model)
+	service, ok := x.index.ServiceByModel(body.Model)
 	if !ok || !mayUse(x.organisation, service.Name) {
-		return nil, verdict.Refuse(verdict.ReasonUnknownModel, 0, "the model %q is not known", body.Model)
+		return nil, verdict.Refuse(verdict.ReasonUnknownModel, 0, "the model %q is unknown", body.Model)
 	}
 	x.service = service.Name
 	measure := port.MeasurePrompt(prompt)
 	if limit := service.MaxPromptTokens; measure.Tokens > limit {
 		return nil, verdict.Refuse(verdict.ReasonPromptTooLong, 0,
-			"the prompt has about %d tokens; the model takes %d", measure.Tokens, limit)
+			"the prompt has about %d tokens; the model accepts %d", measure.Tokens, limit)
 	}
 	req := x.request(service)
 	req.Model = body.Model
 	req.Prompt = prompt
 	req.PromptTokens = measure.Tokens
-	req.MaxTokens = outputBound(body.maxTokens(), service.MaxOutputTokens)
+	req.MaxTokens = maxOutputTokens(body.maxTokens(), service.MaxOutputTokens)
 	req.PrefixHashes = measure.Prefixes[:min(len(measure.Prefixes), maxPrefixHashes)]
 	req.Fingerprint = measure.Fingerprint
 	req.Stream = body.Stream
 	return req, nil
 }
 
-// outputBound caps a caller's bound at the service's own.
-func outputBound(asked *int, limit int) int {
-	if asked == nil {
+// maxOutputTokens returns the maximum number of output tokens: the requested number or the
+// default, capped at the service's limit.
+func maxOutputTokens(requested *int, limit int) int {
+	if requested == nil {
 		return min(defaultMaxTokens, limit)
 	}
-	return min(*asked, limit)
+	return min(*requested, limit)
 }
 
-// request starts a request of the exchange's organisation for a service.
+// request builds a request of the exchange's organisation for a service.
 func (x *exchange) request(service *object.Service) *Request {
 	class := request.Interactive
 	if service.Deferrable || x.r.Header.Get("X-Request-Class") == request.Deferrable.String() {
@@ -93,11 +95,11 @@
 	return &Request{
 		ID: x.id, Organisation: x.organisation.Name, KeyID: x.key.Name, Service: service.Name,
 		Class: class, Arrived: x.arrived, Deadline: x.arrived.Add(maxWait(service, class)),
-		ConfigVersion: x.directory.Version(),
+		ConfigVersion: x.index.Version(),
 	}
 }
 
-// maxWait is how long a request may wait for its first byte.
+// maxWait returns the maximum time until the first byte of the response.
 func maxWait(service *object.Service, class request.Class) time.Duration {
 	wait := service.MaxWaitMS
 	if class == request.Deferrable && !service.Deferrable {
--- a/caller/models.go
+++ b/caller/models.go
@@ -13,10 +13,10 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists the models that the key's organisation may use.
-func (s *Server) models(x *exchange) error {
+// listModels returns the models that the key's organisation may use.
+func (s *Server) listModels(x *exchange) error {
 	list := modelList{Object: "list", Data: []modelEntry{}}
-	for _, service := range x.directory.Set().Services {
+	for _, service := range x.index.Set().Services {
 		if !mayUse(x.organisation, service.Name) {
 			continue
 		}
@@ -27,11 +27,11 @@
 	return writeJSON(x.w, list)
 }
 
-// callerGone marks a failed write: the request ran, its answer could not be
-// delivered whole.
-func callerGone(err error) error {
+// wrapWriteError converts the error of a failed write to a verdict: the request has run, but
+// its response could not be delivered completely. It returns nil for a nil error.
+func wrapWriteError(err error) error {
 	if err == nil {
 		return nil
 	}
-	return verdict.Fail(verdict.HasRun, verdict.ReasonCancelled, err, "the caller is gone")
+	return verdict.Fail(verdict.HasRun, verdict.ReasonCancelled, err, "the caller disconnected")
 }
--- a/caller/parse.go
+++ b/caller/parse.go
@@ -12,27 +12,26 @@
 )
 
 const (
-	// defaultMaxBody bounds a request body in bytes. The longest accepted prompt,
-	// some tens of thousands of tokens, takes a few hundred kilobytes.
+	// defaultMaxBody is the maximum size of a completion request body in bytes. The longest
+	// accepted prompt, some tens of thousands of tokens, takes a few hundred kilobytes.
 	defaultMaxBody = 1 << 20
-	// defaultMaxTokens is the output bound when a caller gives none.
+	// defaultMaxTokens is the maximum number of output tokens if the caller sets none.
 	defaultMaxTokens = 256
-	// maxPrefixHashes bounds the hashes sent with a reservation to the first 4,096
-	// words. A shared prefix is longer only among prompts whose prefill dwarfs what
-	// is saved beyond, and each hash costs ten bytes of the control traffic.
+	// maxPrefixHashes limits the hashes sent with a reservation to those of the first 4,096
+	// words. Only very long prompts share longer prefixes; what the further hashes would save
+	// is small compared with their prefill, and each hash adds ten bytes of control traffic.
 	maxPrefixHashes = 64
 )
 
-// completionBody is the part of an OpenAI-style body that the router acts on.
-// Fields it does not know are accepted and ignored, as the usual clients send
-// many that have no meaning here.
+// completionBody holds the fields of an OpenAI-compatible request body that are used. Unknown
+// fields are ignored because common clients send many that have no meaning here.
 type completionBody struct {
 	Model     string          `json:"model"`
 	Messages  []chatMessage   `json:"messages"`
 	Prompt    json.RawMessage `json:"prompt"`
 	Stream    bool            `json:"stream"`
 	MaxTokens *int            `json:"max_tokens"`
-	// MaxCompletionTokens is the newer name of max_tokens.
+	// MaxCompletionTokens is the newer name of max_tokens and takes precedence over it.
 	MaxCompletionTokens *int           `json:"max_completion_tokens"`
 	N                   *int           `json:"n"`
 	StreamOptions       *streamOptions `json:"stream_options"`
@@ -61,15 +60,16 @@
 	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, verdict.Refuse(verdict.ReasonBodyTooLarge, 0, "the body is longer than %d bytes", limit)
+		return nil, verdict.Refuse(verdict.ReasonBodyTooLarge, 0, "the body exceeds %d bytes", limit)
 	}
 	if err != nil {
-		return nil, badRequest("the body could not be read: %v", err)
+		return nil, badRequest("cannot read the body: %v", err)
 	}
 	return body, nil
 }
 
-// parseCompletion reads a chat or text completion body.
+// parseCompletion parses and validates the body of a chat or text completion. It also returns
+// the prompt text.
 func parseCompletion(data []byte, chat bool) (completionBody, string, error) {
 	var body completionBody
 	if err := json.Unmarshal(data, &body); err != nil {
@@ -79,10 +79,10 @@
 		return body, "", badRequest("'model' is missing")
 	}
 	if body.N != nil && *body.N != 1 {
-		return body, "", badRequest("'n' was %d; only 1 is allowed", *body.N)
+		return body, "", badRequest("'n' is %d; only 1 is supported", *body.N)
 	}
 	if max := body.maxTokens(); max != nil && *max < 1 {
-		return body, "", badRequest("'max_tokens' was %d; it must be at least 1", *max)
+		return body, "", badRequest("'max_tokens' is %d; it must be at least 1", *max)
 	}
 	prompt, err := body.prompt(chat)
 	if err == nil && strings.TrimSpace(prompt) == "" {
@@ -102,7 +102,7 @@
 	if !chat {
 		var text string
 		if err := json.Unmarshal(b.Prompt, &text); err != nil {
-			return "", badRequest("'prompt' must be one string")
+			return "", badRequest("'prompt' must be a string")
 		}
 		return text, nil
 	}
@@ -133,7 +133,7 @@
 		var text strings.Builder
 		for _, part := range parts {
 			if part.Type != "text" {
-				return "", errors.New("only text parts are served")
+				return "", errors.New("only text parts are supported")
 			}
 			text.WriteString(part.Text)
 		}
--- a/caller/plain.go
+++ b/caller/plain.go
@@ -10,20 +10,20 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// maxIdempotencyKey bounds an idempotency key in bytes; longer ones would fill
-// the log with something that is meant to be an identifier.
+// maxIdempotencyKey is the maximum length of an idempotency key in bytes. The key is meant to
+// be an identifier; longer ones would fill the log.
 const maxIdempotencyKey = 200
 
-// plain answers a call of a plain service.
-func (s *Server) plain(x *exchange) error {
+// callPlainService handles a call of a plain service.
+func (s *Server) callPlainService(x *exchange) error {
 	name := x.r.PathValue("service")
-	service, ok := x.directory.Service(name)
+	service, ok := x.index.Service(name)
 	if !ok || service.Kind != object.KindPlain || !mayUse(x.organisation, name) {
-		return verdict.Refuse(verdict.ReasonUnknownService, 0, "the service %q is not known", name)
+		return verdict.Refuse(verdict.ReasonUnknownService, 0, "the service %q is unknown", name)
 	}
 	x.service = name
 	path := strings.TrimPrefix(x.r.URL.Path, "/services/"+name)
-	rule, err := callRule(service, x.r.Method, path)
+	rule, err := findCallRule(service, x.r.Method, path)
 	if err != nil {
 		return err
 	}
@@ -42,28 +42,28 @@
 	}
 	answer, err := s.Plain.Run(x.ctx, route.PlainCall{Request: x.request(service), Call: call, Idempotent: rule.Idempotent})
 	if err != nil {
-		s.Rate.Settle(charge, usedPlain(cost, err))
+		s.Rate.Settle(charge, usedCost(cost, err))
 		return err
 	}
 	s.Rate.Settle(charge, cost)
-	return x.writePlain(answer)
+	return x.writePlainResponse(answer)
 }
 
-func usedPlain(cost uint64, err error) uint64 {
+func usedCost(cost uint64, err error) uint64 {
 	if verdict.From(err).Ran == verdict.NotRun {
 		return 0
 	}
 	return cost
 }
 
-// callRule finds the first rule that matches. A service without rules takes any
-// call; GET, HEAD and OPTIONS are idempotent by HTTP's own definition, and
-// everything else is taken as one that may not be repeated.
-func callRule(service *object.Service, method, path string) (object.Call, error) {
+// findCallRule returns the first rule that matches the call. A service without rules accepts
+// any call: GET, HEAD and OPTIONS are idempotent as defined by HTTP, and all other methods are
+// treated as not repeatable.
+func findCallRule(service *object.Service, method, path string) (object.Call, error) {
 	if len(service.Calls) == 0 {
 		return object.Call{Idempotent: method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions}, nil
 	}
-	pathKnown := false
+	pathMatched := false
 	for _, rule := range service.Calls {
 		if rule.Path != path && !(strings.HasSuffix(rule.Path, "/") && strings.HasPrefix(path, rule.Path)) {
 			continue
@@ -71,22 +71,21 @@
 		if rule.Method == method {
 			return rule, nil
 		}
-		pathKnown = true
+		pathMatched = true
 	}
-	if pathKnown {
+	if pathMatched {
 		return object.Call{}, verdict.Refuse(verdict.ReasonMethodNotAllowed, 0, "%s is not allowed on %s", method, path)
 	}
 	return object.Call{}, verdict.Refuse(verdict.ReasonUnknownService, 0, "service %s has no call %s", service.Name, path)
 }
 
-// serviceRequest builds the upstream call from an allow-list. Headers are never
-// copied as a whole: one of them may carry a credential that the upstream must
-// not see.
+// serviceRequest builds the upstream call from an allow-list of headers. Copying all headers
+// could disclose a credential to the upstream.
 func (x *exchange) serviceRequest(path string, body []byte) (port.ServiceRequest, error) {
 	key := x.r.Header.Get("Idempotency-Key")
 	if len(key) > maxIdempotencyKey {
 		return port.ServiceRequest{}, verdict.Refuse(verdict.ReasonIdempotencyKeyInvalid, 0,
-			"the Idempotency-Key has %d bytes; %d are allowed", len(key), maxIdempotencyKey)
+			"the Idempotency-Key has %d bytes; the limit is %d", len(key), maxIdempotencyKey)
 	}
 	return port.ServiceRequest{
 		RequestID: x.id, Organisation: x.organisation.Name, IdempotencyKey: key,
@@ -95,7 +94,7 @@
 	}, nil
 }
 
-func (x *exchange) writePlain(answer route.PlainAnswer) error {
+func (x *exchange) writePlainResponse(answer route.PlainAnswer) error {
 	header := x.w.Header()
 	if answer.ContentType != "" {
 		header.Set("Content-Type", answer.ContentType)
@@ -105,5 +104,5 @@
 	}
 	x.w.WriteHeader(answer.Status)
 	_, err := x.w.Write(answer.Body)
-	return callerGone(err)
+	return wrapWriteError(err)
 }
--- a/caller/runners.go
+++ b/caller/runners.go
@@ -1,6 +1,7 @@
-// Package caller is the door for callers: OpenAI-style chat and text completions,
-// the model list, and calls of plain services. It checks the key, builds the
-// request and writes the answer or the verdict. The key goes no further than here.
+// Package caller implements the HTTP API for callers: OpenAI-compatible chat and text
+// completions, the model list, and calls of plain services. It authenticates the API key,
+// builds the request and writes the response or the error. The API key is not passed beyond
+// this package.
 package caller
 
 import (
@@ -9,12 +10,12 @@
 	"github.com/cairnworks/cairnworks/route"
 )
 
-// ModelRunner answers model requests.
+// ModelRunner executes model requests and passes the generated tokens to the sink.
 type ModelRunner interface {
 	Run(ctx context.Context, req *Request, sink route.Sink) (route.Answer, error)
 }
 
-// PlainRunner answers calls of plain services.
+// PlainRunner executes calls of plain services.
 type PlainRunner interface {
 	Run(ctx context.Context, call route.PlainCall) (route.PlainAnswer, error)
 }
--- a/caller/server.go
+++ b/caller/server.go
@@ -17,39 +17,39 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Request is the request type of package request, named here for short.
+// Request is an alias of request.Request.
 type Request = request.Request
 
-// Config is what the door needs from the rest of the instance.
+// Config holds the dependencies of a Server.
 type Config struct {
-	// Index returns the set in force, or nil while there is none.
+	// Index returns the object set in force, or nil before one has been loaded.
 	Index  func() *object.Index
 	Rate   route.RateLimiter
 	Models ModelRunner
 	Plain  PlainRunner
-	// Watch registers an open request; its cancel is called with the verdict when
-	// the request's key is withdrawn. The returned function unregisters it.
+	// Watch registers an open request. If the request's key is withdrawn, cancel is called
+	// with the verdict. The returned function unregisters the request.
 	Watch   func(keyID string, cancel context.CancelCauseFunc) (done func())
 	Log     *zap.Logger
 	Metrics *observe.Metrics
 }
 
-// Server is the callers' HTTP handler.
+// Server is the HTTP handler of the callers' API.
 type Server struct {
 	Config
 	mux *http.ServeMux
-	// open counts requests that have not been answered yet; a drain waits for it.
-	open    atomic.Int64
-	closing atomic.Bool
+	// openRequests counts the requests in progress. A drain waits until it is zero.
+	openRequests     atomic.Int64
+	closeConnections atomic.Bool
 }
 
-// NewServer returns the callers' handler.
+// NewServer returns a Server with all endpoints registered.
 func NewServer(cfg Config) *Server {
 	s := &Server{Config: cfg, mux: http.NewServeMux()}
-	s.mux.HandleFunc("POST /v1/chat/completions", s.handle(s.chat))
-	s.mux.HandleFunc("POST /v1/completions", s.handle(s.text))
-	s.mux.HandleFunc("GET /v1/models", s.handle(s.models))
-	s.mux.HandleFunc("/services/{service}/", s.handle(s.plain))
+	s.mux.HandleFunc("POST /v1/chat/completions", s.handle(s.chatCompletion))
+	s.mux.HandleFunc("POST /v1/completions", s.handle(s.textCompletion))
+	s.mux.HandleFunc("GET /v1/models", s.handle(s.listModels))
+	s.mux.HandleFunc("/services/{service}/", s.handle(s.callPlainService))
 	s.mux.HandleFunc("/", s.handle(s.unknownPath))
 	return s
 }
@@ -57,15 +57,16 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// OpenRequests returns the number of requests being answered.
-func (s *Server) OpenRequests() int64 { return s.open.Load() }
+// OpenRequests returns the number of requests in progress.
+func (s *Server) OpenRequests() int64 { return s.openRequests.Load() }
 
-// CloseConnections ends each connection with its next answer. Closing an idle
-// connection instead would race with a request that its caller is just sending,
-// and that request would be lost.
-func (s *Server) CloseConnections() { s.closing.Store(true) }
+// CloseConnections makes the server close each connection after its next response. Closing
+// idle connections right away would race with requests that callers are just sending, and
+// those requests would be lost.
+func (s *Server) CloseConnections() { s.closeConnections.Store(true) }
 
-// exchange is one HTTP request with what the door has found out about it.
+// exchange holds the state of one HTTP request: its response writer and the results of
+// authentication.
 type exchange struct {
 	id           string
 	w            http.ResponseWriter
@@ -73,19 +74,19 @@
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	arrived      time.Time
-	directory    *object.Index
+	index        *object.Index
 	key          *object.Key
 	organisation *object.Organisation
 	service      string
 	log          *zap.Logger
 }
 
-// handle wraps an endpoint with what every request needs: an id, the key's
-// check, an open count for drains, and one log line at its end.
+// handle wraps an endpoint with the steps common to all requests: it assigns a request ID,
+// authenticates the key, counts the open request for drains, and logs one line at the end.
 func (s *Server) handle(endpoint func(*exchange) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		s.open.Add(1)
-		defer s.open.Add(-1)
+		s.openRequests.Add(1)
+		defer s.openRequests.Add(-1)
 		x := &exchange{id: ulid.Make().String(), w: w, r: r, arrived: time.Now()}
 		x.ctx, x.cancel = context.WithCancelCause(r.Context())
 		defer x.cancel(nil)
@@ -97,7 +98,7 @@
 }
 
 func (s *Server) serve(x *exchange, endpoint func(*exchange) error) error {
-	if s.closing.Load() {
+	if s.closeConnections.Load() {
 		x.w.Header().Set("Connection", "close")
 	}
 	if err := s.authenticate(x); err != nil {
@@ -108,7 +109,8 @@
 	return endpoint(x)
 }
 
-// finish writes a verdict that has not been written yet, counts and logs.
+// finish records the outcome of a request in metrics and the log. On failure it also sends
+// the verdict to the caller.
 func (s *Server) finish(x *exchange, err error) {
 	fields := []zap.Field{
 		zap.String("method", x.r.Method), zap.String("path", x.r.URL.Path),
@@ -130,8 +132,9 @@
 	x.writeVerdict(v)
 }
 
-// verdict explains a failure by its cause: a withdrawn key ends a request by
-// cancelling it, and "cancelled" would hide from its caller why.
+// verdict returns the verdict for a failed request. If the context was cancelled with a
+// verdict as its cause, the reason is taken from that verdict: a request whose key is withdrawn
+// is cancelled, and the reason "cancelled" would hide the cause from the caller.
 func (x *exchange) verdict(err error) *verdict.Verdict {
 	v := *verdict.From(err)
 	var cause *verdict.Verdict
@@ -142,5 +145,5 @@
 }
 
 func (s *Server) unknownPath(x *exchange) error {
-	return verdict.Refuse(verdict.ReasonUnknownService, 0, "no endpoint %s %s", x.r.Method, x.r.URL.Path)
+	return verdict.Refuse(verdict.ReasonUnknownService, 0, "unknown endpoint %s %s", x.r.Method, x.r.URL.Path)
 }
--- a/caller/server_test.go
+++ b/caller/server_test.go
@@ -22,23 +22,23 @@
 
 const testKey = "k-1"
 
-// fakePath stands for everything behind the door.
-type fakePath struct {
+// fakeBackend implements the rate limiter and the model runner.
+type fakeBackend struct {
 	charged, settled uint64
-	// fail is returned by the runners after sent tokens.
+	// fail is returned by the runners after the tokens have been sent.
 	fail   error
 	tokens []string
 	plain  route.PlainCall
 }
 
-func (f *fakePath) Admit(_ context.Context, organisation string, cost uint64) (route.Charge, error) {
+func (f *fakeBackend) Admit(_ context.Context, organisation string, cost uint64) (route.Charge, error) {
 	f.charged = cost
 	return route.Charge{Organisation: organisation, Tokens: cost}, nil
 }
 
-func (f *fakePath) Settle(_ route.Charge, used uint64) { f.settled = used }
+func (f *fakeBackend) Settle(_ route.Charge, used uint64) { f.settled = used }
 
-func (f *fakePath) Run(_ context.Context, _ *Request, sink route.Sink) (route.Answer, error) {
+func (f *fakeBackend) Run(_ context.Context, _ *Request, sink route.Sink) (route.Answer, error) {
 	for _, token := range f.tokens {
 		if err := sink.Token(token); err != nil {
 			return route.Answer{}, err
@@ -47,14 +47,14 @@
 	return route.Answer{FinishReason: "stop", PromptTokens: 2, OutputTokens: len(f.tokens)}, f.fail
 }
 
-type fakePlain struct{ *fakePath }
+type fakePlain struct{ *fakeBackend }
 
 func (f fakePlain) Run(_ context.Context, call route.PlainCall) (route.PlainAnswer, error) {
 	f.plain = call
 	return route.PlainAnswer{Status: http.StatusTeapot, ContentType: "text/plain", Body: []byte("leaf")}, f.fail
 }
 
-func newTestServer(t *testing.T, path *fakePath) *Server {
+func newTestServer(t *testing.T, backend *fakeBackend) *Server {
 	t.Helper()
 	set := object.Set{
 		Organisations: []object.Organisation{{Name: "zoo", Limit: "l", Services: []string{"scribe", "desk"}}},
@@ -74,7 +74,7 @@
 	metrics := observe.NewMetrics()
 	t.Cleanup(func() { _ = metrics.Close() })
 	return NewServer(Config{
-		Index: func() *object.Index { return index }, Rate: path, Models: path, Plain: fakePlain{path},
+		Index: func() *object.Index { return index }, Rate: backend, Models: backend, Plain: fakePlain{backend},
 		Watch: func(string, context.CancelCauseFunc) func() { return func() {} }, Log: zap.NewNop(), Metrics: metrics,
 	})
 }
@@ -89,9 +89,9 @@
 	return w
 }
 
-// Callers send what they should not. Each must get an error that says what was
-// wrong, that nothing ran, and the request's id, in the form usual clients parse.
-func TestRefusalsAtTheDoor(t *testing.T) {
+// Each invalid request must get an error in the format of the OpenAI API that gives the reason,
+// states that nothing ran, and contains the request ID.
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	const chat = "/v1/chat/completions"
 	message := func(content string) string {
 		return `{"model":"m","messages":[{"role":"user","content":` + content + `}]}`
@@ -108,11 +108,11 @@
 		{"no model", "POST", chat, testKey, `{}`, 400, verdict.ReasonBadRequest},
 		{"no messages", "POST", chat, testKey, `{"model":"m"}`, 400, verdict.ReasonBadRequest},
 		{"image part", "POST", chat, testKey, message(`[{"type":"image_url"}]`), 400, verdict.ReasonBadRequest},
-		{"two answers", "POST", chat, testKey, `{"model":"m","n":2,"messages":[{"role":"user","content":"a"}]}`, 400, verdict.ReasonBadRequest},
-		{"no tokens", "POST", chat, testKey, `{"model":"m","max_tokens":0,"messages":[{"role":"user","content":"a"}]}`, 400, verdict.ReasonBadRequest},
+		{"two choices", "POST", chat, testKey, `{"model":"m","n":2,"messages":[{"role":"user","content":"a"}]}`, 400, verdict.ReasonBadRequest},
+		{"zero max_tokens", "POST", chat, testKey, `{"model":"m","max_tokens":0,"messages":[{"role":"user","content":"a"}]}`, 400, verdict.ReasonBadRequest},
 		{"prompt list", "POST", "/v1/completions", testKey, `{"model":"m","prompt":["a"]}`, 400, verdict.ReasonBadRequest},
 		{"unknown model", "POST", chat, testKey, `{"model":"x","messages":[{"role":"user","content":"a"}]}`, 404, verdict.ReasonUnknownModel},
-		{"another's model", "POST", chat, testKey, `{"model":"p","messages":[{"role":"user","content":"a"}]}`, 404, verdict.ReasonUnknownModel},
+		{"model not permitted", "POST", chat, testKey, `{"model":"p","messages":[{"role":"user","content":"a"}]}`, 404, verdict.ReasonUnknownModel},
 		{"long prompt", "POST", chat, testKey, message(`"a b c d e f"`), 400, verdict.ReasonPromptTooLong},
 		{"huge body", "POST", chat, testKey, message(`"` + strings.Repeat("a", defaultMaxBody) + `"`), 413, verdict.ReasonBodyTooLarge},
 		{"unknown service", "GET", "/services/none/x", testKey, "", 404, verdict.ReasonUnknownService},
@@ -122,7 +122,7 @@
 		{"unknown path", "GET", "/v2", testKey, "", 404, verdict.ReasonUnknownService},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := send(newTestServer(t, &fakePath{}), test.method, test.path, test.key, test.body)
+			w := send(newTestServer(t, &fakeBackend{}), test.method, test.path, test.key, test.body)
 			assert.Equal(t, w.Code, test.status)
 			var body errorBody
 			assert.NilError(t, json.Unmarshal(w.Body.Bytes(), &body))
@@ -134,53 +134,58 @@
 	}
 }
 
-// The path fails after some tokens have been forwarded. The caller has half an
-// answer; it must end with an error event and without the terminator, so that no
-// client takes it for a whole one.
-func TestFailureInMidStreamEndsWithAnErrorEvent(t *testing.T) {
-	path := &fakePath{tokens: []string{"size ", "cures"}, fail: verdict.Fail(verdict.HasRun, verdict.ReasonTruncated, io.ErrUnexpectedEOF, "broke off")}
-	w := send(newTestServer(t, path), "POST", "/v1/completions", testKey, `{"model":"m","prompt":"a b","stream":true,"max_tokens":9}`)
+// The model runner fails after some tokens have been sent. The stream must end with an error
+// event and without the terminator, so that no client takes the partial response for a complete
+// one.
+func TestMidStreamFailureSendsErrorEvent(t *testing.T) {
+	backend := &fakeBackend{tokens: []string{"size ", "cures"}, fail: verdict.Fail(verdict.HasRun, verdict.ReasonTruncated, io.ErrUnexpectedEOF, "response ended early")}
+	w := send(newTestServer(t, backend), "POST", "/v1/completions", testKey, `{"model":"m","prompt":"a b","stream":true,"max_tokens":9}`)
 	assert.Equal(t, w.Code, http.StatusOK)
 	assert.Assert(t, strings.Contains(w.Body.String(), `"code":"truncated"`), w.Body.String())
 	assert.Assert(t, !strings.Contains(w.Body.String(), "[DONE]"))
-	assert.Equal(t, path.charged, uint64(2+9))
-	assert.Equal(t, path.settled, uint64(2+2))
+	assert.Equal(t, backend.charged, uint64(2+9))
+	assert.Equal(t, backend.settled, uint64(2+2))
 }
 
-// A refusal carries when to come back, rounded up to whole seconds, and costs
-// the organisation nothing.
-func TestRefusalTellsWhenToComeBackAndCostsNothing(t *testing.T) {
-	path := &fakePath{fail: verdict.Refuse(verdict.ReasonDeadlineUnmeetable, 1200*time.Millisecond, "full")}
-	w := send(newTestServer(t, path), "POST", "/v1/completions", testKey, `{"model":"m","prompt":"a","stream":true}`)
+// A refusal must set Retry-After, rounded up to whole seconds, and the organisation must not be
+// charged for it.
+func TestRefusalSetsRetryAfterAndIsRefunded(t *testing.T) {
+	backend := &fakeBackend{fail: verdict.Refuse(verdict.ReasonDeadlineUnmeetable, 1200*time.Millisecond, "full")}
+	w := send(newTestServer(t, backend), "POST", "/v1/completions", testKey, `{"model":"m","prompt":"a","stream":true}`)
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, w.Header().Get("Retry-After"), "2")
-	assert.Equal(t, path.settled, uint64(0))
+	assert.Equal(t, backend.settled, uint64(0))
 }
 
-func TestWholeAnswers(t *testing.T) {
-	path := &fakePath{tokens: []string{"a ", "b"}}
-	w := send(newTestServer(t, path), "POST", "/v1/chat/completions", testKey,
+// A chat completion must return the complete text and the usage, both as a single body and as
+// a stream.
+func TestCompletionResponses(t *testing.T) {
+	backend := &fakeBackend{tokens: []string{"a ", "b"}}
+	w := send(newTestServer(t, backend), "POST", "/v1/chat/completions", testKey,
 		`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"hi"}]}]}`)
 	var body completion
 	assert.NilError(t, json.Unmarshal(w.Body.Bytes(), &body))
 	assert.Equal(t, body.Choices[0].Message.Content, "a b")
 	assert.Equal(t, body.Usage.TotalTokens, 4)
 
-	w = send(newTestServer(t, path), "POST", "/v1/chat/completions", testKey,
+	w = send(newTestServer(t, backend), "POST", "/v1/chat/completions", testKey,
 		`{"model":"m","stream":true,"stream_options":{"include_usage":true},"messages":[{"role":"user","content":"hi"}]}`)
 	assert.Assert(t, strings.HasSuffix(w.Body.String(), "data: [DONE]\n\n"))
 	assert.Assert(t, strings.Contains(w.Body.String(), `"total_tokens":4`))
 }
 
-func TestPlainCallIsPassedThroughWithoutTheKey(t *testing.T) {
-	path := &fakePath{}
-	s := newTestServer(t, path)
+// A plain call must reach the runner with path and query, be charged the rule's cost, and
+// return the upstream's response. The model list must contain only models that the
+// organisation may use.
+func TestPlainCallIsForwarded(t *testing.T) {
+	backend := &fakeBackend{}
+	s := newTestServer(t, backend)
 	w := send(s, "POST", "/services/desk/book?leaf=2", testKey, "12345678")
 	assert.Equal(t, w.Code, http.StatusTeapot)
 	assert.Equal(t, w.Body.String(), "leaf")
-	assert.Equal(t, path.plain.Call.Path+"?"+path.plain.Call.RawQuery, "/book?leaf=2")
-	assert.Assert(t, !path.plain.Idempotent)
-	assert.Equal(t, path.charged, uint64(7))
+	assert.Equal(t, backend.plain.Call.Path+"?"+backend.plain.Call.RawQuery, "/book?leaf=2")
+	assert.Assert(t, !backend.plain.Idempotent)
+	assert.Equal(t, backend.charged, uint64(7))
 	w = send(s, "GET", "/v1/models", testKey, "")
 	assert.Assert(t, strings.Contains(w.Body.String(), `"id":"m"`) && !strings.Contains(w.Body.String(), `"id":"p"`))
 }
@@ -194,25 +199,25 @@
 		body, prompt, err := parseCompletion(data, chat)
 		if err != nil {
 			if v := verdict.From(err); v.Ran != verdict.NotRun || v.Reason != verdict.ReasonBadRequest {
-				t.Fatalf("a refusal of a body was %v", v)
+				t.Fatalf("body rejected with an unexpected verdict: %v", v)
 			}
 			return
 		}
 		if measure := port.MeasurePrompt(prompt); measure.Tokens == 0 || body.Model == "" {
-			t.Fatalf("accepted %d tokens, model %q", measure.Tokens, body.Model)
+			t.Fatalf("accepted a body with %d prompt tokens and model %q", measure.Tokens, body.Model)
 		}
 	})
 }
 
-// A token's text can hold anything that JSON must escape, and the model's name
-// stands beside it. The rendered event must be the one that a full encoding gives.
-func TestTokenEventsAreTheFullEncoding(t *testing.T) {
+// The token text can contain characters that JSON must escape, and the model name can contain
+// the placeholder. Each event must equal the one from a full encoding.
+func TestTokenEventMatchesFullEncoding(t *testing.T) {
 	chunk := func(text string) completion {
 		return completion{ID: "cmpl-id7", Model: `m "id7`, Choices: []choice{{Delta: &message{Role: "assistant", Content: text}}}}
 	}
-	e := newTokenEvent("id7", chunk)
+	e := newTokenEventEncoder("id7", chunk)
 	for _, text := range []string{"plain ", "\"quoted\"\n", "<b>&\u2028", "\x00\x1f", "ž", "id7"} {
-		data, err := e.render(text)
+		data, err := e.encode(text)
 		assert.NilError(t, err)
 		var got, want completion
 		assert.NilError(t, json.Unmarshal(data, &got))
--- a/caller/tokenevent.go
+++ b/caller/tokenevent.go
@@ -5,41 +5,41 @@
 	"encoding/json"
 )
 
-// tokenEvent renders the JSON of a token's event. All events of an answer are the
-// same but for the token, so the rest is rendered once; at hundreds of thousands
-// of tokens a second the reflection of a full encoding was the largest part of a
-// token's cost here.
-type tokenEvent struct {
-	before, after []byte
-	buffer        bytes.Buffer
-	encoder       *json.Encoder
+// tokenEventEncoder encodes the JSON of token events. The events of a response differ only in
+// the token text, so the rest is encoded once. At hundreds of thousands of tokens per second,
+// the reflection of a full encoding was the largest part of the per-token cost in this package.
+type tokenEventEncoder struct {
+	// prefix and suffix are the encoded event before and after the token text.
+	prefix, suffix []byte
+	buffer         bytes.Buffer
+	textEncoder    *json.Encoder
 }
 
-// newTokenEvent renders the event of a text that stands nowhere else in it and
-// keeps what is around.
-func newTokenEvent(unique string, event func(text string) completion) *tokenEvent {
-	e := &tokenEvent{}
-	e.encoder = json.NewEncoder(&e.buffer)
-	e.encoder.SetEscapeHTML(false)
-	data, err := json.Marshal(event(unique))
+// newTokenEventEncoder encodes an event with placeholder as its text and keeps the parts before
+// and after it.
+func newTokenEventEncoder(placeholder string, event func(text string) completion) *tokenEventEncoder {
+	e := &tokenEventEncoder{}
+	e.textEncoder = json.NewEncoder(&e.buffer)
+	e.textEncoder.SetEscapeHTML(false)
+	data, err := json.Marshal(event(placeholder))
 	if err != nil {
 		return e
 	}
-	// The last place is the text's: the names before it may look the same.
-	quoted := []byte(`"` + unique + `"`)
+	// The text is the last occurrence; the model name before it can contain the same string.
+	quoted := []byte(`"` + placeholder + `"`)
 	at := bytes.LastIndex(data, quoted)
-	e.before, e.after = data[:at], data[at+len(quoted):]
+	e.prefix, e.suffix = data[:at], data[at+len(quoted):]
 	return e
 }
 
-// render returns the event of one token. The bytes are valid until the next call.
-func (e *tokenEvent) render(text string) ([]byte, error) {
+// encode returns the event of one token. The returned slice is valid until the next call.
+func (e *tokenEventEncoder) encode(text string) ([]byte, error) {
 	e.buffer.Reset()
-	e.buffer.Write(e.before)
-	if err := e.encoder.Encode(text); err != nil {
+	e.buffer.Write(e.prefix)
+	if err := e.textEncoder.Encode(text); err != nil {
 		return nil, err
 	}
-	e.buffer.Truncate(e.buffer.Len() - 1) // the encoder's line end
-	e.buffer.Write(e.after)
+	e.buffer.Truncate(e.buffer.Len() - 1) // remove the newline added by Encode
+	e.buffer.Write(e.suffix)
 	return e.buffer.Bytes(), nil
 }
