--- a/once/memlog/control.go
+++ b/once/memlog/control.go
@@ -6,30 +6,30 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// InjectFaults sets the faults of the next appends.
+// InjectFaults sets the faults of the next appends, one per append.
 func (l *Log) InjectFaults(faults ...Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = faults
 }
 
-// SetDown makes appends be refused and reads break.
+// SetDown sets whether the log is down: appends are then refused and reads fail.
 func (l *Log) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
-	l.wake()
+	l.notifyReaders()
 }
 
-// SetAppendDelay delays the effect of each append.
+// SetAppendDelay sets the delay before each append takes effect.
 func (l *Log) SetAppendDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.slow = d
+	l.appendDelay = d
 }
 
-// Truncate drops the records of a stream below an offset; those that were never
-// appended count as appended and dropped.
+// Truncate drops the records of a stream below offset first. Offsets that were never appended
+// are treated as appended and dropped.
 func (l *Log) Truncate(name string, first uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,14 +40,14 @@
 	s.first = first
 }
 
-// Len returns the number of records that a stream ever had.
+// Len returns the number of records ever appended to a stream, including dropped ones.
 func (l *Log) Len(name string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.stream(name).records)
 }
 
-// Totals returns the number of append calls and of bytes in all streams.
+// Totals returns the number of append calls and the number of bytes appended to all streams.
 func (l *Log) Totals() (appends, bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/once/memlog/link.go
+++ b/once/memlog/link.go
@@ -8,32 +8,33 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// Link is the log as one instance reaches it. A cut link refuses appends and breaks
-// reads, also those that wait already.
+// Link is the connection of one instance to the log. While it is down, appends are refused and
+// reads fail, including reads that are already waiting.
 type Link struct {
-	log     *Log
-	mu      sync.Mutex
-	cut     bool
+	log  *Log
+	mu   sync.Mutex
+	down bool
+	// appends counts the append calls by stream.
 	appends map[string]int
 }
 
-// Link returns a new way to the log.
+// Link returns a new connection to the log.
 func (l *Log) Link() *Link { return &Link{log: l, appends: make(map[string]int)} }
 
-// Cut cuts the link or mends it.
-func (k *Link) Cut(cut bool) {
+// SetDown sets whether the link is down.
+func (k *Link) SetDown(down bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.cut = cut
+	k.down = down
 }
 
-func (k *Link) isCut() bool {
+func (k *Link) isDown() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.cut
+	return k.down
 }
 
-// Appends returns how many append calls of a stream came over the link.
+// Appends returns the number of append calls to a stream over this link.
 func (k *Link) Appends(name string) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -42,8 +43,8 @@
 
 // Append implements port.Log.
 func (k *Link) Append(ctx context.Context, name string, entries ...port.Entry) (uint64, error) {
-	if k.isCut() {
-		return 0, refused()
+	if k.isDown() {
+		return 0, unavailableError()
 	}
 	k.mu.Lock()
 	k.appends[name]++
@@ -53,11 +54,11 @@
 
 // Read implements port.Log.
 func (k *Link) Read(ctx context.Context, name string, from uint64, limit int, wait time.Duration) (port.Page, error) {
-	if k.isCut() {
+	if k.isDown() {
 		return port.Page{}, ErrConnectionBroken
 	}
 	page, err := k.log.Read(ctx, name, from, limit, wait)
-	if k.isCut() {
+	if k.isDown() {
 		return port.Page{}, ErrConnectionBroken
 	}
 	return page, err
--- a/once/memlog/log.go
+++ b/once/memlog/log.go
@@ -1,6 +1,5 @@
-// Package memlog is a stand-in of the platform's log in memory, with the faults
-// that whatever is built on the log must bear. It needs no network, so that it works
-// under testing/synctest.
+// Package memlog implements the platform's log in memory for tests, with injectable faults. It
+// uses no network, so that it works under testing/synctest.
 package memlog
 
 import (
@@ -13,34 +12,36 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Fault is what becomes of one append.
+// Fault is a fault injected into one append.
 type Fault uint8
 
 const (
-	// LoseResponse appends and then fails as if the connection had broken.
+	// LoseResponse appends the entries and then fails as if the connection had broken.
 	LoseResponse Fault = iota + 1
 	// LoseRequest fails as if the connection had broken, without appending.
 	LoseRequest
 )
 
-// ErrConnectionBroken is the failure of a call whose connection broke.
+// ErrConnectionBroken is returned by a call whose connection broke.
 var ErrConnectionBroken = errors.New("connection broken")
 
-// Log implements port.Log. Its zero value is not usable; see New.
+// Log implements port.Log. Use New to create one; the zero value is not usable.
 type Log struct {
-	mu      sync.Mutex
-	changed chan struct{}
-	streams map[string]*stream
-	faults  []Fault
-	down    bool
-	slow    time.Duration
-	appends int
-	bytes   int
+	mu sync.Mutex
+	// changed is closed and replaced when waiting reads must check again.
+	changed     chan struct{}
+	streams     map[string]*stream
+	faults      []Fault
+	down        bool
+	appendDelay time.Duration
+	appends     int
+	bytes       int
 }
 
 type stream struct {
 	records []port.Record
-	first   uint64
+	// first is the lowest retained offset.
+	first uint64
 }
 
 // New returns an empty log.
@@ -51,28 +52,28 @@
 // Append implements port.Log.
 func (l *Log) Append(_ context.Context, name string, entries ...port.Entry) (uint64, error) {
 	l.mu.Lock()
-	slow := l.slow
+	delay := l.appendDelay
 	l.mu.Unlock()
-	time.Sleep(slow)
+	time.Sleep(delay)
 
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
-		return 0, refused()
+		return 0, unavailableError()
 	}
 	l.appends++
 	fault := l.nextFault()
 	if fault == LoseRequest {
 		return 0, ErrConnectionBroken
 	}
-	first := l.add(name, entries)
+	first := l.appendEntries(name, entries)
 	if fault == LoseResponse {
 		return 0, ErrConnectionBroken
 	}
 	return first, nil
 }
 
-func refused() error {
+func unavailableError() error {
 	return verdict.Refuse(verdict.ReasonLogUnavailable, time.Second, "the log is down")
 }
 
@@ -94,19 +95,19 @@
 	return s
 }
 
-func (l *Log) add(name string, entries []port.Entry) uint64 {
+func (l *Log) appendEntries(name string, entries []port.Entry) uint64 {
 	s := l.stream(name)
 	first := uint64(len(s.records)) + 1
 	for i, e := range entries {
 		l.bytes += len(e.ID) + len(e.Data)
 		s.records = append(s.records, port.Record{Offset: first + uint64(i), ID: e.ID, Data: e.Data})
 	}
-	l.wake()
+	l.notifyReaders()
 	return first
 }
 
-// wake lets the reads that wait look again.
-func (l *Log) wake() {
+// notifyReaders wakes all waiting reads.
+func (l *Log) notifyReaders() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
@@ -116,7 +117,7 @@
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		page, changed, err := l.page(name, from, limit)
+		page, changed, err := l.readPage(name, from, limit)
 		if err != nil || len(page.Records) > 0 || wait == 0 {
 			return page, err
 		}
@@ -130,7 +131,7 @@
 	}
 }
 
-func (l *Log) page(name string, from uint64, limit int) (port.Page, <-chan struct{}, error) {
+func (l *Log) readPage(name string, from uint64, limit int) (port.Page, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
--- a/once/owner_test.go
+++ b/once/owner_test.go
@@ -163,7 +163,7 @@
 func TestOwnerIsCutOffFromTheLog(t *testing.T) {
 	inPeerFleet(t, func(t *testing.T, f *fleet, s map[string]*Service, order []string) {
 		ticket := claims(t, s[order[2]], booking)
-		f.links[order[0]].Cut(true)
+		f.links[order[0]].SetDown(true)
 		assert.NilError(t, s[order[2]].Finish(t.Context(), ticket, booked))
 		replays(t, s[order[1]], booking, booked)
 		fresh := booking
@@ -178,9 +178,9 @@
 	inPeerFleet(t, func(t *testing.T, f *fleet, s map[string]*Service, order []string) {
 		f.net.fail(order[0], answersLost)
 		f.net.fail(order[1], unreachable)
-		f.links[order[2]].Cut(true)
+		f.links[order[2]].SetDown(true)
 		refused(t, s[order[2]], booking, verdict.ReasonLogUnavailable, verdict.NotRun)
-		f.links[order[2]].Cut(false)
+		f.links[order[2]].SetDown(false)
 		f.net.fail(order[0], 0)
 		time.Sleep(time.Minute)
 		claims(t, s[order[1]], booking)
@@ -193,7 +193,7 @@
 	inPeerFleet(t, func(t *testing.T, f *fleet, s map[string]*Service, order []string) {
 		last := s[order[2]]
 		ticket := claims(t, last, booking)
-		f.links[order[0]].Cut(true)
+		f.links[order[0]].SetDown(true)
 		ctx, cancel := context.WithTimeout(t.Context(), appendHold+appendPauseMin/2)
 		defer cancel()
 		_ = last.Finish(ctx, ticket, booked)
--- a/once/service_test.go
+++ b/once/service_test.go
@@ -82,7 +82,7 @@
 
 // kill cuts an instance off, as its death does.
 func (f *fleet) kill(name string) {
-	f.links[name].Cut(true)
+	f.links[name].SetDown(true)
 	f.setLive(slices.DeleteFunc(f.members(), func(h request.Holder) bool { return h.Instance == name }))
 }
 
