--- a/once/append.go
+++ b/once/append.go
@@ -133,7 +133,7 @@
 		p.applyPage(page)
 	}
 	p.logAnswered()
-	p.finishBatch(func(q queued) bool { return p.index.Settled(q.rec) })
+	p.finishBatch(func(q queued) bool { return p.index.Reflects(q.rec) })
 }
 
 // finishBatch ends the append under way: settled records are done, the others go
--- a/once/claims.go
+++ b/once/claims.go
@@ -24,7 +24,7 @@
 		msg.reply <- reply
 		return
 	}
-	if p.index.Settled(rec) {
+	if p.index.Reflects(rec) {
 		// Void already: whoever asked has given up.
 		msg.reply <- claimReply{state: stateUnavailable, retryAfter: logRetryAfter}
 		return
@@ -94,8 +94,8 @@
 
 // decided returns the reply for an intent that the stream holds as the winner.
 func (p *partition) decided(rec protocol.Record) (claimReply, bool) {
-	fate, offset := p.index.Fate(rec.Key, rec.ID)
-	if fate != protocol.FateWon {
+	fate, offset := p.index.Decision(rec.Key, rec.ID)
+	if fate != protocol.DecisionWon {
 		return claimReply{}, false
 	}
 	if wait := p.vouchFrom.Sub(p.now()); wait > 0 {
@@ -150,7 +150,7 @@
 		msg.done <- err
 		return
 	}
-	if p.ready && p.index.Settled(msg.rec) {
+	if p.ready && p.index.Reflects(msg.rec) {
 		msg.done <- nil
 		return
 	}
--- a/once/follower.go
+++ b/once/follower.go
@@ -115,7 +115,7 @@
 		p.index = protocol.NewIndex(page.First)
 		p.ready = false
 	}
-	p.index.Skip(page.First)
+	p.index.SkipTo(page.First)
 }
 
 func (p *partition) applyRecord(offset uint64, data []byte) {
@@ -129,7 +129,7 @@
 		p.meters.undecodable.Inc(1)
 		p.logger.Error("undecodable record", zap.String("event", "once_undecodable"),
 			zap.Uint64("offset", offset), zap.Error(err))
-		p.index.Skip(offset + 1)
+		p.index.SkipTo(offset + 1)
 		return
 	}
 	p.index.Apply(offset, rec, p.now(), p.ready)
--- a/once/guard.go
+++ b/once/guard.go
@@ -31,16 +31,16 @@
 	defer cancel()
 
 	claim := protocol.NewClaim(intent)
-	claim.Sending()
+	claim.MarkSent()
 	reply, err := s.claimAt(ctx, number, claimRequest{
 		intent: intentRecord(intent), rec: intent, lookupOnly: s.olderThanWindow(call, begun),
 	})
 	s.scope.Tagged(map[string]string{"state": reply.state.String()}).Counter("claims").Inc(1)
 	if reply.notAppended {
-		claim.NotAppended()
+		claim.MarkNotAppended()
 	}
 	if err == nil && reply.state == stateWon {
-		claim.Decide(protocol.FateWon)
+		claim.SetDecision(protocol.DecisionWon)
 	}
 	if claim.MayDispatch() && s.cfg.Clock().Sub(begun) < maxClaimAge {
 		return s.openTicket(call, number, intent, reply.offset), nil, nil
--- a/once/partition.go
+++ b/once/partition.go
@@ -139,7 +139,7 @@
 }
 
 func (p *partition) forget() {
-	early := p.index.Forget(p.now().Add(-p.cfg.Window), p.first)
+	early := p.index.Expire(p.now().Add(-p.cfg.Window), p.first)
 	p.meters.keys.Update(float64(p.index.Len()))
 	if early > 0 {
 		p.meters.retentionShort.Inc(int64(early))
--- a/once/protocol/doc.go
+++ b/once/protocol/doc.go
@@ -1,47 +1,47 @@
-// Package protocol is the at-most-once protocol as a pure state machine: what a
-// prefix of a partition's stream says about each idempotency key (Index), and what
-// the owner of an intent may do (Claim). It knows no clock, network or log.
+// Package protocol implements the at-most-once protocol as a pure state machine. Index holds
+// the state of each idempotency key after a prefix of a partition's stream, and Claim decides
+// what the owner of an intent may do. The package uses no clock, network or log.
 //
-// The load pattern it answers: a caller repeats a booking because the answer did
-// not come, on another instance, while the first may still be running or its
-// instance has died. Without it the booking runs twice.
+// It handles the following load pattern: a caller got no response to a booking and repeats it at
+// another instance while the first call may still be running or its instance has died. Without
+// the protocol the booking would run twice.
 //
 // # Rules
 //
-//  1. An intent is live until it is void or forgotten. A key is free when it has no
-//     live intent. An intent wins when its key is free just before its offset.
-//  2. Only the owner of an intent dispatches under it, at most once, and only after
-//     reading it from the log as the winner, on an index that holds every record
-//     from the lowest retained one up to it.
-//  3. Only the owner voids an intent, and only if it has not dispatched, or knows
-//     that the dispatch did not run, and will not dispatch any more.
-//  4. A second record with an intent's id changes nothing, also after its void. So
-//     an append whose answer was lost may be repeated under the same id once a read
-//     to the end has not found it: whichever copy stands first decides.
+//  1. An intent is live until it is void or expired. A key is free if it has no live intent.
+//     An intent wins if its key is free immediately before its offset.
+//  2. Only the owner of an intent dispatches its call, at most once, and only after reading
+//     the intent from the log as the winner, with an index that contains every record from the
+//     lowest retained one up to the intent.
+//  3. Only the owner voids an intent, and only if it has not dispatched the call or knows that
+//     the dispatched call did not run, and will not dispatch it any more.
+//  4. A second record with the ID of an intent has no effect, even after the intent is void.
+//     Therefore an append whose response was lost may be repeated with the same ID after a read
+//     to the end of the stream has not found it: the copy with the lowest offset decides.
 //
 // # Why a key runs at most once within the window
 //
-// Let two intents A and B of a key be dispatched, A at the lower offset. B's owner
-// read B as the winner, so A was not live on the index it read. Either A was void
-// below B, then by rule 3 A's call did not run. Or the index did not hold A: it had
-// forgotten A after holding it for the whole window, or the log had dropped A. The
-// former puts a window between A's append and B's decision, the latter the log's
-// retention, which is longer. No clock is compared between instances; a reader
-// measures the window on its own clock from the moment it read A.
+// Suppose that two intents A and B of a key are dispatched, A having the lower offset. B's owner
+// read B as the winner, so A was not live in its index. Either A was void before B; then A's
+// call did not run, by rule 3. Or the index did not contain A, because A had expired after being
+// held for the whole window or because the log had dropped it. In the first case, a window
+// passed between A's append and B's decision; in the second, the log's retention, which is
+// longer. Clocks of different instances are never compared: a reader measures the window on its
+// own clock from the time it read A.
 //
-// Readers may forget at different moments and so may disagree about an old key. A
-// lost intent counts as live until void, so the disagreement costs a refusal
-// ("outcome unknown"), never a second run.
+// Readers may expire intents at different times and therefore disagree about an old key. A lost
+// intent counts as live until it is void, so a disagreement causes a refusal ("outcome unknown")
+// but never a second run.
 //
-// # Why "not run" is true
+// # Why "not run" is reliable
 //
-// It is said of a call whose claim was never dispatched and is withdrawn by the
-// one goroutine that could have dispatched it. Whether the intent stands in the
-// log does not matter to the truth of it; the void that follows frees the key.
+// It is reported only for a call that was not dispatched and whose claim was withdrawn by the one
+// goroutine that could have dispatched it. This holds whether or not the intent is in the log;
+// the subsequent void frees the key.
 //
-// # When nobody can free a key
+// # When a key cannot be freed
 //
-// An owner that dies between its intent and its outcome leaves nobody who knows
-// whether it dispatched. The key stays claimed for the window and resends are told
-// that the outcome is unknown. Waiting or asking others cannot do better.
+// If an owner dies between its intent and its outcome, no other instance knows whether it
+// dispatched the call. The key stays claimed for the window, and retries are told that the
+// outcome is unknown. Neither waiting nor asking other instances can resolve this.
 package protocol
--- a/once/protocol/explore_test.go
+++ b/once/protocol/explore_test.go
@@ -7,17 +7,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// explore visits every world that can be reached, until one is wrong.
-func explore(s setup) (visited int, err error) {
-	queue := []world{{epoch: 1}}
-	seen := map[world]bool{queue[0]: true}
+// explore visits all reachable states and stops at the first one that violates an invariant.
+func explore(s scenario) (visited int, err error) {
+	queue := []modelState{{epoch: 1}}
+	seen := map[modelState]bool{queue[0]: true}
 	for len(queue) > 0 {
-		w := queue[0]
+		m := queue[0]
 		queue = queue[1:]
-		if err := s.check(&w); err != nil {
+		if err := s.checkInvariants(&m); err != nil {
 			return len(seen), err
 		}
-		for _, next := range s.successors(w) {
+		for _, next := range s.successors(m) {
 			if !seen[next] {
 				seen[next] = true
 				queue = append(queue, next)
@@ -27,17 +27,17 @@
 	return len(seen), nil
 }
 
-// Callers send the same booking to several instances at once and again later,
-// one of them with another body, while appends land late or twice, instances lag,
-// crash at every point and start again, and the window passes. Were any order of
-// these to run a booking twice, a shop would be charged twice.
-func TestEveryOrderRunsAKeyOnce(t *testing.T) {
-	for name, s := range map[string]setup{
-		"a crash and a lost upstream answer": {nodes: 2, bodies: []byte{1, 1}, crashes: 1, unknown: true},
-		"appends that land twice":            {nodes: 2, bodies: []byte{1, 1}, twice: true},
-		"another body":                       {nodes: 2, bodies: []byte{1, 2}, crashes: 1, unknown: true},
-		"the window passes":                  {nodes: 2, bodies: []byte{1, 1}, expiry: true, unknown: true},
-		"three calls on one instance":        {nodes: 1, bodies: []byte{1, 1, 2}},
+// Callers send the same booking to several instances at once and again later, one of them with a
+// different body. Meanwhile appends take effect late or twice, instances lag, crash at any point
+// and restart, and the window passes. No interleaving may run a booking twice; the shop would
+// be charged twice.
+func TestKeyRunsOnceInEveryInterleaving(t *testing.T) {
+	for name, s := range map[string]scenario{
+		"a crash and a lost upstream response": {nodes: 2, bodies: []byte{1, 1}, maxCrashes: 1, lostResponses: true},
+		"duplicate appends":                    {nodes: 2, bodies: []byte{1, 1}, duplicateAppends: true},
+		"different body":                       {nodes: 2, bodies: []byte{1, 2}, maxCrashes: 1, lostResponses: true},
+		"the window passes":                    {nodes: 2, bodies: []byte{1, 1}, windowExpires: true, lostResponses: true},
+		"three calls at one instance":          {nodes: 1, bodies: []byte{1, 1, 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -48,61 +48,61 @@
 	}
 }
 
-// The same with more instances and calls than can be visited in every order.
-func TestRandomOrdersRunAKeyOnce(t *testing.T) {
-	s := setup{nodes: 4, bodies: []byte{1, 1, 1, 2, 1, 1}, crashes: 3, twice: true, expiry: true, unknown: true}
+// Random walks through the model with more instances and calls than can be explored exhaustively.
+func TestKeyRunsOnceInRandomInterleavings(t *testing.T) {
+	s := scenario{nodes: 4, bodies: []byte{1, 1, 1, 2, 1, 1}, maxCrashes: 3, duplicateAppends: true, windowExpires: true, lostResponses: true}
 	rng := rand.New(rand.NewPCG(1, 2))
 	steps := 0
 	for range 1500 {
-		w := world{epoch: 1}
+		m := modelState{epoch: 1}
 		for range 80 {
-			next := s.successors(w)
+			next := s.successors(m)
 			if len(next) == 0 {
 				break
 			}
-			w = next[rng.IntN(len(next))]
+			m = next[rng.IntN(len(next))]
 			steps++
-			assert.NilError(t, s.check(&w))
+			assert.NilError(t, s.checkInvariants(&m))
 		}
 	}
 	t.Logf("%d steps", steps)
 }
 
-// Each safeguard is switched off in turn. A check that did not notice would prove
-// nothing about the protocol either.
-func TestEachSafeguardIsNeeded(t *testing.T) {
+// Each safeguard is disabled in turn, and the model must report a violation. Otherwise the
+// exhaustive tests above would prove nothing about that safeguard.
+func TestModelDetectsEachMutation(t *testing.T) {
 	for name, c := range map[string]struct {
-		setup setup
-		found string
+		scenario scenario
+		found    string
 	}{
 		"dispatch before the append is confirmed": {
-			setup{nodes: 2, bodies: []byte{1, 1}, breakage: dispatchUnconfirmed}, "ran 2 times"},
-		"append anew under another id after a lost answer": {
-			setup{nodes: 2, bodies: []byte{1, 1}, twice: true, breakage: appendAnewAfterLostAnswer}, "blocked"},
-		"first in own memory wins": {
-			setup{nodes: 2, bodies: []byte{1, 1}, breakage: firstInOwnMemoryWins}, "ran 2 times"},
-		"index not read to its end": {
-			setup{nodes: 2, bodies: []byte{1, 1}, crashes: 1, breakage: indexNotReadToEnd}, "ran 2 times"},
-		"abandon after the call may have run": {
-			setup{nodes: 2, bodies: []byte{1, 1}, unknown: true, breakage: abandonAfterMayHaveRun}, "ran 2 times"},
-		"no void for an intent that was given up": {
-			setup{nodes: 2, bodies: []byte{1, 1}, breakage: withdrawWithoutVoid}, "blocked"},
-		"no void for an intent that lost": {
-			setup{nodes: 2, bodies: []byte{1, 1}, breakage: lostIntentNotVoided}, "blocked"},
+			scenario{nodes: 2, bodies: []byte{1, 1}, mutation: dispatchUnconfirmed}, "ran 2 times"},
+		"append with a new ID after a lost response": {
+			scenario{nodes: 2, bodies: []byte{1, 1}, duplicateAppends: true, mutation: newIDAfterLostResponse}, "blocked"},
+		"own intent always wins": {
+			scenario{nodes: 2, bodies: []byte{1, 1}, mutation: ownIntentAlwaysWins}, "ran 2 times"},
+		"ready before the stream was read to its end": {
+			scenario{nodes: 2, bodies: []byte{1, 1}, maxCrashes: 1, mutation: readyBeforeCatchUp}, "ran 2 times"},
+		"void after the call may have run": {
+			scenario{nodes: 2, bodies: []byte{1, 1}, lostResponses: true, mutation: voidAfterMayHaveRun}, "ran 2 times"},
+		"no void for a withdrawn intent": {
+			scenario{nodes: 2, bodies: []byte{1, 1}, mutation: withdrawWithoutVoid}, "blocked"},
+		"no void for a lost intent": {
+			scenario{nodes: 2, bodies: []byte{1, 1}, mutation: lostIntentNotVoided}, "blocked"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			visited, err := explore(c.setup)
+			visited, err := explore(c.scenario)
 			assert.ErrorContains(t, err, c.found)
 			t.Logf("found after %d states: %v", visited, err)
 		})
 	}
 }
 
-// BenchmarkExploreLarge visits the sizes that take too long for a test run.
+// BenchmarkExploreLarge explores scenarios that take too long for a test run.
 func BenchmarkExploreLarge(b *testing.B) {
-	for name, s := range map[string]setup{
-		"two_instances_all_faults": {nodes: 2, bodies: []byte{1, 1}, crashes: 1, twice: true, unknown: true},
-		"three_instances":          {nodes: 3, bodies: []byte{1, 1}, crashes: 1, unknown: true},
+	for name, s := range map[string]scenario{
+		"two_instances_all_faults": {nodes: 2, bodies: []byte{1, 1}, maxCrashes: 1, duplicateAppends: true, lostResponses: true},
+		"three_instances":          {nodes: 3, bodies: []byte{1, 1}, maxCrashes: 1, lostResponses: true},
 		"three_calls":              {nodes: 2, bodies: []byte{1, 1, 2}},
 	} {
 		b.Run(name, func(b *testing.B) {
--- a/once/protocol/index.go
+++ b/once/protocol/index.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// State is what is known of a key.
+// State is the state of a key.
 type State uint8
 
 const (
 	// StateFree means that no live intent holds the key.
 	StateFree State = iota
-	// StateClaimed means that an intent without outcome holds the key: its call
-	// may have run or may be running.
+	// StateClaimed means that an intent without an outcome holds the key. Its call may be
+	// running or may have run.
 	StateClaimed
-	// StateDone means that the key's call ran.
+	// StateDone means that the key's call has run.
 	StateDone
 )
 
@@ -21,126 +21,128 @@
 	Body      BodyHash
 	Owner     Owner
 	ClaimedMS int64
-	// Offset of the intent, 0 when the log dropped it before its outcome.
+	// Offset is the offset of the intent. It is 0 if the log dropped the intent before its
+	// outcome was read.
 	Offset uint64
 	// Outcome is the offset of the outcome record in StateDone.
-	Outcome       uint64
+	Outcome uint64
+	// AnswerDropped reports that the outcome was recorded without the response.
 	AnswerDropped bool
 }
 
-// intent is one intent of a key. Void intents stay as tombstones, so that a
-// late copy of one is not taken for a new claim.
+// intent is the state of one intent of a key. Void intents are kept as tombstones, so that a
+// late copy is not treated as a new claim.
 type intent struct {
 	Holder
-	fate Fate
-	void bool
+	decision Decision
+	void     bool
 }
 
-// arrival orders intents by when they were read, for forgetting.
-type arrival struct {
+// expiryEntry is an entry of the expiry queue, which contains the intents in the order they were
+// read.
+type expiryEntry struct {
 	key    Key
 	id     IntentID
 	offset uint64
 	readAt time.Time
-	// live tells that the record was read at the end of the stream, so that readAt
-	// is close to its append; others are older by an unknown time.
-	live bool
+	// atEnd reports that the record was read at the end of the stream, so that readAt is close
+	// to the time of its append. Other records are older by an unknown time.
+	atEnd bool
 }
 
-// Index is the state of every key of one partition after a prefix of its stream.
-// Apart from what it forgets it is a function of that prefix, so that two readers
-// agree on who won.
+// Index holds the state of all keys of one partition after a prefix of its stream. Apart from
+// expiry it is a function of that prefix, so that all readers agree on the winners.
 type Index struct {
-	next     uint64
-	keys     map[Key][]intent
-	arrivals []arrival
+	next        uint64
+	keys        map[Key][]intent
+	expiryQueue []expiryEntry
 }
 
-// NewIndex returns the index before the record at offset next.
+// NewIndex returns an empty index whose first record to apply is at offset next.
 func NewIndex(next uint64) *Index {
 	return &Index{next: next, keys: make(map[Key][]intent)}
 }
 
-// Next is the offset of the next record to apply.
+// Next returns the offset of the next record to apply.
 func (x *Index) Next() uint64 { return x.next }
 
-// Skip moves over records that the log no longer holds or that cannot be decoded.
-func (x *Index) Skip(next uint64) {
+// SkipTo skips records that the log has dropped or that cannot be decoded.
+func (x *Index) SkipTo(next uint64) {
 	if next > x.next {
 		x.next = next
 	}
 }
 
-// Len returns the number of keys held.
+// Len returns the number of keys in the index.
 func (x *Index) Len() int { return len(x.keys) }
 
-// Apply moves the index over the record at offset. Records below Next are copies
-// of what was applied already and change nothing. now is the reader's clock; live
-// tells that the record was read at the end of the stream.
-func (x *Index) Apply(offset uint64, rec Record, now time.Time, live bool) {
+// Apply applies the record at offset. Records below Next have already been applied and are
+// ignored. now is the time on the reader's clock; atEnd reports that the record was read at the
+// end of the stream.
+func (x *Index) Apply(offset uint64, rec Record, now time.Time, atEnd bool) {
 	if offset < x.next {
 		return
 	}
 	x.next = offset + 1
 	switch rec.Kind {
 	case KindIntent:
-		x.applyIntent(offset, rec, now, live)
+		x.applyIntent(offset, rec, now, atEnd)
 	case KindOutcome:
-		x.applyOutcome(offset, rec, now, live)
+		x.applyOutcome(offset, rec, now, atEnd)
 	case KindVoid:
-		x.applyVoid(offset, rec, now, live)
+		x.applyVoid(offset, rec, now, atEnd)
 	}
 }
 
-func (x *Index) applyIntent(offset uint64, rec Record, now time.Time, live bool) {
+func (x *Index) applyIntent(offset uint64, rec Record, now time.Time, atEnd bool) {
 	if x.find(rec.Key, rec.ID) != nil {
-		// A second copy of an append whose answer was lost, or a copy that arrived
-		// after its void. Counting it as a claim would block the key with nobody
-		// left to dispatch or withdraw it.
+		// A second copy of an append whose response was lost, or a copy that arrived after
+		// the void. Treating it as a claim would block the key, because no owner would
+		// dispatch or withdraw it.
 		return
 	}
-	fate := FateWon
-	if x.head(rec.Key) != nil {
-		fate = FateLost
+	decision := DecisionWon
+	if x.oldestLive(rec.Key) != nil {
+		decision = DecisionLost
 	}
-	x.add(intent{Holder: Holder{ID: rec.ID, Body: rec.Body, Owner: rec.Owner, ClaimedMS: rec.ClaimedMS, Offset: offset}, fate: fate},
-		arrival{key: rec.Key, id: rec.ID, offset: offset, readAt: now, live: live})
+	x.add(intent{Holder: Holder{ID: rec.ID, Body: rec.Body, Owner: rec.Owner, ClaimedMS: rec.ClaimedMS, Offset: offset}, decision: decision},
+		expiryEntry{key: rec.Key, id: rec.ID, offset: offset, readAt: now, atEnd: atEnd})
 }
 
-func (x *Index) applyOutcome(offset uint64, rec Record, now time.Time, live bool) {
+func (x *Index) applyOutcome(offset uint64, rec Record, now time.Time, atEnd bool) {
 	if in := x.find(rec.Key, rec.ID); in != nil {
 		if in.Outcome == 0 {
 			in.Outcome = offset
 			in.AnswerDropped = rec.AnswerDropped
 		}
-		// An outcome after a void means that an owner broke rule 3. The call did
-		// run, so the key must not be free.
+		// An outcome after a void means that an owner violated rule 3. The call did run,
+		// so the key must not be free.
 		in.void = false
 		return
 	}
-	// The log dropped the intent but still holds its outcome: the call ran.
-	x.add(intent{Holder: Holder{ID: rec.ID, Body: rec.Body, Outcome: offset, AnswerDropped: rec.AnswerDropped}, fate: FateWon},
-		arrival{key: rec.Key, id: rec.ID, offset: offset, readAt: now, live: live})
+	// The log has dropped the intent but still contains its outcome: the call ran.
+	x.add(intent{Holder: Holder{ID: rec.ID, Body: rec.Body, Outcome: offset, AnswerDropped: rec.AnswerDropped}, decision: DecisionWon},
+		expiryEntry{key: rec.Key, id: rec.ID, offset: offset, readAt: now, atEnd: atEnd})
 }
 
-func (x *Index) applyVoid(offset uint64, rec Record, now time.Time, live bool) {
+func (x *Index) applyVoid(offset uint64, rec Record, now time.Time, atEnd bool) {
 	if in := x.find(rec.Key, rec.ID); in != nil {
-		// An outcome proves that the call ran; no void can take that back.
+		// An outcome proves that the call ran; a later void has no effect.
 		in.void = in.void || in.Outcome == 0
 		return
 	}
-	x.add(intent{Holder: Holder{ID: rec.ID}, fate: FateLost, void: true},
-		arrival{key: rec.Key, id: rec.ID, offset: offset, readAt: now, live: live})
+	x.add(intent{Holder: Holder{ID: rec.ID}, decision: DecisionLost, void: true},
+		expiryEntry{key: rec.Key, id: rec.ID, offset: offset, readAt: now, atEnd: atEnd})
 }
 
-func (x *Index) add(in intent, a arrival) {
-	x.keys[a.key] = append(x.keys[a.key], in)
-	x.arrivals = append(x.arrivals, a)
+func (x *Index) add(in intent, e expiryEntry) {
+	x.keys[e.key] = append(x.keys[e.key], in)
+	x.expiryQueue = append(x.expiryQueue, e)
 }
 
 // Lookup returns the state of a key and the intent that holds it.
 func (x *Index) Lookup(key Key) (State, Holder) {
-	in := x.head(key)
+	in := x.oldestLive(key)
 	if in == nil {
 		return StateFree, Holder{}
 	}
@@ -150,20 +152,21 @@
 	return StateClaimed, in.Holder
 }
 
-// Fate returns what the stream decided about an intent and its offset.
-func (x *Index) Fate(key Key, id IntentID) (Fate, uint64) {
+// Decision returns the decision about an intent and the offset of the intent.
+func (x *Index) Decision(key Key, id IntentID) (Decision, uint64) {
 	in := x.find(key, id)
 	if in == nil {
-		return FateOpen, 0
+		return DecisionPending, 0
 	}
 	if in.void {
-		return FateLost, in.Offset
+		return DecisionLost, in.Offset
 	}
-	return in.fate, in.Offset
+	return in.decision, in.Offset
 }
 
-// Settled reports whether the record's effect stands in the prefix read so far.
-func (x *Index) Settled(rec Record) bool {
+// Reflects reports whether the records applied so far include the record or one that makes it
+// unnecessary, such as an outcome for a void.
+func (x *Index) Reflects(rec Record) bool {
 	in := x.find(rec.Key, rec.ID)
 	if in == nil {
 		return false
@@ -178,10 +181,10 @@
 	}
 }
 
-// head is the oldest live intent of a key. Lost intents count until their owners
-// void them: a reader that has forgotten the winner would take the lost intent
-// for the winner, and both readings must keep the key from running again.
-func (x *Index) head(key Key) *intent {
+// oldestLive returns the oldest live intent of a key, or nil. A lost intent counts as live until
+// its owner voids it: a reader for which the winner has expired treats the lost intent as the
+// winner, and both views must prevent a second run.
+func (x *Index) oldestLive(key Key) *intent {
 	list := x.keys[key]
 	for i := range list {
 		if !list[i].void {
--- a/once/protocol/model_test.go
+++ b/once/protocol/model_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// The model runs the real Index and Claim of a few instances against a log whose
-// appends land late, twice, or never, with instances that lag, crash and restart.
+// The model runs the actual Index and Claim of a few instances against a log whose appends take
+// effect late, twice or never. The instances lag, crash and restart.
 
-// breakage switches one safeguard off.
-type breakage uint8
+// mutation disables one safeguard of the protocol.
+type mutation uint8
 
 const (
-	intact breakage = iota
+	noMutation mutation = iota
 	dispatchUnconfirmed
-	appendAnewAfterLostAnswer
-	firstInOwnMemoryWins
-	indexNotReadToEnd
-	abandonAfterMayHaveRun
+	newIDAfterLostResponse
+	ownIntentAlwaysWins
+	readyBeforeCatchUp
+	voidAfterMayHaveRun
 	withdrawWithoutVoid
 	lostIntentNotVoided
 )
@@ -30,7 +30,7 @@
 	waiting
 	won
 	ran
-	// The rest are final.
+	// The phases below are final.
 	notRun
 	mayHaveRun
 	replayed
@@ -38,8 +38,8 @@
 	crashed
 )
 
-// entry is one record in the log or on its way to it: its kind, the call, and the
-// version that tells the ids of one call apart.
+// entry is one record in the log or in flight to it. It encodes the kind, the call, and a version
+// that distinguishes the intent IDs of one call.
 type entry uint8
 
 func newEntry(kind Kind, call, version uint8) entry { return entry(uint8(kind)<<4 | call<<1 | version) }
@@ -47,20 +47,20 @@
 func (e entry) call() uint8                         { return uint8(e) >> 1 & 7 }
 func (e entry) version() uint8                      { return uint8(e) & 1 }
 
-// entries is a list that can be compared.
-type entries struct {
+// entryList is a list of entries that is comparable with ==.
+type entryList struct {
 	n    uint8
 	list [32]entry
 }
 
-func (l *entries) all() []entry { return l.list[:l.n] }
+func (l *entryList) all() []entry { return l.list[:l.n] }
 
-func (l *entries) add(e entry) {
+func (l *entryList) add(e entry) {
 	l.list[l.n] = e
 	l.n++
 }
 
-func (l *entries) remove(i int) {
+func (l *entryList) remove(i int) {
 	copy(l.list[i:], l.list[i+1:l.n])
 	l.n--
 	l.list[l.n] = 0
@@ -70,12 +70,13 @@
 	phase   phase
 	node    uint8
 	version uint8
-	// copies counts appends of the intent.
-	copies uint8
-	// executed is 0 or the epoch of the dispatch, from 1.
-	executed uint8
-	// answer is the call whose answer was replayed, from 1.
-	answer uint8
+	// appends is the number of appends of the intent.
+	appends uint8
+	// executedEpoch is the epoch of the dispatch, counted from 1, or 0 if the call was not
+	// dispatched.
+	executedEpoch uint8
+	// replayedFrom is the number, counted from 1, of the call whose response was replayed.
+	replayedFrom uint8
 }
 
 type nodeState struct {
@@ -83,139 +84,142 @@
 	ready      bool
 }
 
-// world is one state of the model; equal worlds are the same state.
-type world struct {
-	log, floating entries
+// modelState is one state of the model. Equal values are the same state.
+type modelState struct {
+	log, inFlight entryList
 	calls         [6]callState
 	nodes         [4]nodeState
 	crashes       uint8
-	// expired is the number of records older than the window; epoch grows with it.
+	// expired is the number of records older than the window. epoch is incremented when the
+	// window passes.
 	expired, epoch uint8
 }
 
-// setup is what stays the same during an exploration.
-type setup struct {
+// scenario holds the parameters of one exploration.
+type scenario struct {
 	nodes int
-	// bodies has one call each.
-	bodies  []byte
-	crashes uint8
-	// twice allows a second append of an intent after a lost answer.
-	twice bool
-	// expiry lets the window pass once.
-	expiry bool
-	// unknown lets an upstream's answer be lost.
-	unknown  bool
-	breakage breakage
+	// bodies has one element for each call.
+	bodies     []byte
+	maxCrashes uint8
+	// duplicateAppends allows a second append of an intent after a lost response.
+	duplicateAppends bool
+	// windowExpires allows the window to pass once.
+	windowExpires bool
+	// lostResponses allows the response of an upstream to be lost.
+	lostResponses bool
+	mutation      mutation
 }
 
 var modelKey = Key{1}
 
-func (s setup) record(e entry) Record {
+func (s scenario) record(e entry) Record {
 	return Record{Kind: e.kind(), Key: modelKey, ID: IntentID{e.call(), e.version()}, Body: BodyHash{s.bodies[e.call()]}}
 }
 
-// index replays what a node has read.
-func (s setup) index(w *world, n nodeState) *Index {
+// index builds the index of a node by replaying the records that it has read.
+func (s scenario) index(m *modelState, n nodeState) *Index {
 	x := NewIndex(uint64(n.start) + 1)
 	for i := n.start; i < n.pos; i++ {
-		x.Apply(uint64(i)+1, s.record(w.log.list[i]), time.Time{}, true)
+		x.Apply(uint64(i)+1, s.record(m.log.list[i]), time.Time{}, true)
 	}
 	return x
 }
 
-// send puts a record on its way; the order of those does not matter.
-func (w *world) send(kind Kind, call int, version uint8) {
-	w.floating.add(newEntry(kind, uint8(call), version))
-	slices.Sort(w.floating.all())
+// send adds a record to those in flight. They are kept sorted, because their order has no
+// meaning and must not distinguish states.
+func (m *modelState) send(kind Kind, call int, version uint8) {
+	m.inFlight.add(newEntry(kind, uint8(call), version))
+	slices.Sort(m.inFlight.all())
 }
 
-// claim rebuilds the claim of a call that waits or has won.
-func (s setup) claim(i int, c callState) *Claim {
+// claim rebuilds the Claim of a call that is waiting or has won.
+func (s scenario) claim(i int, c callState) *Claim {
 	claim := NewClaim(s.record(newEntry(KindIntent, uint8(i), c.version)))
-	claim.Sending()
+	claim.MarkSent()
 	if c.phase == won {
-		claim.Decide(FateWon)
+		claim.SetDecision(DecisionWon)
 	}
 	return claim
 }
 
-// withdraw gives up call i.
-func (s setup) withdraw(w *world, i int) {
-	c := &w.calls[i]
-	if s.claim(i, *c).Withdraw() && s.breakage != withdrawWithoutVoid {
-		w.send(KindVoid, i, c.version)
+// withdraw withdraws the claim of call i.
+func (s scenario) withdraw(m *modelState, i int) {
+	c := &m.calls[i]
+	if s.claim(i, *c).Withdraw() && s.mutation != withdrawWithoutVoid {
+		m.send(KindVoid, i, c.version)
 	}
 	c.phase = notRun
 }
 
-// successors returns every world that one step leads to.
-func (s setup) successors(w world) []world {
-	var out []world
-	step := func(change func(*world)) {
-		next := w
+// successors returns all states that are reachable in one step.
+func (s scenario) successors(m modelState) []modelState {
+	var out []modelState
+	step := func(change func(*modelState)) {
+		next := m
 		change(&next)
 		out = append(out, next)
 	}
 	for i := range s.bodies {
-		s.callSteps(&w, i, step)
+		s.callSteps(&m, i, step)
 	}
 	for n := range s.nodes {
-		s.nodeSteps(&w, n, step)
+		s.nodeSteps(&m, n, step)
 	}
-	for f, e := range w.floating.all() {
-		step(func(w *world) {
-			w.floating.remove(f)
-			w.log.add(e)
+	for f, e := range m.inFlight.all() {
+		step(func(m *modelState) {
+			m.inFlight.remove(f)
+			m.log.add(e)
 		})
 	}
-	if s.expiry && w.epoch == 1 && w.log.n > 0 {
-		step(s.expire)
+	if s.windowExpires && m.epoch == 1 && m.log.n > 0 {
+		step(s.expireWindow)
 	}
 	return out
 }
 
-func (s setup) callSteps(w *world, i int, step func(func(*world))) {
-	c := w.calls[i]
+func (s scenario) callSteps(m *modelState, i int, step func(func(*modelState))) {
+	c := m.calls[i]
 	switch c.phase {
 	case idle:
 		for n := range s.nodes {
-			if w.nodes[n].ready {
-				step(func(w *world) { s.begin(w, i, uint8(n)) })
+			if m.nodes[n].ready {
+				step(func(m *modelState) { s.beginCall(m, i, uint8(n)) })
 			}
 		}
 	case waiting:
-		step(func(w *world) { s.withdraw(w, i) })
-		s.lostAnswerSteps(w, i, c, step)
-		if s.breakage == dispatchUnconfirmed {
-			step(func(w *world) { w.execute(i, ran) })
+		step(func(m *modelState) { s.withdraw(m, i) })
+		s.appendFailureSteps(m, i, c, step)
+		if s.mutation == dispatchUnconfirmed {
+			step(func(m *modelState) { m.execute(i, ran) })
 		}
 	case won:
-		step(func(w *world) { s.withdraw(w, i) }) // also: the upstream could not be reached
-		step(func(w *world) { w.execute(i, ran) })
-		if s.unknown {
-			step(func(w *world) { s.loseUpstream(w, i) })
+		step(func(m *modelState) { s.withdraw(m, i) }) // also covers an unreachable upstream
+		step(func(m *modelState) { m.execute(i, ran) })
+		if s.lostResponses {
+			step(func(m *modelState) { s.loseUpstreamResponse(m, i) })
 		}
 	case ran:
-		step(func(w *world) {
-			w.send(KindOutcome, i, c.version)
-			w.calls[i].phase = replayed
-			w.calls[i].answer = uint8(i) + 1
+		step(func(m *modelState) {
+			m.send(KindOutcome, i, c.version)
+			m.calls[i].phase = replayed
+			m.calls[i].replayedFrom = uint8(i) + 1
 		})
 	}
 }
 
-func (s setup) begin(w *world, i int, n uint8) {
-	c := &w.calls[i]
+func (s scenario) beginCall(m *modelState, i int, n uint8) {
+	c := &m.calls[i]
 	c.node = n
-	if !s.answerFromIndex(c, i, s.index(w, w.nodes[n])) {
+	if !s.completeFromIndex(c, i, s.index(m, m.nodes[n])) {
 		c.phase = waiting
-		c.copies = 1
-		w.send(KindIntent, i, 0)
+		c.appends = 1
+		m.send(KindIntent, i, 0)
 	}
 }
 
-// answerFromIndex gives a call the answer that the index holds for its key.
-func (s setup) answerFromIndex(c *callState, i int, x *Index) bool {
+// completeFromIndex completes a call with the state that the index holds for its key. It returns
+// false if the key is free.
+func (s scenario) completeFromIndex(c *callState, i int, x *Index) bool {
 	state, holder := x.Lookup(modelKey)
 	switch {
 	case state == StateFree:
@@ -224,157 +228,159 @@
 		c.phase = keyReused
 	case state == StateDone:
 		c.phase = replayed
-		c.answer = holder.ID[0] + 1
+		c.replayedFrom = holder.ID[0] + 1
 	default:
 		c.phase = mayHaveRun
 	}
 	return true
 }
 
-// lostAnswerSteps are the log's refusal and the second append after a lost answer.
-func (s setup) lostAnswerSteps(w *world, i int, c callState, step func(func(*world))) {
-	f := slices.Index(w.floating.all(), newEntry(KindIntent, uint8(i), c.version))
-	if f >= 0 && c.copies == 1 {
-		step(func(w *world) {
+// appendFailureSteps are the steps in which the log refuses an append, or the intent is appended
+// a second time after a lost response.
+func (s scenario) appendFailureSteps(m *modelState, i int, c callState, step func(func(*modelState))) {
+	f := slices.Index(m.inFlight.all(), newEntry(KindIntent, uint8(i), c.version))
+	if f >= 0 && c.appends == 1 {
+		step(func(m *modelState) {
 			claim := s.claim(i, c)
-			claim.NotAppended()
-			w.floating.remove(f)
-			w.calls[i].phase = notRun
+			claim.MarkNotAppended()
+			m.inFlight.remove(f)
+			m.calls[i].phase = notRun
 			if claim.Withdraw() {
-				panic("a refused intent needs no void")
+				panic("void requested for an intent that was not appended")
 			}
 		})
 	}
-	if s.twice && c.copies < 2 && w.nodes[c.node].pos == w.log.n {
-		step(func(w *world) {
-			w.calls[i].copies++
-			if s.breakage == appendAnewAfterLostAnswer {
-				w.calls[i].version++
+	if s.duplicateAppends && c.appends < 2 && m.nodes[c.node].pos == m.log.n {
+		step(func(m *modelState) {
+			m.calls[i].appends++
+			if s.mutation == newIDAfterLostResponse {
+				m.calls[i].version++
 			}
-			w.send(KindIntent, i, w.calls[i].version)
+			m.send(KindIntent, i, m.calls[i].version)
 		})
 	}
 }
 
-func (w *world) execute(i int, p phase) {
-	w.calls[i].executed = w.epoch
-	w.calls[i].phase = p
+func (m *modelState) execute(i int, p phase) {
+	m.calls[i].executedEpoch = m.epoch
+	m.calls[i].phase = p
 }
 
-// loseUpstream dispatches and loses the upstream's answer.
-func (s setup) loseUpstream(w *world, i int) {
-	w.execute(i, mayHaveRun)
-	if s.breakage == abandonAfterMayHaveRun {
-		w.send(KindVoid, i, w.calls[i].version)
+// loseUpstreamResponse dispatches a call whose response is lost.
+func (s scenario) loseUpstreamResponse(m *modelState, i int) {
+	m.execute(i, mayHaveRun)
+	if s.mutation == voidAfterMayHaveRun {
+		m.send(KindVoid, i, m.calls[i].version)
 	}
 }
 
-func (s setup) nodeSteps(w *world, n int, step func(func(*world))) {
-	node := w.nodes[n]
-	if node.pos < w.log.n {
-		step(func(w *world) { s.read(w, n) })
+func (s scenario) nodeSteps(m *modelState, n int, step func(func(*modelState))) {
+	node := m.nodes[n]
+	if node.pos < m.log.n {
+		step(func(m *modelState) { s.readRecord(m, n) })
 	} else if !node.ready {
-		step(func(w *world) { w.nodes[n].ready = true })
+		step(func(m *modelState) { m.nodes[n].ready = true })
 	}
-	if w.crashes < s.crashes {
-		step(func(w *world) { s.crash(w, n) })
+	if m.crashes < s.maxCrashes {
+		step(func(m *modelState) { s.crash(m, n) })
 	}
-	if node.start < w.expired && node.pos >= w.expired {
-		step(func(w *world) { w.nodes[n].start = w.expired })
+	if node.start < m.expired && node.pos >= m.expired {
+		step(func(m *modelState) { m.nodes[n].start = m.expired })
 	}
 }
 
-// read moves a node over one record and decides the call that it belongs to.
-func (s setup) read(w *world, n int) {
-	e := w.log.list[w.nodes[n].pos]
-	w.nodes[n].pos++
+// readRecord applies the next record at a node and decides the call that the record belongs to.
+func (s scenario) readRecord(m *modelState, n int) {
+	e := m.log.list[m.nodes[n].pos]
+	m.nodes[n].pos++
 	i := int(e.call())
-	c := &w.calls[i]
+	c := &m.calls[i]
 	if e.kind() != KindIntent || c.phase != waiting || int(c.node) != n || c.version != e.version() {
 		return
 	}
-	x := s.index(w, w.nodes[n])
-	fate, _ := x.Fate(modelKey, IntentID{e.call(), e.version()})
-	if s.breakage == firstInOwnMemoryWins {
-		fate = FateWon
+	x := s.index(m, m.nodes[n])
+	fate, _ := x.Decision(modelKey, IntentID{e.call(), e.version()})
+	if s.mutation == ownIntentAlwaysWins {
+		fate = DecisionWon
 	}
 	claim := s.claim(i, *c)
-	claim.Decide(fate)
+	claim.SetDecision(fate)
 	switch {
 	case claim.MayDispatch():
 		c.phase = won
-	case fate == FateLost:
-		if claim.Withdraw() && s.breakage != lostIntentNotVoided {
-			w.send(KindVoid, i, e.version())
+	case fate == DecisionLost:
+		if claim.Withdraw() && s.mutation != lostIntentNotVoided {
+			m.send(KindVoid, i, e.version())
 		}
-		if !s.answerFromIndex(c, i, x) {
+		if !s.completeFromIndex(c, i, x) {
 			c.phase = notRun
 		}
 	}
 }
 
-// crash ends a node's calls; it starts again with nothing in memory.
-func (s setup) crash(w *world, n int) {
-	w.crashes++
-	for i := range w.calls {
-		c := &w.calls[i]
+// crash ends the calls of a node, which restarts with no state.
+func (s scenario) crash(m *modelState, n int) {
+	m.crashes++
+	for i := range m.calls {
+		c := &m.calls[i]
 		if int(c.node) == n && (c.phase == waiting || c.phase == won || c.phase == ran) {
 			c.phase = crashed
 		}
 	}
-	// The log may have dropped what is older than the window.
-	w.nodes[n] = nodeState{start: w.expired, pos: w.expired}
-	if s.breakage == indexNotReadToEnd {
-		w.nodes[n] = nodeState{start: w.log.n, pos: w.log.n, ready: true}
+	// The log may have dropped the records older than the window.
+	m.nodes[n] = nodeState{start: m.expired, pos: m.expired}
+	if s.mutation == readyBeforeCatchUp {
+		m.nodes[n] = nodeState{start: m.log.n, pos: m.log.n, ready: true}
 	}
 }
 
-// expire makes every record older than the window. Claims that old are withdrawn.
-func (s setup) expire(w *world) {
-	w.expired = w.log.n
-	w.epoch++
-	for i, c := range w.calls {
+// expireWindow makes all records older than the window. Open claims, which are then as old, are
+// withdrawn.
+func (s scenario) expireWindow(m *modelState) {
+	m.expired = m.log.n
+	m.epoch++
+	for i, c := range m.calls {
 		if c.phase == waiting || c.phase == won {
-			s.withdraw(w, i)
+			s.withdraw(m, i)
 		}
 	}
 }
 
-// check returns what is wrong with a world, or nil.
-func (s setup) check(w *world) error {
+// checkInvariants returns an error if a state violates an invariant of the protocol.
+func (s scenario) checkInvariants(m *modelState) error {
 	var runs [3]int
-	for i, c := range w.calls {
-		if c.executed > 0 {
-			runs[c.executed]++
+	for i, c := range m.calls {
+		if c.executedEpoch > 0 {
+			runs[c.executedEpoch]++
 		}
-		if c.phase == notRun && c.executed > 0 {
-			return fmt.Errorf("call %d was told \"not run\" but ran", i)
+		if c.phase == notRun && c.executedEpoch > 0 {
+			return fmt.Errorf("call %d was reported as \"not run\" but ran", i)
 		}
-		if c.phase == replayed && w.calls[c.answer-1].executed == 0 {
-			return fmt.Errorf("call %d got the answer of a call that did not run", i)
+		if c.phase == replayed && m.calls[c.replayedFrom-1].executedEpoch == 0 {
+			return fmt.Errorf("call %d got the response of a call that did not run", i)
 		}
 	}
 	if n := max(runs[1], runs[2]); n > 1 {
 		return fmt.Errorf("the key ran %d times in one window", n)
 	}
-	return s.checkFree(w)
+	return s.checkKeyNotBlocked(m)
 }
 
-// checkFree reports a key that stays taken although nothing ran, nothing is on its
-// way and every owner lives. After the window has passed a copy of an old intent
-// may land whose void is forgotten; that costs refusals for one more window.
-func (s setup) checkFree(w *world) error {
-	if w.floating.n > 0 || w.epoch > 1 {
+// checkKeyNotBlocked returns an error if a key is not free although no call ran, no record is in
+// flight and no owner crashed. States after the window has passed are not checked: a late copy of
+// an intent whose void has expired may be appended, which causes refusals for one more window.
+func (s scenario) checkKeyNotBlocked(m *modelState) error {
+	if m.inFlight.n > 0 || m.epoch > 1 {
 		return nil
 	}
-	for _, c := range w.calls {
-		if c.executed > 0 || c.phase == waiting || c.phase == won || c.phase == crashed {
+	for _, c := range m.calls {
+		if c.executedEpoch > 0 || c.phase == waiting || c.phase == won || c.phase == crashed {
 			return nil
 		}
 	}
-	end := s.index(w, nodeState{pos: w.log.n})
+	end := s.index(m, nodeState{pos: m.log.n})
 	if state, _ := end.Lookup(modelKey); state != StateFree {
-		return fmt.Errorf("the key is blocked though nothing ran and every owner lives")
+		return fmt.Errorf("the key is blocked although no call ran and no owner crashed")
 	}
 	return nil
 }
--- a/once/protocol/record.go
+++ b/once/protocol/record.go
@@ -1,34 +1,34 @@
 package protocol
 
-// Key identifies one guarded call: a hash of organisation, service and
-// idempotency key. The caller's key itself does not reach the log.
+// Key identifies one guarded call. It is a hash of organisation, service and idempotency key; the
+// idempotency key itself is not written to the log.
 type Key [16]byte
 
-// IntentID is the unique id of one claim of a key, chosen by its owner.
+// IntentID is the unique ID of one claim of a key, chosen by its owner.
 type IntentID [16]byte
 
-// BodyHash identifies the call that a key was used with.
+// BodyHash is the hash of the call with which a key was used.
 type BodyHash [16]byte
 
-// Kind tells the records apart.
+// Kind is the type of a record.
 type Kind uint8
 
 const (
 	// KindIntent claims a key for one dispatch.
 	KindIntent Kind = iota + 1
-	// KindOutcome tells that an intent's call ran.
+	// KindOutcome states that the call of an intent ran.
 	KindOutcome
-	// KindVoid tells that an intent's owner did not run the call and never will.
+	// KindVoid states that the owner of an intent did not run the call and never will.
 	KindVoid
 )
 
-// Owner is the run of the instance that dispatches under an intent.
+// Owner identifies the run of the instance that claimed a key.
 type Owner struct {
 	Instance    string
 	Incarnation uint64
 }
 
-// Record is one entry of a partition's stream, without the recorded answer.
+// Record is one record of a partition's stream, without the recorded response.
 type Record struct {
 	Kind Kind
 	Key  Key
@@ -40,6 +40,6 @@
 	Owner     Owner
 	RequestID string
 	ClaimedMS int64
-	// AnswerDropped is set in outcomes whose answer was too large to keep.
+	// AnswerDropped is set in outcomes without a response, because it was lost or too large.
 	AnswerDropped bool
 }
