--- a/once/append.go
+++ b/once/append.go
@@ -10,95 +10,96 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// pump starts the next append if one is due, or a timer for when it is.
-func (p *partition) pump() {
-	c := &p.commit
-	if c.busy || len(c.queue) == 0 {
-		p.flushed()
+// startNextAppend starts the next append, or a timer if the next append is not due yet.
+func (p *partition) startNextAppend() {
+	c := &p.committer
+	if c.appending || len(c.queue) == 0 {
+		p.notifyIfFlushed()
 		return
 	}
 	now := p.now()
-	if wait := c.notBefore.Sub(now); wait > 0 {
-		if !c.timer {
-			c.timer = true
-			p.io.Go(func() {
+	if wait := c.nextAppendAt.Sub(now); wait > 0 {
+		if !c.timerSet {
+			c.timerSet = true
+			p.goroutines.Go(func() {
 				p.sleep(wait)
-				p.tell(pumpMsg{})
+				p.tell(appendTimerMsg{})
 			})
 		}
 		return
 	}
-	c.notBefore = now.Add(p.cfg.AppendInterval)
-	c.busy = true
-	p.startAppend(c.take())
+	c.nextAppendAt = now.Add(p.cfg.AppendInterval)
+	c.appending = true
+	p.appendBatch(c.takeBatch())
 }
 
-func (p *partition) startAppend(batch []queued) {
+func (p *partition) appendBatch(batch []queuedRecord) {
 	entries := make([]port.Entry, len(batch))
 	for i, q := range batch {
 		entries[i] = q.entry
 	}
-	p.meters.appends.Inc(1)
-	p.meters.entries.Inc(int64(len(entries)))
-	p.io.Go(func() {
+	p.metrics.appends.Inc(1)
+	p.metrics.entries.Inc(int64(len(entries)))
+	p.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(p.ctx, appendTimeout)
 		defer cancel()
 		first, err := p.cfg.Log.Append(ctx, p.stream, entries...)
-		p.tell(appendedMsg{first: first, err: err})
+		p.tell(appendResultMsg{first: first, err: err})
 	})
 }
 
-func (p *partition) appended(msg appendedMsg) {
-	c := &p.commit
+func (p *partition) handleAppendResult(msg appendResultMsg) {
+	c := &p.committer
 	switch {
 	case msg.err == nil:
-		p.logAnswered()
-		p.applyOwn(msg.first)
-		p.finishBatch(nil)
+		p.markLogAvailable()
+		p.applyConfirmedBatch(msg.first)
+		p.completeBatch(nil)
 	case verdict.From(msg.err).Ran == verdict.NotRun:
-		p.meters.appendsRefused.Inc(1)
-		p.logFailure("append refused", msg.err)
-		p.logFailed()
-		p.dropClaims()
+		p.metrics.appendsRefused.Inc(1)
+		p.warnLogFailure("append refused", msg.err)
+		p.markLogFailed()
+		p.abortBatch()
 	default:
-		// The answer was lost: the batch may stand in the log. The stream itself
-		// tells; see protocol rule 4 for what happens if it does not.
-		p.meters.appendsLost.Inc(1)
-		p.logFailure("append answer lost", msg.err)
+		// The response was lost, and the batch may be in the log. Read the stream to find
+		// out; records that are not found are appended again (rule 4 of package protocol).
+		p.metrics.appendsLost.Inc(1)
+		p.warnLogFailure("append response lost", msg.err)
 		for i := range c.batch {
-			c.batch[i].inLog = true
+			c.batch[i].mayBeInLog = true
 		}
-		p.io.Go(p.settle(p.index.Next()))
+		p.goroutines.Go(p.readBackFrom(p.index.Next()))
 	}
 }
 
-// applyOwn applies a confirmed batch without waiting for the follower to read it,
-// if nothing else stands before it.
-func (p *partition) applyOwn(first uint64) {
+// applyConfirmedBatch applies a batch whose append was confirmed, without waiting for the follower
+// to read it. It does nothing if the index lacks records before the batch.
+func (p *partition) applyConfirmedBatch(first uint64) {
 	if p.index.Next() != first {
 		return
 	}
-	for i, q := range p.commit.batch {
+	for i, q := range p.committer.batch {
 		p.applyRecord(first+uint64(i), q.entry.Data)
 	}
 }
 
-// settle returns a read of the stream from an offset to its end.
-func (p *partition) settle(from uint64) func() {
+// readBackFrom returns a function that reads the stream from an offset to its end and sends the
+// result to the actor.
+func (p *partition) readBackFrom(from uint64) func() {
 	return func() {
 		var err error
-		for attempt := 0; attempt < settleAttempts && p.ctx.Err() == nil; attempt++ {
+		for attempt := 0; attempt < readBackAttempts && p.ctx.Err() == nil; attempt++ {
 			var pages []port.Page
 			if pages, err = p.readToEnd(from); err == nil {
-				p.tell(settledMsg{pages: pages})
+				p.tell(readBackMsg{pages: pages})
 				return
 			}
-			p.sleep(settlePause)
+			p.sleep(readBackInterval)
 		}
 		if err == nil {
 			err = p.ctx.Err()
 		}
-		p.tell(settledMsg{err: err})
+		p.tell(readBackMsg{err: err})
 	}
 }
 
@@ -106,7 +107,7 @@
 	var pages []port.Page
 	for {
 		ctx, cancel := context.WithTimeout(p.ctx, appendTimeout)
-		page, err := p.cfg.Log.Read(ctx, p.stream, from, readMax, 0)
+		page, err := p.cfg.Log.Read(ctx, p.stream, from, maxReadRecords, 0)
 		cancel()
 		if err != nil {
 			return nil, err
@@ -122,83 +123,83 @@
 	}
 }
 
-func (p *partition) settled(msg settledMsg) {
+func (p *partition) handleReadBack(msg readBackMsg) {
 	if msg.err != nil {
-		p.logFailure("read back failed", msg.err)
-		p.logFailed()
-		p.dropClaims()
+		p.warnLogFailure("cannot read stream back", msg.err)
+		p.markLogFailed()
+		p.abortBatch()
 		return
 	}
 	for _, page := range msg.pages {
 		p.applyPage(page)
 	}
-	p.logAnswered()
-	p.finishBatch(func(q queued) bool { return p.index.Reflects(q.rec) })
+	p.markLogAvailable()
+	p.completeBatch(func(q queuedRecord) bool { return p.index.Reflects(q.rec) })
 }
 
-// finishBatch ends the append under way: settled records are done, the others go
-// back to the queue under the same ids. settled is nil when all are.
-func (p *partition) finishBatch(settled func(queued) bool) {
-	c := &p.commit
-	var again []queued
+// completeBatch ends the append in progress. Records that are in the log are confirmed; the others
+// are queued again with the same IDs. If inLog is nil, all records are in the log.
+func (p *partition) completeBatch(inLog func(queuedRecord) bool) {
+	c := &p.committer
+	var missing []queuedRecord
 	for _, q := range c.batch {
-		if settled != nil && !settled(q) {
-			again = append(again, q)
+		if inLog != nil && !inLog(q) {
+			missing = append(missing, q)
 			continue
 		}
-		c.stands(q)
+		c.confirm(q)
 	}
 	c.batch = nil
-	c.busy = false
-	c.putBack(again)
-	p.pump()
+	c.appending = false
+	c.requeue(missing)
+	p.startNextAppend()
 }
 
-// dropClaims ends the append under way after the log failed: claims are refused,
-// outcomes and voids are tried again after the pause. Repeating those is harmless.
-// Claims that still wait are refused as well: sending each of them to a failing
-// log would leave as many intents that nobody knows to be there or not.
-func (p *partition) dropClaims() {
-	c := &p.commit
+// abortBatch ends the append in progress after the log failed. Outcomes and voids are retried after
+// the backoff; repeating them is harmless. Claims are refused, including those that are still
+// queued: sending each of them to a failing log would create as many intents of which it is unknown
+// whether they are in the log.
+func (p *partition) abortBatch() {
+	c := &p.committer
 	batch := c.batch
 	c.batch = nil
-	c.busy = false
-	c.putBack(batch)
-	var again []queued
+	c.appending = false
+	c.requeue(batch)
+	var retained []queuedRecord
 	for _, q := range c.queue {
 		if q.rec.Kind != protocol.KindIntent {
-			again = append(again, q)
+			retained = append(retained, q)
 			continue
 		}
 		c.bytes -= len(q.entry.Data)
-		p.answer(q.rec.ID, claimReply{state: stateUnavailable, notAppended: !q.inLog, retryAfter: max(c.backoff, logRetryAfter)})
+		p.replyPending(q.rec.ID, claimReply{state: stateUnavailable, notAppended: !q.mayBeInLog, retryAfter: max(c.backoff, logRetryAfter)})
 	}
-	c.queue = again
-	p.pump()
+	c.queue = retained
+	p.startNextAppend()
 }
 
-func (p *partition) logFailed() {
-	p.commit.failed(p.now())
-	p.failing.Store(true)
+func (p *partition) markLogFailed() {
+	p.committer.recordFailure(p.now())
+	p.appendsFailing.Store(true)
 }
 
-func (p *partition) logAnswered() {
-	p.commit.succeeded()
-	p.failing.Store(false)
+func (p *partition) markLogAvailable() {
+	p.committer.recordSuccess()
+	p.appendsFailing.Store(false)
 }
 
-// flushed tells those who wait for an empty queue.
-func (p *partition) flushed() {
-	c := &p.commit
-	if c.busy || len(c.queue) > 0 {
+// notifyIfFlushed closes the flush waiters if the queue is empty and no append is in progress.
+func (p *partition) notifyIfFlushed() {
+	c := &p.committer
+	if c.appending || len(c.queue) > 0 {
 		return
 	}
-	for _, done := range c.flushes {
+	for _, done := range c.flushWaiters {
 		close(done)
 	}
-	c.flushes = nil
+	c.flushWaiters = nil
 }
 
-func (p *partition) logFailure(what string, err error) {
-	p.logger.Warn(what, zap.String("event", "once_log_failure"), zap.Error(err))
+func (p *partition) warnLogFailure(message string, err error) {
+	p.logger.Warn(message, zap.String("event", "once_log_failure"), zap.Error(err))
 }
--- a/once/bench_test.go
+++ b/once/bench_test.go
@@ -21,7 +21,7 @@
 	"github.com/cairnworks/cairnworks/route"
 )
 
-// countingConn counts the bytes of a connection.
+// countingConn counts the bytes read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -39,15 +39,15 @@
 	return n, err
 }
 
-// plainHTTP2 is what instances speak to one another.
+// plainHTTP2 returns the protocol used between instances: HTTP/2 without TLS.
 func plainHTTP2() *http.Protocols {
 	p := new(http.Protocols)
 	p.SetUnencryptedHTTP2(true)
 	return p
 }
 
-// benchFleet starts n instances; with owners set they share appends over HTTP/2 on
-// the loopback interface.
+// benchFleet starts n instances and returns them with a counter of the bytes sent between them. If
+// owners is set, they send appends to the partition owners over HTTP/2 on the loopback interface.
 func benchFleet(b *testing.B, log *memlog.Log, n int, owners bool) ([]*Service, *atomic.Int64) {
 	wire := new(atomic.Int64)
 	dial := func(_ context.Context, network, address string) (net.Conn, error) {
@@ -88,8 +88,8 @@
 	return services, wire
 }
 
-// BenchmarkAppends offers 100 guarded calls a second to a whole fleet for 10 s and
-// reports appends a second, bytes in the log and bytes between instances per call.
+// BenchmarkAppends sends 100 guarded calls per second to a fleet for 10 s. It reports appends per
+// second, and bytes written to the log and sent between instances per call.
 func BenchmarkAppends(b *testing.B) {
 	const rate, seconds = 100, 10
 	for _, c := range []struct {
@@ -118,7 +118,7 @@
 							b.Error(err)
 							return
 						}
-						if err := s.Finish(context.Background(), ticket, booked); err != nil {
+						if err := s.Finish(context.Background(), ticket, bookingAnswer); err != nil {
 							b.Error(err)
 						}
 					})
@@ -135,14 +135,14 @@
 	}
 }
 
-// BenchmarkCatchUp reports how long a new owner takes to read the calls of its stream
-// from a log without delay, and the memory of one remembered key.
+// BenchmarkCatchUp reports how long a new owner takes to read its stream from a log without delay,
+// and the memory used per key.
 func BenchmarkCatchUp(b *testing.B) {
 	const calls = 27_000
 	log := memlog.New()
 	for i := range calls {
 		intent := new(Service).newIntent(route.GuardedCall{IdempotencyKey: fmt.Sprint(i)}, time.Now())
-		for _, m := range []*oncev1.Record{intentRecord(intent), outcomeRecord(intent, booked)} {
+		for _, m := range []*oncev1.Record{intentRecord(intent), outcomeRecord(intent, bookingAnswer)} {
 			rec, _ := protocolRecord(m)
 			entry, err := entryOf(m, rec)
 			assert.NilError(b, err)
@@ -168,8 +168,8 @@
 	}
 }
 
-// BenchmarkRank400 is what each call and each second's look at 16 partitions costs an
-// instance among 400.
+// BenchmarkRank400 measures ranking among 400 instances, which each instance does for every call
+// and, for each of the 16 partitions, once per second.
 func BenchmarkRank400(b *testing.B) {
 	members := make([]request.Holder, 400)
 	for i := range members {
--- a/once/claims.go
+++ b/once/claims.go
@@ -7,16 +7,16 @@
 	"github.com/cairnworks/cairnworks/once/protocol"
 )
 
-// claim answers from the index what the log has decided already and queues the
-// intent of a free key.
+// claim replies from the index if the key is already decided and queues the intent if the key is
+// free.
 func (p *partition) claim(msg claimMsg) {
 	if !p.ready {
-		p.claimUnready(msg)
+		p.deferClaim(msg)
 		return
 	}
 	rec := msg.req.rec
-	if reply, decided := p.decided(rec); decided {
-		// Asked again about an intent that won: the first reply was lost.
+	if reply, decided := p.winnerReply(rec); decided {
+		// A repeated request for an intent that won; the first reply was lost.
 		msg.reply <- reply
 		return
 	}
@@ -25,16 +25,16 @@
 		return
 	}
 	if p.index.Reflects(rec) {
-		// Void already: whoever asked has given up.
+		// The intent is already void: the requester has given up.
 		msg.reply <- claimReply{state: stateUnavailable, retryAfter: logRetryAfter}
 		return
 	}
-	if wait := p.vouchFrom.Sub(p.now()); wait > 0 {
-		msg.reply <- claimReply{state: stateCannotVouch, notAppended: true, retryAfter: wait}
+	if wait := p.incompleteUntil.Sub(p.now()); wait > 0 {
+		msg.reply <- claimReply{state: stateIncomplete, notAppended: true, retryAfter: wait}
 		return
 	}
 	if p.index.Len() >= p.cfg.MaxKeys {
-		msg.reply <- claimReply{state: stateFull, notAppended: true, retryAfter: forgetInterval}
+		msg.reply <- claimReply{state: stateFull, notAppended: true, retryAfter: expiryInterval}
 		return
 	}
 	if msg.req.lookupOnly {
@@ -44,14 +44,14 @@
 	p.enqueueClaim(msg)
 }
 
-// claimUnready keeps a claim until the stream was read to its end. An index that
-// lacks records would take a key that was used before for a free one.
-func (p *partition) claimUnready(msg claimMsg) {
+// deferClaim keeps a claim until the stream has been read to its end. An index that lacks records
+// would treat a used key as free.
+func (p *partition) deferClaim(msg claimMsg) {
 	if p.readErr != nil {
 		msg.reply <- claimReply{state: stateUnavailable, notAppended: true, retryAfter: logRetryAfter}
 		return
 	}
-	p.unready = append(p.unready, msg)
+	p.deferredClaims = append(p.deferredClaims, msg)
 }
 
 func (p *partition) enqueueClaim(msg claimMsg) {
@@ -60,8 +60,8 @@
 		pc.replies = append(pc.replies, msg.reply)
 		return
 	}
-	wait := p.commit.downUntil.Sub(p.now())
-	if wait > 0 || p.commit.bytes > maxQueuedClaimBytes {
+	wait := p.committer.refuseClaimsUntil.Sub(p.now())
+	if wait > 0 || p.committer.bytes > maxQueuedClaimBytes {
 		msg.reply <- claimReply{state: stateUnavailable, notAppended: true, retryAfter: max(wait, logRetryAfter)}
 		return
 	}
@@ -71,11 +71,11 @@
 		return
 	}
 	p.pending[rec.ID] = &pendingClaim{rec: rec, replies: []chan claimReply{msg.reply}}
-	p.commit.push(queued{entry: entry, rec: rec})
-	p.pump()
+	p.committer.push(queuedRecord{entry: entry, rec: rec})
+	p.startNextAppend()
 }
 
-// holderReply tells what holds the record's key, if anything does.
+// holderReply returns the reply for a key that is held by an intent, and false if the key is free.
 func (p *partition) holderReply(rec protocol.Record) (claimReply, bool) {
 	state, holder := p.index.Lookup(rec.Key)
 	if state == protocol.StateFree {
@@ -88,41 +88,41 @@
 	if holder.Body != rec.Body {
 		reply.state = stateKeyReused
 	}
-	reply.stale = reply.state == stateClaimed && (p.readErr != nil || p.failing.Load())
+	reply.stale = reply.state == stateClaimed && (p.readErr != nil || p.appendsFailing.Load())
 	return reply, true
 }
 
-// decided returns the reply for an intent that the stream holds as the winner.
-func (p *partition) decided(rec protocol.Record) (claimReply, bool) {
-	fate, offset := p.index.Decision(rec.Key, rec.ID)
-	if fate != protocol.DecisionWon {
+// winnerReply returns the reply for an intent that has won, and false for any other intent.
+func (p *partition) winnerReply(rec protocol.Record) (claimReply, bool) {
+	decision, offset := p.index.Decision(rec.Key, rec.ID)
+	if decision != protocol.DecisionWon {
 		return claimReply{}, false
 	}
-	if wait := p.vouchFrom.Sub(p.now()); wait > 0 {
-		// It won on an index that lacks records; an earlier intent may be among them.
-		return claimReply{state: stateCannotVouch, retryAfter: wait}, true
+	if wait := p.incompleteUntil.Sub(p.now()); wait > 0 {
+		// The intent won in an index that lacks records; an earlier intent may be among them.
+		return claimReply{state: stateIncomplete, retryAfter: wait}, true
 	}
 	return claimReply{state: stateWon, offset: offset}, true
 }
 
-// decide answers the pending claim of an intent that was just read.
-func (p *partition) decide(rec protocol.Record) {
+// resolvePendingClaim replies to the pending claim of an intent that was just read.
+func (p *partition) resolvePendingClaim(rec protocol.Record) {
 	if p.pending[rec.ID] == nil {
 		return
 	}
-	reply, won := p.decided(rec)
+	reply, won := p.winnerReply(rec)
 	if !won {
 		var taken bool
 		if reply, taken = p.holderReply(rec); !taken {
-			// Void before it was read; whoever asked has given up.
+			// The intent was void before it was read: the requester has given up.
 			reply = claimReply{state: stateUnavailable, retryAfter: inProgressRetryAfter}
 		}
 	}
-	p.answer(rec.ID, reply)
+	p.replyPending(rec.ID, reply)
 }
 
-// answer replies to everyone who waits for the intent and forgets the claim.
-func (p *partition) answer(id protocol.IntentID, reply claimReply) {
+// replyPending replies to all requests that wait for the intent and removes its claim.
+func (p *partition) replyPending(id protocol.IntentID, reply claimReply) {
 	pc := p.pending[id]
 	if pc == nil {
 		return
@@ -133,18 +133,19 @@
 	}
 }
 
-// answerUnready hands on or refuses the claims that waited for the index.
-func (p *partition) answerUnready() {
-	waiting := p.unready
-	p.unready = nil
+// processDeferredClaims processes the claims that waited for the index. They are refused if the
+// stream cannot be read.
+func (p *partition) processDeferredClaims() {
+	waiting := p.deferredClaims
+	p.deferredClaims = nil
 	for _, msg := range waiting {
 		p.claim(msg)
 	}
 }
 
-// record queues an outcome or a void. A void also takes back an intent that has
-// not been sent.
-func (p *partition) record(msg recordMsg) {
+// enqueueRecord queues an outcome or a void. A void also cancels its intent if that has not been
+// sent.
+func (p *partition) enqueueRecord(msg appendMsg) {
 	entry, err := entryOf(msg.record, msg.rec)
 	if err != nil {
 		msg.done <- err
@@ -154,30 +155,30 @@
 		msg.done <- nil
 		return
 	}
-	if p.commit.bytes+len(entry.Data) > maxQueuedBytes {
-		p.meters.queueFull.Inc(1)
+	if p.committer.bytes+len(entry.Data) > maxQueuedBytes {
+		p.metrics.queueFull.Inc(1)
 		msg.done <- errQueueFull
 		return
 	}
 	if msg.rec.Kind == protocol.KindVoid {
-		p.dropIntent(msg.rec.ID)
+		p.cancelIntent(msg.rec.ID)
 	}
-	p.commit.pushRecord(queued{entry: entry, rec: msg.rec}, msg.done)
-	p.pump()
+	p.committer.pushRecord(queuedRecord{entry: entry, rec: msg.rec}, msg.done)
+	p.startNextAppend()
 }
 
-// dropIntent forgets a claim that was given up.
-func (p *partition) dropIntent(id protocol.IntentID) {
-	p.unready = slices.DeleteFunc(p.unready, func(msg claimMsg) bool { return msg.req.rec.ID == id })
-	p.commit.removeIntent(id)
-	p.answer(id, claimReply{state: stateUnavailable, retryAfter: logRetryAfter})
+// cancelIntent removes a withdrawn claim.
+func (p *partition) cancelIntent(id protocol.IntentID) {
+	p.deferredClaims = slices.DeleteFunc(p.deferredClaims, func(msg claimMsg) bool { return msg.req.rec.ID == id })
+	p.committer.removeIntent(id)
+	p.replyPending(id, claimReply{state: stateUnavailable, retryAfter: logRetryAfter})
 }
 
-// Retry advice.
+// Retry times returned with refusals.
 const (
-	// logRetryAfter is advised when the log fails: long enough that a fleet of
-	// callers does not add to its trouble, short enough for a waiting keeper.
+	// logRetryAfter is returned when the log fails. It is long enough that many retrying callers
+	// do not increase the load on the log, and short enough for an interactive user.
 	logRetryAfter = 2 * time.Second
-	// inProgressRetryAfter is advised while a call may still be running.
+	// inProgressRetryAfter is returned while a call may still be running.
 	inProgressRetryAfter = time.Second
 )
--- a/once/codec.go
+++ b/once/codec.go
@@ -12,9 +12,9 @@
 	"github.com/cairnworks/cairnworks/route"
 )
 
-// MaxAnswerBytes is the largest answer body that is recorded. Larger ones are
-// recorded as "ran" without a body: sixteen of them would fill the log call that
-// every guarded call of the partition waits for.
+// MaxAnswerBytes is the maximum size of a recorded response body. For larger ones only the fact that
+// the call ran is recorded: sixteen of them would fill the append for which all guarded calls of the
+// partition wait.
 const MaxAnswerBytes = 64 << 10
 
 func intentRecord(rec protocol.Record) *oncev1.Record {
@@ -42,7 +42,7 @@
 	}
 }
 
-// ranRecord is the outcome of a call that ran and whose answer is not known.
+// ranRecord returns the outcome of a call that ran without its response.
 func ranRecord(intent protocol.Record) *oncev1.Record {
 	return &oncev1.Record{
 		Key: intent.Key[:], IntentId: intent.ID[:], BodyHash: intent.Body[:],
@@ -57,11 +57,11 @@
 	}
 }
 
-// protocolRecord returns what the protocol needs of a record.
+// protocolRecord returns the fields of a record that the protocol uses.
 func protocolRecord(m *oncev1.Record) (protocol.Record, error) {
 	var rec protocol.Record
 	if len(m.Key) != len(rec.Key) || len(m.IntentId) != len(rec.ID) {
-		return rec, fmt.Errorf("once: record with a key of %d and an id of %d bytes", len(m.Key), len(m.IntentId))
+		return rec, fmt.Errorf("once: record has a key of %d bytes and an intent ID of %d bytes", len(m.Key), len(m.IntentId))
 	}
 	copy(rec.Key[:], m.Key)
 	copy(rec.ID[:], m.IntentId)
@@ -78,7 +78,7 @@
 	case *oncev1.Record_Void:
 		rec.Kind = protocol.KindVoid
 	default:
-		// A later version's record: whatever it says of its key, the key is not free.
+		// A record of a later version. Whatever it states about its key, the key is not free.
 		rec.Kind = protocol.KindIntent
 	}
 	return rec, nil
@@ -93,8 +93,8 @@
 	return m, rec, err
 }
 
-// entryOf encodes a record for the log. The entry's id is the same each time the
-// record is appended, as the log asks for one logical append.
+// entryOf encodes a record for the log. The entry ID is the same each time the record is appended, as
+// port.Entry requires for one logical append.
 func entryOf(m *oncev1.Record, rec protocol.Record) (port.Entry, error) {
 	data, err := proto.Marshal(m)
 	if err != nil {
@@ -114,6 +114,6 @@
 	}
 }
 
-func answerOf(outcome *oncev1.Outcome) *route.RecordedAnswer {
+func recordedAnswerOf(outcome *oncev1.Outcome) *route.RecordedAnswer {
 	return &route.RecordedAnswer{Status: int(outcome.Status), ContentType: outcome.ContentType, Body: outcome.Body}
 }
--- a/once/committer.go
+++ b/once/committer.go
@@ -9,87 +9,89 @@
 )
 
 const (
-	// maxBatchEntries and maxBatchBytes bound one append call.
+	// maxBatchEntries and maxBatchBytes limit the size of one append.
 	maxBatchEntries = 256
 	maxBatchBytes   = 512 << 10
-	// maxQueuedClaimBytes is what may wait before new claims are refused: two
-	// append calls, so that a claim that is taken waits for three at most.
+	// maxQueuedClaimBytes is the queue size above which new claims are refused. It is two
+	// appends, so that an accepted claim waits for at most three.
 	maxQueuedClaimBytes = 2 * maxBatchBytes
-	// maxQueuedBytes is what may wait at all; outcomes and voids beyond it are
-	// refused, and the instances that they come from ask again. 16 partitions hold
-	// 64 MiB at worst, half of an instance's memory for control.
+	// maxQueuedBytes is the maximum queue size. Outcomes and voids beyond it are refused, and
+	// the instances that sent them retry. 16 partitions use at most 64 MiB, half of the memory
+	// that an instance has for control.
 	maxQueuedBytes = 4 << 20
-	// appendTimeout bounds one append call.
+	// appendTimeout limits one append, and one read when the stream is read back.
 	appendTimeout = 2 * time.Second
-	// appendBackoffMin and appendBackoffMax bound the pause after a failed append.
+	// appendBackoffMin and appendBackoffMax limit the backoff after a failed append.
 	appendBackoffMin = 200 * time.Millisecond
 	appendBackoffMax = 5 * time.Second
-	// settleAttempts bounds the reads after an append whose answer was lost;
-	// settlePause is the time between two of them. Together they stay below the
-	// claim timeout, so that a waiting caller is told before it expires.
-	settleAttempts = 3
-	settlePause    = 100 * time.Millisecond
+	// readBackAttempts limits the attempts to read the stream back after an append whose
+	// response was lost; readBackInterval is the pause between them. Together they stay below
+	// the claim timeout, so that a waiting caller gets a reply before it expires.
+	readBackAttempts = 3
+	readBackInterval = 100 * time.Millisecond
 )
 
-var errQueueFull = errors.New("once: too many records wait for the log")
+var errQueueFull = errors.New("once: append queue is full")
 
-// queued is a record that waits for its append.
-type queued struct {
+// queuedRecord is a record that waits to be appended.
+type queuedRecord struct {
 	entry port.Entry
 	rec   protocol.Record
-	// inLog tells that an earlier append of the record may have taken effect.
-	inLog bool
+	// mayBeInLog reports that an earlier append of the record may have taken effect.
+	mayBeInLog bool
 }
 
-// committer gathers the records that come in while an append is under way into
-// the next one (group commit), so that the number of append calls depends on time
-// and not on the number of calls.
+// committer implements group commit: records that arrive during an append are batched into the
+// next one, so that the rate of appends does not depend on the rate of calls.
 type committer struct {
-	queue []queued
-	// bytes of the queue.
+	queue []queuedRecord
+	// bytes is the size of the queue.
 	bytes int
-	// waiting are told when the outcome or void with an entry id stands in the log.
-	// Intents are answered by what is read.
-	waiting map[string][]chan error
-	// batch is the append under way.
-	batch []queued
-	busy  bool
-	// notBefore is when the next append may start; timer tells that a pumpMsg is
-	// on its way.
-	notBefore time.Time
-	timer     bool
-	backoff   time.Duration
-	// downUntil is until when claims are refused at once because the log failed.
-	downUntil time.Time
-	flushes   []chan struct{}
+	// waiters are notified when the outcome or void with the given entry ID is in the log.
+	// Intents are not included; their claims are answered when the intents are read.
+	waiters map[string][]chan error
+	// batch contains the records of the append in progress.
+	batch     []queuedRecord
+	appending bool
+	// nextAppendAt is when the next append may start. timerSet reports that an appendTimerMsg
+	// has been scheduled.
+	nextAppendAt time.Time
+	timerSet     bool
+	backoff      time.Duration
+	// refuseClaimsUntil is the time until which claims are refused immediately because the log
+	// failed.
+	refuseClaimsUntil time.Time
+	// flushWaiters are closed when the queue is empty and no append is in progress.
+	flushWaiters []chan struct{}
 }
 
-func (c *committer) push(q queued) {
+func (c *committer) push(q queuedRecord) {
 	c.queue = append(c.queue, q)
 	c.bytes += len(q.entry.Data)
 }
 
-// pushRecord queues an outcome or a void, once however often it is asked for.
-func (c *committer) pushRecord(q queued, done chan error) {
-	if c.waiting == nil {
-		c.waiting = make(map[string][]chan error)
+// pushRecord queues an outcome or a void unless it is already queued or being appended. done is
+// notified in either case.
+func (c *committer) pushRecord(q queuedRecord, done chan error) {
+	if c.waiters == nil {
+		c.waiters = make(map[string][]chan error)
 	}
-	_, known := c.waiting[q.entry.ID]
-	c.waiting[q.entry.ID] = append(c.waiting[q.entry.ID], done)
+	_, known := c.waiters[q.entry.ID]
+	c.waiters[q.entry.ID] = append(c.waiters[q.entry.ID], done)
 	if !known {
 		c.push(q)
 	}
 }
 
-// stands tells those who wait for a record that it stands in the log.
-func (c *committer) stands(q queued) {
-	for _, done := range c.waiting[q.entry.ID] {
+// confirm notifies the waiters of a record that it is in the log.
+func (c *committer) confirm(q queuedRecord) {
+	for _, done := range c.waiters[q.entry.ID] {
 		done <- nil
 	}
-	delete(c.waiting, q.entry.ID)
+	delete(c.waiters, q.entry.ID)
 }
 
-// removeIntent takes back an intent that was not sent.
+// removeIntent removes an intent from the queue.
 func (c *committer) removeIntent(id protocol.IntentID) {
 	for i, q := range c.queue {
 		if q.rec.ID == id && q.rec.Kind == protocol.KindIntent {
@@ -100,8 +102,8 @@
 	}
 }
 
-// take moves the next batch out of the queue.
-func (c *committer) take() []queued {
+// takeBatch moves the records of the next batch out of the queue.
+func (c *committer) takeBatch() []queuedRecord {
 	size := 0
 	n := 0
 	for n < len(c.queue) && n < maxBatchEntries {
@@ -112,29 +114,29 @@
 		}
 		n++
 	}
-	c.batch = append([]queued(nil), c.queue[:n]...)
+	c.batch = append([]queuedRecord(nil), c.queue[:n]...)
 	c.queue = append(c.queue[:0:0], c.queue[n:]...)
 	c.bytes -= size
 	return c.batch
 }
 
-// putBack returns records of the batch to the head of the queue.
-func (c *committer) putBack(qs []queued) {
-	for _, q := range qs {
+// requeue returns records of the batch to the head of the queue.
+func (c *committer) requeue(records []queuedRecord) {
+	for _, q := range records {
 		c.bytes += len(q.entry.Data)
 	}
-	c.queue = append(append([]queued(nil), qs...), c.queue...)
+	c.queue = append(append([]queuedRecord(nil), records...), c.queue...)
 }
 
-// failed starts the pause after an append that failed.
-func (c *committer) failed(now time.Time) {
+// recordFailure increases the backoff after a failed append.
+func (c *committer) recordFailure(now time.Time) {
 	c.backoff = min(max(2*c.backoff, appendBackoffMin), appendBackoffMax)
-	c.notBefore = now.Add(c.backoff)
-	c.downUntil = c.notBefore
+	c.nextAppendAt = now.Add(c.backoff)
+	c.refuseClaimsUntil = c.nextAppendAt
 }
 
-// succeeded ends the pause.
-func (c *committer) succeeded() {
+// recordSuccess resets the backoff after the log has responded again.
+func (c *committer) recordSuccess() {
 	c.backoff = 0
-	c.downUntil = time.Time{}
+	c.refuseClaimsUntil = time.Time{}
 }
--- a/once/config.go
+++ b/once/config.go
@@ -12,67 +12,70 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// Partitions is the number of streams that guarded calls are spread over. It is
-// part of the fleet's protocol: instances that disagree would look for a key in
-// different streams.
+// Partitions is the number of streams over which guarded calls are distributed. It is part of the
+// protocol between instances: instances with different values would look for a key in different
+// streams.
 const Partitions = 16
 
-// Defaults of Config.
+// Default values of Config.
 const (
-	// DefaultWindow is how long a key is remembered. It covers a caller that
-	// comes back within the same working day.
+	// DefaultWindow is how long a key is kept. It covers a caller that retries within the same
+	// working day.
 	DefaultWindow = 12 * time.Hour
-	// DefaultLogRetention is how long the log is assumed to keep records.
+	// DefaultLogRetention is the assumed retention of the log.
 	DefaultLogRetention = 24 * time.Hour
-	// DefaultAppendInterval is the least time between two appends of one
-	// partition: at most 10 a second, 160 for all partitions, which leaves most of
-	// the log's several hundred appends a second to others.
+	// DefaultAppendInterval is the minimum time between two appends to one partition. It
+	// limits them to 10 per second, or 160 for all partitions, which leaves most of the log's
+	// several hundred appends per second to other uses.
 	DefaultAppendInterval = 100 * time.Millisecond
-	// DefaultClaimTimeout bounds how long Begin waits for the log's decision. It
-	// is below the first-byte target of 1.7 s, so that the caller can still ask
-	// another time before it gives up.
+	// DefaultClaimTimeout limits how long Begin waits for the decision of the log. It is
+	// shorter than the first-byte target of 1.7 s, so that the caller can retry before it
+	// gives up.
 	DefaultClaimTimeout = 1500 * time.Millisecond
-	// DefaultMaxKeys is how many keys a partition remembers: 48 MB at 241 bytes each,
-	// 3.2 million keys in the window over all partitions.
+	// DefaultMaxKeys is the maximum number of keys of a partition. They take 48 MB at 241 bytes
+	// per key; all partitions together hold 3.2 million keys.
 	DefaultMaxKeys = 200_000
-	// DefaultMaxRun is the longest that a call is said to be in progress; a call is
-	// given up after 30 s. Later its outcome is called unknown even if its instance
-	// lives.
-	DefaultMaxRun = time.Minute
+	// DefaultMaxCallDuration is how long a call is reported as in progress. Calls time out after
+	// 30 s; after DefaultMaxCallDuration the outcome is reported as unknown even if the
+	// instance is alive.
+	DefaultMaxCallDuration = time.Minute
 )
 
-// retentionMargin is what the log must retain beyond the window: time for a
-// reader to fall behind, and for the log to truncate early.
+// retentionMargin is how much the log's retention must exceed the window. It allows for readers
+// that lag and for early truncation of the log.
 const retentionMargin = time.Hour
 
-// Config is what a Service needs.
+// Config configures a Service.
 type Config struct {
-	// Self is this run of this instance.
+	// Self identifies this run of this instance.
 	Self request.Holder
 	Log  port.Log
-	// Members returns the live instances, this one included. It may lag; it only
-	// decides who batches appends and whether a call is said to be in progress.
+	// Members returns the live instances, including this one. The list may lag: it only
+	// determines which instance batches appends and whether a call is reported as in progress.
 	Members func() []request.Holder
-	// Dial returns how to reach the service of another instance. Without it the
-	// instance serves every partition itself.
+	// Dial returns the client for the service of another instance. If it is nil, the instance
+	// serves all partitions itself.
 	Dial Dialer
-	// System runs the partitions' actors. Without it the service has one of its own.
+	// System runs the actors of the partitions. If it is nil, the service creates its own.
 	System  *actor.ActorSystem
 	Logger  *zap.Logger
 	Metrics *observe.Metrics
 	// Clock defaults to time.Now.
 	Clock func() time.Time
 
-	// Window is how long a key is remembered from its first use on.
+	// Window is how long a key is kept after its first use.
 	Window time.Duration
-	// LogRetention is how long the log keeps records, as its operators state. It
-	// must exceed Window by an hour.
-	LogRetention   time.Duration
+	// LogRetention is the retention of the log as stated by its operators. It must exceed Window
+	// by at least one hour.
+	LogRetention time.Duration
+	// AppendInterval is the minimum time between two appends to one partition.
 	AppendInterval time.Duration
-	ClaimTimeout   time.Duration
-	MaxRun         time.Duration
-	// MaxKeys is how many keys one partition remembers. More are refused: an owner
-	// that ran out of memory would take its successors with it, one after another.
+	// ClaimTimeout limits how long Begin waits for the decision of the log.
+	ClaimTimeout time.Duration
+	// MaxCallDuration is how long a call is reported as in progress.
+	MaxCallDuration time.Duration
+	// MaxKeys is the maximum number of keys of one partition. Further keys are refused: if an
+	// owner ran out of memory, the instances that take over from it would fail the same way.
 	MaxKeys int
 }
 
@@ -94,14 +97,14 @@
 	setDefault(&c.LogRetention, DefaultLogRetention)
 	setDefault(&c.AppendInterval, DefaultAppendInterval)
 	setDefault(&c.ClaimTimeout, DefaultClaimTimeout)
-	setDefault(&c.MaxRun, DefaultMaxRun)
+	setDefault(&c.MaxCallDuration, DefaultMaxCallDuration)
 	if c.MaxKeys == 0 {
 		c.MaxKeys = DefaultMaxKeys
 	}
-	// Were the log to drop an intent within the window, a fresh instance would not
-	// know its key and run the call again.
+	// If the log dropped an intent within the window, a new instance would not know its key and
+	// would run the call again.
 	if c.Window+retentionMargin > c.LogRetention {
-		return c, fmt.Errorf("once: window %v plus %v exceeds the log's retention %v", c.Window, retentionMargin, c.LogRetention)
+		return c, fmt.Errorf("once: window %v plus margin %v exceeds the log retention %v", c.Window, retentionMargin, c.LogRetention)
 	}
 	return c, nil
 }
--- a/once/follower.go
+++ b/once/follower.go
@@ -10,35 +10,36 @@
 )
 
 const (
-	// readWait is how long a read of the log waits for a record. It only sets how
-	// often an idle partition asks again.
+	// readWait is how long a read waits for a record. It only affects how often an idle
+	// partition sends a read.
 	readWait = 20 * time.Second
-	// readMax is the most records of one read; catching up costs a call for each.
-	readMax = 1000
-	// readBackoffMin and readBackoffMax bound the pause after a failed read.
+	// maxReadRecords is the maximum number of records per read. It determines the number of
+	// calls needed to catch up.
+	maxReadRecords = 1000
+	// readBackoffMin and readBackoffMax limit the backoff after a failed read.
 	readBackoffMin = 100 * time.Millisecond
 	readBackoffMax = 5 * time.Second
 )
 
-// follow reads the stream by long polls and hands each page to the actor.
+// follow reads the stream by long polling and sends each page to the actor.
 func (p *partition) follow() {
-	at := position{next: 1}
+	position := followPosition{next: 1}
 	backoff := readBackoffMin
 	for p.ctx.Err() == nil {
-		// Waiting for a record before the end was reached once would keep an
-		// empty stream from becoming ready.
+		// Do not wait for a record until the end has been reached once; otherwise the
+		// partition of an empty stream would not become ready.
 		wait := readWait
-		if !at.ready {
+		if !position.ready {
 			wait = 0
 		}
-		page, err := p.cfg.Log.Read(p.ctx, p.stream, at.next, readMax, wait)
+		page, err := p.cfg.Log.Read(p.ctx, p.stream, position.next, maxReadRecords, wait)
 		if p.ctx.Err() != nil {
 			return
 		}
-		msg := pageMsg{page: page, err: err, applied: make(chan position, 1)}
+		msg := pageMsg{page: page, err: err, applied: make(chan followPosition, 1)}
 		p.tell(msg)
 		select {
-		case at = <-msg.applied:
+		case position = <-msg.applied:
 		case <-p.ctx.Done():
 			return
 		}
@@ -61,54 +62,54 @@
 	}
 }
 
-func (p *partition) pageRead(msg pageMsg) {
+func (p *partition) handlePage(msg pageMsg) {
 	if msg.err != nil {
 		p.readErr = msg.err
-		p.meters.readErrors.Inc(1)
+		p.metrics.readErrors.Inc(1)
 		if !p.ready {
-			p.answerUnready()
+			p.processDeferredClaims()
 		}
 	} else {
 		p.readErr = nil
 		p.applyPage(msg.page)
 	}
-	msg.applied <- position{next: p.index.Next(), ready: p.ready}
+	msg.applied <- followPosition{next: p.index.Next(), ready: p.ready}
 }
 
-// applyPage moves the index over a page and decides the claims in it.
+// applyPage applies a page to the index and decides the claims whose intents it contains.
 func (p *partition) applyPage(page port.Page) {
-	p.first = max(p.first, page.First)
+	p.firstRetained = max(p.firstRetained, page.First)
 	p.skipGap(page)
 	for _, r := range page.Records {
 		p.applyRecord(r.Offset, r.Data)
 	}
-	// The page may have been read before a direct apply; then it is no news of the end.
+	// The end of the stream has not been reached. (If a confirmed batch was applied after the
+	// page was read, the index can also be ahead of the page.)
 	if p.index.Next() < page.Next {
 		return
 	}
-	p.endRead = p.now()
+	p.endReachedAt = p.now()
 	if !p.ready {
 		p.ready = true
-		p.logger.Info("partition read to its end", zap.String("event", "once_ready"),
+		p.logger.Info("partition has caught up", zap.String("event", "once_ready"),
 			zap.Uint64("next", p.index.Next()), zap.Int("keys", p.index.Len()))
-		p.answerUnready()
+		p.processDeferredClaims()
 	}
 }
 
-// skipGap notices that the log dropped records before this reader saw them. A
-// fresh reader just starts at the lowest retained record: what is missing is older
-// than the log's retention and so than the window. A reader that was at the end of
-// the stream less than a window ago has missed records that may be younger; it
-// would take their keys for free ones and run their calls again. It forgets what it
-// knew and claims no unknown key until a window has passed.
+// skipGap handles records that the log dropped before this reader read them. A new reader simply
+// starts at the lowest retained record: the missing records are older than the log's retention and
+// therefore older than the window. A reader that was at the end of the stream less than one window
+// ago may have missed records of the window. It would treat their keys as free and run their calls
+// again. Therefore it starts with an empty index and refuses unknown keys for one window.
 func (p *partition) skipGap(page port.Page) {
 	if page.First <= p.index.Next() {
 		return
 	}
-	if p.ready && p.now().Sub(p.endRead) < p.cfg.Window {
-		p.vouchFrom = p.now().Add(p.cfg.Window)
-		p.meters.gaps.Inc(1)
-		p.logger.Error("log dropped records within the window; unknown keys are refused for a window",
+	if p.ready && p.now().Sub(p.endReachedAt) < p.cfg.Window {
+		p.incompleteUntil = p.now().Add(p.cfg.Window)
+		p.metrics.gaps.Inc(1)
+		p.logger.Error("log dropped records within the window; refusing unknown keys for one window",
 			zap.String("event", "once_gap"), zap.Uint64("next", p.index.Next()), zap.Uint64("first", page.First))
 	}
 	if p.ready {
@@ -124,16 +125,16 @@
 	}
 	_, rec, err := decodeRecord(data)
 	if err != nil {
-		// No version of this program writes such a record, so it holds no key;
-		// stopping here would refuse every call of the partition.
-		p.meters.undecodable.Inc(1)
-		p.logger.Error("undecodable record", zap.String("event", "once_undecodable"),
+		// No version of this program writes such a record, so it does not claim a key.
+		// Stopping here would block all calls of the partition.
+		p.metrics.undecodable.Inc(1)
+		p.logger.Error("skipping undecodable record", zap.String("event", "once_undecodable"),
 			zap.Uint64("offset", offset), zap.Error(err))
 		p.index.SkipTo(offset + 1)
 		return
 	}
 	p.index.Apply(offset, rec, p.now(), p.ready)
 	if rec.Kind == protocol.KindIntent {
-		p.decide(rec)
+		p.resolvePendingClaim(rec)
 	}
 }
--- a/once/handler.go
+++ b/once/handler.go
@@ -14,58 +14,59 @@
 	"github.com/cairnworks/cairnworks/peer"
 )
 
-var errBadPartition = errors.New("once: record does not belong to the partition")
+var errWrongPartition = errors.New("once: record does not belong to the partition")
 
-// maxMessageBytes bounds a message between instances: a recorded answer and its frame.
+// maxMessageBytes limits a message between instances, which contains at most one recorded response
+// and its metadata.
 const maxMessageBytes = 2 * MaxAnswerBytes
 
-// handler serves other instances.
+// handler implements OnceService for other instances.
 type handler struct{ service *Service }
 
-// Handler returns the path and the handler of the service for other instances. It
-// belongs on the listener for peers only.
+// Handler returns the path and the handler of the service for other instances. It must be served
+// only on the peer listener.
 func (s *Service) Handler() (string, http.Handler) {
 	return oncev1connect.NewOnceServiceHandler(handler{service: s}, connect.WithReadMaxBytes(maxMessageBytes), peer.HandlerOptions())
 }
 
-// Claim implements the service.
+// Claim implements OnceServiceHandler.
 func (h handler) Claim(ctx context.Context, req *connect.Request[oncev1.ClaimRequest]) (*connect.Response[oncev1.ClaimResponse], error) {
 	number, rec, err := checkRecord(req.Msg.Partition, req.Msg.Record, protocol.KindIntent)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	hold, cancel := context.WithTimeout(ctx, claimHold)
+	hold, cancel := context.WithTimeout(ctx, claimServerTimeout)
 	defer cancel()
-	reply, err := h.service.claimHere(hold, number, claimRequest{intent: req.Msg.Record, rec: rec, lookupOnly: req.Msg.LookupOnly})
+	reply, err := h.service.claimLocal(hold, number, claimRequest{intent: req.Msg.Record, rec: rec, lookupOnly: req.Msg.LookupOnly})
 	if errors.Is(err, context.DeadlineExceeded) {
 		reply, err = claimReply{state: statePending}, nil
 	}
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	return connect.NewResponse(responseOf(reply)), nil
+	return connect.NewResponse(toClaimResponse(reply)), nil
 }
 
-// Append implements the service.
+// Append implements OnceServiceHandler.
 func (h handler) Append(ctx context.Context, req *connect.Request[oncev1.AppendRequest]) (*connect.Response[oncev1.AppendResponse], error) {
 	number, _, err := checkRecord(req.Msg.Partition, req.Msg.Record, protocol.KindOutcome, protocol.KindVoid)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	hold, cancel := context.WithTimeout(ctx, appendHold)
+	hold, cancel := context.WithTimeout(ctx, appendServerTimeout)
 	defer cancel()
-	err = h.service.appendHere(hold, number, req.Msg.Record)
+	err = h.service.appendLocal(hold, number, req.Msg.Record)
 	if err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	return connect.NewResponse(&oncev1.AppendResponse{Appended: err == nil, LogFailing: h.service.logFailing(number)}), nil
+	return connect.NewResponse(&oncev1.AppendResponse{Appended: err == nil, LogFailing: h.service.appendsFailing(number)}), nil
 }
 
-// checkRecord refuses records that no instance of this version sends: one in the
-// wrong stream would never be found again.
+// checkRecord rejects records that no instance of this version sends. A record in the wrong stream
+// would never be found.
 func checkRecord(partition uint32, m *oncev1.Record, kinds ...protocol.Kind) (int, protocol.Record, error) {
 	if m == nil {
-		return 0, protocol.Record{}, errBadPartition
+		return 0, protocol.Record{}, errWrongPartition
 	}
 	rec, err := protocolRecord(m)
 	if err != nil {
@@ -73,7 +74,7 @@
 	}
 	number := partitionOf(rec.Key)
 	if uint32(number) != partition {
-		return 0, rec, errBadPartition
+		return 0, rec, errWrongPartition
 	}
 	for _, kind := range kinds {
 		if rec.Kind == kind {
@@ -83,7 +84,7 @@
 	return 0, rec, errors.New("once: record of the wrong kind")
 }
 
-func responseOf(reply claimReply) *oncev1.ClaimResponse {
+func toClaimResponse(reply claimReply) *oncev1.ClaimResponse {
 	resp := &oncev1.ClaimResponse{
 		State:        wireStates[reply.state],
 		Offset:       reply.offset,
@@ -101,9 +102,9 @@
 	return resp
 }
 
-// replyOf decodes an owner's answer. A state it does not know is an error, so that
-// the next owner is asked.
-func replyOf(resp *oncev1.ClaimResponse) (claimReply, error) {
+// fromClaimResponse decodes the response of an owner. An unknown state is an error, so that the next
+// owner is asked.
+func fromClaimResponse(resp *oncev1.ClaimResponse) (claimReply, error) {
 	reply := claimReply{
 		offset:      resp.Offset,
 		notAppended: resp.NotAppended,
@@ -118,7 +119,7 @@
 		}
 	}
 	if !known {
-		return reply, errors.New("once: unknown state of a claim")
+		return reply, errors.New("once: unknown claim state")
 	}
 	if resp.Holder == nil {
 		return reply, nil
@@ -141,7 +142,7 @@
 	stateClaimed:     oncev1.ClaimResponse_STATE_CLAIMED,
 	stateDone:        oncev1.ClaimResponse_STATE_DONE,
 	stateKeyReused:   oncev1.ClaimResponse_STATE_KEY_REUSED,
-	stateCannotVouch: oncev1.ClaimResponse_STATE_CANNOT_VOUCH,
+	stateIncomplete:  oncev1.ClaimResponse_STATE_CANNOT_VOUCH,
 	statePending:     oncev1.ClaimResponse_STATE_PENDING,
 	stateFull:        oncev1.ClaimResponse_STATE_FULL,
 }
--- a/once/key.go
+++ b/once/key.go
@@ -13,9 +13,9 @@
 	"github.com/cairnworks/cairnworks/route"
 )
 
-// keyOf hashes organisation, service and idempotency key. Lengths go in as well,
-// so that no two triples share an encoding; one organisation's key can never
-// meet another's.
+// keyOf hashes organisation, service and idempotency key. The lengths are included so that different
+// triples have different encodings. The keys of different organisations can therefore never be
+// equal.
 func keyOf(call route.GuardedCall) protocol.Key {
 	h := sha256.New()
 	for _, part := range []string{call.Organisation, call.Service, call.IdempotencyKey} {
@@ -35,13 +35,13 @@
 
 func newIntentID() protocol.IntentID {
 	var id protocol.IntentID
-	// crypto/rand.Read never fails.
+	// rand.Read never returns an error.
 	_, _ = rand.Read(id[:])
 	return id
 }
 
-// uuidV7Time returns the creation time inside an idempotency key that is a
-// version 7 UUID (RFC 9562, section 5.7).
+// uuidV7Time returns the creation time in an idempotency key that is a UUID of version 7 (RFC 9562,
+// section 5.7), and false for other keys.
 func uuidV7Time(key string) (time.Time, bool) {
 	raw, err := hex.DecodeString(strings.ReplaceAll(key, "-", ""))
 	if err != nil || len(key) != 36 || len(raw) != 16 {
--- a/once/local.go
+++ b/once/local.go
@@ -8,12 +8,12 @@
 )
 
 var (
-	errNotRunning = errors.New("once: service does not run")
-	errNoTicket   = errors.New("once: ticket is not open")
+	errNotRunning    = errors.New("once: service is not running")
+	errTicketNotOpen = errors.New("once: ticket is not open")
 )
 
-// claimHere asks this instance's own partition and waits for its answer.
-func (s *Service) claimHere(ctx context.Context, number int, req claimRequest) (claimReply, error) {
+// claimLocal sends a claim to the partition of this instance and waits for the reply.
+func (s *Service) claimLocal(ctx context.Context, number int, req claimRequest) (claimReply, error) {
 	p := s.partition(number)
 	if p == nil {
 		return claimReply{notAppended: true, retryAfter: logRetryAfter}, errNotRunning
@@ -30,9 +30,9 @@
 	}
 }
 
-// appendHere appends an outcome or a void and waits until it stands in the log.
-// When ctx ends first, the partition goes on trying.
-func (s *Service) appendHere(ctx context.Context, number int, record *oncev1.Record) error {
+// appendLocal appends an outcome or a void through the partition of this instance and waits until
+// it is in the log. If ctx ends first, the partition continues trying.
+func (s *Service) appendLocal(ctx context.Context, number int, record *oncev1.Record) error {
 	rec, err := protocolRecord(record)
 	if err != nil {
 		return err
@@ -41,7 +41,7 @@
 	if p == nil {
 		return errNotRunning
 	}
-	msg := recordMsg{record: record, rec: rec, done: make(chan error, 1)}
+	msg := appendMsg{record: record, rec: rec, done: make(chan error, 1)}
 	p.tell(msg)
 	select {
 	case err := <-msg.done:
@@ -53,8 +53,8 @@
 	}
 }
 
-// logFailing reports whether the log refuses this instance's appends of a partition.
-func (s *Service) logFailing(number int) bool {
+// appendsFailing reports whether this instance's last append to a partition failed.
+func (s *Service) appendsFailing(number int) bool {
 	p := s.partition(number)
-	return p != nil && p.failing.Load()
+	return p != nil && p.appendsFailing.Load()
 }
--- a/once/messages.go
+++ b/once/messages.go
@@ -8,28 +8,30 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// position is where a follower stands.
-type position struct {
+// followPosition is the position of the follower in its stream.
+type followPosition struct {
 	next uint64
-	// ready tells that the end of the stream was reached.
+	// ready reports that the end of the stream has been reached.
 	ready bool
 }
 
-// claimState is a partition's answer to a claim.
+// claimState is the result of a claim.
 type claimState uint8
 
 const (
-	// stateUnavailable means that nothing was decided: the log cannot be reached.
+	// stateUnavailable means that there is no decision because the log cannot be reached.
 	stateUnavailable claimState = iota
 	stateFree
 	stateWon
 	stateClaimed
 	stateDone
 	stateKeyReused
-	stateCannotVouch
-	// statePending means that the log has not decided yet.
+	// stateIncomplete means that the partition lost records younger than the window and cannot
+	// tell whether an unknown key was used. It is STATE_CANNOT_VOUCH on the wire.
+	stateIncomplete
+	// statePending means that there is no decision yet.
 	statePending
-	// stateFull means that the partition remembers as many keys as it may.
+	// stateFull means that the partition holds the maximum number of keys.
 	stateFull
 )
 
@@ -38,62 +40,65 @@
 	return [...]string{"unavailable", "free", "won", "claimed", "done", "key_reused", "cannot_vouch", "pending", "full"}[s]
 }
 
-// claimReply answers a claim.
+// claimReply is the response to a claim.
 type claimReply struct {
 	state claimState
-	// offset of the intent in stateWon.
+	// offset is the offset of the intent in stateWon.
 	offset uint64
-	// holder of the key in stateClaimed and stateDone.
+	// holder is the holder of the key in stateClaimed, stateDone and stateKeyReused.
 	holder protocol.Holder
-	// notAppended tells that the asked intent certainly does not stand in the log.
+	// notAppended reports that the intent of the request is certainly not in the log.
 	notAppended bool
-	// stale tells that the log could not be read lately, so that the holder's
-	// outcome may have been recorded since.
+	// stale reports that the last read or append failed, so that an outcome of the holder may
+	// have been recorded in the meantime.
 	stale      bool
 	retryAfter time.Duration
 }
 
-// claimRequest asks a partition about a key.
+// claimRequest is a request to claim a key or to look up its state.
 type claimRequest struct {
 	intent *oncev1.Record
 	rec    protocol.Record
-	// lookupOnly asks for the key's state without claiming it.
+	// lookupOnly requests the state of the key without claiming it.
 	lookupOnly bool
 }
 
-// Messages to a partition's actor.
+// Messages to the actor of a partition.
 type (
+	// claimMsg claims a key or looks it up.
 	claimMsg struct {
 		req claimRequest
-		// reply has room for the one answer, so that the actor never waits.
+		// reply has a buffer for the single reply, so that the actor never blocks.
 		reply chan claimReply
 	}
-	// recordMsg appends an outcome or a void; done has room for the one answer.
-	recordMsg struct {
+	// appendMsg appends an outcome or a void; done has a buffer for the single result.
+	appendMsg struct {
 		record *oncev1.Record
 		rec    protocol.Record
 		done   chan error
 	}
-	// pageMsg is what the follower read; applied receives where to go on.
+	// pageMsg contains the result of a read by the follower; applied receives the position of
+	// the next read.
 	pageMsg struct {
 		page    port.Page
 		err     error
-		applied chan position
+		applied chan followPosition
 	}
-	// appendedMsg ends an append.
-	appendedMsg struct {
+	// appendResultMsg contains the result of an append.
+	appendResultMsg struct {
 		first uint64
 		err   error
 	}
-	// settledMsg ends the read back after an append whose answer was lost.
-	settledMsg struct {
+	// readBackMsg contains the result of reading the stream back after an append whose response
+	// was lost.
+	readBackMsg struct {
 		pages []port.Page
 		err   error
 	}
-	// pumpMsg says that the next append may be due.
-	pumpMsg struct{}
-	// forgetMsg says that old keys may be due for forgetting.
-	forgetMsg struct{}
-	// flushMsg asks to be told once nothing is left to append.
+	// appendTimerMsg is sent when the next append may start.
+	appendTimerMsg struct{}
+	// expireMsg removes expired keys.
+	expireMsg struct{}
+	// flushMsg requests that done is closed when no records are left to append.
 	flushMsg struct{ done chan struct{} }
 )
--- a/once/meters.go
+++ b/once/metrics.go
@@ -2,19 +2,19 @@
 
 import "github.com/uber-go/tally/v4"
 
-// meters are the counters of the guard.
-type meters struct {
+// metrics holds the metrics of a partition.
+type metrics struct {
 	appends, entries            tally.Counter
 	appendsRefused, appendsLost tally.Counter
 	readErrors, undecodable     tally.Counter
 	gaps, retentionShort        tally.Counter
-	// queueFull counts outcomes and voids that found the queue full.
+	// queueFull counts outcomes and voids refused because the queue was full.
 	queueFull tally.Counter
 	keys      tally.Gauge
 }
 
-func newMeters(scope tally.Scope, stream string) meters {
-	return meters{
+func newMetrics(scope tally.Scope, stream string) metrics {
+	return metrics{
 		appends:        scope.Counter("appends"),
 		entries:        scope.Counter("entries"),
 		appendsRefused: scope.Counter("appends_refused"),
--- a/once/partition.go
+++ b/once/partition.go
@@ -13,52 +13,52 @@
 	"github.com/cairnworks/cairnworks/once/protocol"
 )
 
-// forgetInterval is how often old keys are dropped. Keys live for hours, so that
-// a minute more costs nothing.
-const forgetInterval = time.Minute
+// expiryInterval is how often expired keys are removed. Keys are kept for hours, so an extra
+// minute does not matter.
+const expiryInterval = time.Minute
 
-// partition is the actor that follows one stream and batches the appends of all
-// calls in it. Every field from index on belongs to the actor's goroutine; reads and
-// appends of the log run in goroutines that report back by messages.
+// partition is the actor that follows one stream and batches the appends of all calls in it. The
+// fields from index on are accessed only by the actor; reads and appends run in goroutines that
+// report their results to the actor as messages.
 type partition struct {
-	cfg    *Config
-	stream string
-	logger *zap.Logger
-	meters meters
-	system *actor.ActorSystem
-	pid    *actor.PID
-	ctx    context.Context
-	cancel context.CancelFunc
-	io     sync.WaitGroup
-	// gate keeps messages from an actor that has stopped: the library would count
-	// them with a goroutine that never ends.
-	gate   sync.RWMutex
+	cfg        *Config
+	stream     string
+	logger     *zap.Logger
+	metrics    metrics
+	system     *actor.ActorSystem
+	pid        *actor.PID
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	// sendMu guards closed, which prevents sending to a stopped actor. The actor library counts
+	// such messages in a goroutine that never ends.
+	sendMu sync.RWMutex
 	closed bool
-	// failing tells that the last append failed.
-	failing atomic.Bool
-	// used is when the partition was last asked for; the service guards it.
-	used time.Time
+	// appendsFailing reports that the last append failed.
+	appendsFailing atomic.Bool
+	// lastUsed is when the partition was last requested; guarded by Service.mu.
+	lastUsed time.Time
 
 	index *protocol.Index
-	// ready is set once the stream was read to its end.
+	// ready is set when the stream has been read to its end.
 	ready bool
-	// readErr is the follower's last error while it fails.
+	// readErr is the error of the last read, or nil if it succeeded.
 	readErr error
-	// first is the lowest offset that the log retains.
-	first uint64
-	// endRead is when the end of the stream was last reached.
-	endRead time.Time
-	// vouchFrom is when unknown keys may be claimed again after records younger
-	// than the window were lost.
-	vouchFrom time.Time
-	// unready are claims that wait for ready.
-	unready []claimMsg
-	// pending are the claims whose intents wait for the log's decision.
-	pending map[protocol.IntentID]*pendingClaim
-	commit  committer
+	// firstRetained is the lowest offset retained by the log.
+	firstRetained uint64
+	// endReachedAt is when the end of the stream was last reached.
+	endReachedAt time.Time
+	// incompleteUntil is the time until which the index may lack records of the window because
+	// the log dropped them unread. Unknown keys are refused until then.
+	incompleteUntil time.Time
+	// deferredClaims are the claims that wait until the partition is ready.
+	deferredClaims []claimMsg
+	// pending are the claims whose intents wait for the decision of the log.
+	pending   map[protocol.IntentID]*pendingClaim
+	committer committer
 }
 
-// pendingClaim is an intent whose fate is not known yet.
+// pendingClaim is an intent that is not decided yet.
 type pendingClaim struct {
 	rec     protocol.Record
 	replies []chan claimReply
@@ -69,32 +69,34 @@
 		cfg:     cfg,
 		stream:  streamName(number),
 		system:  system,
-		meters:  newMeters(scope, streamName(number)),
+		metrics: newMetrics(scope, streamName(number)),
 		index:   protocol.NewIndex(1),
 		pending: make(map[protocol.IntentID]*pendingClaim),
 	}
 	p.logger = cfg.Logger.With(zap.String("stream", p.stream))
 	p.ctx, p.cancel = context.WithCancel(parent)
 	p.pid = system.Root.Spawn(actor.PropsFromFunc(p.receive))
-	p.io.Go(p.follow)
-	p.io.Go(p.forgetLoop)
+	p.goroutines.Go(p.follow)
+	p.goroutines.Go(p.expireLoop)
 	return p
 }
 
-// stop ends the partition's actor and then its goroutines, which only the actor starts.
+// stop stops the actor and then waits for the goroutines. After the actor has stopped, no new
+// ones are started.
 func (p *partition) stop() {
 	p.cancel()
-	p.gate.Lock()
+	p.sendMu.Lock()
 	p.closed = true
-	p.gate.Unlock()
+	p.sendMu.Unlock()
 	_ = p.system.Root.StopFuture(p.pid).Wait()
-	p.io.Wait()
+	p.goroutines.Wait()
 }
 
-// tell sends a message to the actor from any goroutine, unless it was stopped.
+// tell sends a message to the actor unless it has been stopped. It may be called from any
+// goroutine.
 func (p *partition) tell(msg any) {
-	p.gate.RLock()
-	defer p.gate.RUnlock()
+	p.sendMu.RLock()
+	defer p.sendMu.RUnlock()
 	if !p.closed {
 		p.system.Root.Send(p.pid, msg)
 	}
@@ -104,46 +106,46 @@
 	switch msg := c.Message().(type) {
 	case claimMsg:
 		p.claim(msg)
-	case recordMsg:
-		p.record(msg)
+	case appendMsg:
+		p.enqueueRecord(msg)
 	case pageMsg:
-		p.pageRead(msg)
-	case appendedMsg:
-		p.appended(msg)
-	case settledMsg:
-		p.settled(msg)
-	case pumpMsg:
-		p.commit.timer = false
-		p.pump()
-	case forgetMsg:
-		p.forget()
+		p.handlePage(msg)
+	case appendResultMsg:
+		p.handleAppendResult(msg)
+	case readBackMsg:
+		p.handleReadBack(msg)
+	case appendTimerMsg:
+		p.committer.timerSet = false
+		p.startNextAppend()
+	case expireMsg:
+		p.expireKeys()
 	case flushMsg:
-		p.commit.flushes = append(p.commit.flushes, msg.done)
-		p.flushed()
+		p.committer.flushWaiters = append(p.committer.flushWaiters, msg.done)
+		p.notifyIfFlushed()
 	}
 }
 
 func (p *partition) now() time.Time { return p.cfg.Clock() }
 
-func (p *partition) forgetLoop() {
-	ticker := time.NewTicker(forgetInterval)
+func (p *partition) expireLoop() {
+	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-p.ctx.Done():
 			return
 		case <-ticker.C:
-			p.tell(forgetMsg{})
+			p.tell(expireMsg{})
 		}
 	}
 }
 
-func (p *partition) forget() {
-	early := p.index.Expire(p.now().Add(-p.cfg.Window), p.first)
-	p.meters.keys.Update(float64(p.index.Len()))
-	if early > 0 {
-		p.meters.retentionShort.Inc(int64(early))
-		p.logger.Error("log drops records within the promised window; set its retention or the window",
-			zap.String("event", "once_retention_short"), zap.Int("records", early), zap.Duration("window", p.cfg.Window))
+func (p *partition) expireKeys() {
+	droppedEarly := p.index.Expire(p.now().Add(-p.cfg.Window), p.firstRetained)
+	p.metrics.keys.Update(float64(p.index.Len()))
+	if droppedEarly > 0 {
+		p.metrics.retentionShort.Inc(int64(droppedEarly))
+		p.logger.Error("log drops records within the window; increase its retention or reduce the window",
+			zap.String("event", "once_retention_short"), zap.Int("records", droppedEarly), zap.Duration("window", p.cfg.Window))
 	}
 }
--- a/once/peers.go
+++ b/once/peers.go
@@ -17,22 +17,22 @@
 type Dialer func(request.Holder) (client connect.HTTPClient, baseURL string)
 
 const (
-	// ownersAsked is how many instances are asked before an instance serves a
-	// partition itself: the owner, and the one that takes over from it. While the
-	// list of members still names a dead owner, its successor gathers the appends,
-	// and not every instance of the fleet on its own.
-	ownersAsked = 2
-	// maxRanked leaves two more to ask when the first two did not answer lately.
-	maxRanked = ownersAsked + 2
-	// suspectTime is how long an instance that did not answer is passed over.
-	suspectTime = 2 * time.Second
-	// maxClients bounds the clients kept, of which every restarted instance leaves
-	// one behind.
+	// maxOwnersAsked is the number of other instances asked before an instance serves a
+	// partition itself: the owner and its successor. While the member list still contains a
+	// dead owner, the successor batches the appends, instead of every instance on its own.
+	maxOwnersAsked = 2
+	// maxRankedOwners adds two instances that are asked if the first two did not respond
+	// recently.
+	maxRankedOwners = maxOwnersAsked + 2
+	// suspectDuration is how long an instance that did not respond is skipped.
+	suspectDuration = 2 * time.Second
+	// maxClients limits the number of cached clients. Every instance that restarts leaves an
+	// unused one.
 	maxClients = 1024
 )
 
-// peers picks the owners of partitions and keeps their clients. Nothing depends
-// on all instances picking the same: the log's order decides between claims.
+// peers selects the owners of partitions and caches their clients. Correctness does not depend on
+// all instances selecting the same owner, because the order of the log decides between claims.
 type peers struct {
 	self    request.Holder
 	members func() []request.Holder
@@ -55,30 +55,30 @@
 	}
 }
 
-// owners returns whom to ask about a partition, in order, and whether this instance
-// is the next to serve it.
+// owners returns the instances to ask about a partition, in order, and whether this instance is the
+// next one to serve it.
 func (p *peers) owners(partition int) (ask []request.Holder, self bool) {
 	if p.dial == nil {
 		return nil, true
 	}
 	for _, m := range rank(p.members(), partition) {
-		// Members are compared by name: what they tell of this instance's address or
-		// incarnation may be old.
+		// Compare names only: the member list may contain an outdated address or incarnation
+		// of this instance.
 		if m.Instance == p.self.Instance {
 			return ask, true
 		}
-		if !p.suspected(m) {
+		if !p.isSuspect(m) {
 			ask = append(ask, m)
 		}
-		if len(ask) == ownersAsked {
+		if len(ask) == maxOwnersAsked {
 			break
 		}
 	}
 	return ask, len(ask) == 0
 }
 
-// owner reports whether this instance ranks first for a partition.
-func (p *peers) owner(partition int) bool {
+// isOwner reports whether this instance ranks first for a partition.
+func (p *peers) isOwner(partition int) bool {
 	if p.dial == nil {
 		return true
 	}
@@ -86,30 +86,30 @@
 	return len(ranked) > 0 && ranked[0].Instance == p.self.Instance
 }
 
-// rank returns the members that rank highest for a partition by rendezvous hashing,
-// at most maxRanked of them: when one leaves, only its partitions move.
+// rank returns at most maxRankedOwners members that rank highest for a partition by rendezvous
+// hashing. When a member leaves, only its own partitions move.
 func rank(members []request.Holder, partition int) []request.Holder {
 	prefix := streamName(partition) + "/"
-	ranked := make([]request.Holder, 0, maxRanked+1)
-	weights := make([]uint64, 0, maxRanked+1)
+	ranked := make([]request.Holder, 0, maxRankedOwners+1)
+	weights := make([]uint64, 0, maxRankedOwners+1)
 	for _, m := range members {
 		weight := xxhash.Sum64String(prefix + m.Instance)
 		at := len(ranked)
 		for at > 0 && weight > weights[at-1] {
 			at--
 		}
-		if at == maxRanked {
+		if at == maxRankedOwners {
 			continue
 		}
 		ranked = slices.Insert(ranked, at, m)
 		weights = slices.Insert(weights, at, weight)
-		ranked = ranked[:min(len(ranked), maxRanked)]
+		ranked = ranked[:min(len(ranked), maxRankedOwners)]
 		weights = weights[:len(ranked)]
 	}
 	return ranked
 }
 
-func (p *peers) suspected(m request.Holder) bool {
+func (p *peers) isSuspect(m request.Holder) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	until, ok := p.suspects[m]
@@ -120,11 +120,11 @@
 	return ok
 }
 
-// suspect passes over an instance that did not answer for a while.
-func (p *peers) suspect(m request.Holder) {
+// markSuspect excludes an instance that did not respond for suspectDuration.
+func (p *peers) markSuspect(m request.Holder) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.suspects[m] = p.clock().Add(suspectTime)
+	p.suspects[m] = p.clock().Add(suspectDuration)
 	delete(p.clients, m)
 }
 
--- a/once/remote.go
+++ b/once/remote.go
@@ -12,46 +12,46 @@
 )
 
 const (
-	// claimHold is how long an owner waits for the log before it answers
-	// "pending"; claimTryTimeout is how long it is waited for. An owner that is slow
-	// because the log is slow is so told from a dead one, which leaves more than half
-	// of the claim timeout to the next. Without the difference a slow log would make
-	// every instance append on its own.
-	claimHold       = 400 * time.Millisecond
-	claimTryTimeout = 600 * time.Millisecond
-	// appendHold and appendTryTimeout are the same for outcomes and voids.
-	appendHold       = 3 * time.Second
-	appendTryTimeout = 5 * time.Second
-	// appendPauseMin and appendPauseMax bound the pause between rounds of trying
-	// to append an outcome or a void.
-	appendPauseMin = 200 * time.Millisecond
-	appendPauseMax = 5 * time.Second
+	// claimServerTimeout is how long an owner waits for the log before it returns "pending";
+	// claimClientTimeout is how long other instances wait for the owner. The difference
+	// distinguishes an owner that waits for a slow log from a dead one; without it, a slow log
+	// would make every instance append on its own. A dead owner leaves more than half of the
+	// claim timeout for the next one.
+	claimServerTimeout = 400 * time.Millisecond
+	claimClientTimeout = 600 * time.Millisecond
+	// appendServerTimeout and appendClientTimeout are the same for outcomes and voids.
+	appendServerTimeout = 3 * time.Second
+	appendClientTimeout = 5 * time.Second
+	// recordRetryMin and recordRetryMax limit the backoff between attempts to append an outcome
+	// or a void.
+	recordRetryMin = 200 * time.Millisecond
+	recordRetryMax = 5 * time.Second
 )
 
-var errNotYet = errors.New("once: record waits for the log")
+var errAppendPending = errors.New("once: record is not in the log yet")
 
-// claimAt asks the owner of a partition about an intent, then the next owner, and
-// this instance itself if neither answers. Asking several about the same intent is
-// harmless: its copies in the log count once, and each reads the same decision.
+// claimAtOwners sends an intent to the owner of a partition, then to the next owner, and processes
+// it locally if neither responds. Sending the same intent to several instances is harmless: copies
+// in the log count once, and all instances read the same decision.
 //
-// A reply without a decision is kept for when nobody has a better one: of a key that
-// is known to be taken it must not be said that the log is all that fails.
+// A reply without a current decision is returned only if no instance has a better one. In
+// particular, a key that is known to be claimed must not be reported as a mere log failure.
 //
-// An owner that cannot reach the log is no reason to serve the partition here: were
-// the log down for all, every instance would turn to it.
-func (s *Service) claimAt(ctx context.Context, number int, req claimRequest) (claimReply, error) {
+// If an owner cannot reach the log, the partition is served locally only if this instance is next in
+// rank. Otherwise, if the log were down for all, every instance would send requests to it.
+func (s *Service) claimAtOwners(ctx context.Context, number int, req claimRequest) (claimReply, error) {
 	owners, self := s.peers.owners(number)
 	mayBeInLog := false
 	var undecided *claimReply
 	for _, m := range owners {
-		reply, err := s.askOwner(ctx, m, number, req)
+		reply, err := s.claimFromOwner(ctx, m, number, req)
 		mayBeInLog = mayBeInLog || !reply.notAppended
 		reply.notAppended = !mayBeInLog
 		switch {
 		case ctx.Err() != nil:
 			return reply, ctx.Err()
 		case err != nil:
-			s.peers.suspect(m)
+			s.peers.markSuspect(m)
 		case reply.state != stateUnavailable && !reply.stale:
 			return reply, nil
 		case undecided == nil || reply.stale:
@@ -62,7 +62,7 @@
 		undecided.notAppended = !mayBeInLog
 		return *undecided, nil
 	}
-	reply, err := s.claimHere(ctx, number, req)
+	reply, err := s.claimLocal(ctx, number, req)
 	reply.notAppended = reply.notAppended && !mayBeInLog
 	if undecided != nil && reply.state == stateUnavailable {
 		undecided.notAppended = reply.notAppended
@@ -71,11 +71,11 @@
 	return reply, err
 }
 
-// askOwner asks one owner until the log has decided.
-func (s *Service) askOwner(ctx context.Context, m request.Holder, number int, req claimRequest) (claimReply, error) {
+// claimFromOwner sends the claim to one owner and repeats it while the result is pending.
+func (s *Service) claimFromOwner(ctx context.Context, m request.Holder, number int, req claimRequest) (claimReply, error) {
 	asked := false
 	for {
-		reply, err := s.claimThere(ctx, m, number, req)
+		reply, err := s.claimRemote(ctx, m, number, req)
 		reply.notAppended = reply.notAppended && !asked
 		if err != nil || reply.state != statePending {
 			return reply, err
@@ -84,8 +84,8 @@
 	}
 }
 
-func (s *Service) claimThere(ctx context.Context, m request.Holder, number int, req claimRequest) (claimReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, claimTryTimeout)
+func (s *Service) claimRemote(ctx context.Context, m request.Holder, number int, req claimRequest) (claimReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, claimClientTimeout)
 	defer cancel()
 	resp, err := s.peers.client(m).Claim(ctx, connect.NewRequest(&oncev1.ClaimRequest{
 		Partition: uint32(number), Record: req.intent, LookupOnly: req.lookupOnly,
@@ -93,52 +93,54 @@
 	if err != nil {
 		return claimReply{}, err
 	}
-	return replyOf(resp.Msg)
+	return fromClaimResponse(resp.Msg)
 }
 
-// appendAt appends an outcome or a void through the owner of its partition, the
-// next owner or this instance, until it stands in the log or the service stops.
-// Copies of such a record count once.
-func (s *Service) appendAt(number int, record *oncev1.Record) error {
-	pause := appendPauseMin
+// appendWithRetry appends an outcome or a void through the owner of its partition, the next owner
+// or this instance. It retries until the record is in the log or the service stops. Copies of the
+// record count once.
+func (s *Service) appendWithRetry(number int, record *oncev1.Record) error {
+	backoff := recordRetryMin
 	for {
-		running := s.context()
+		running := s.runningContext()
 		if running == nil {
 			return errNotRunning
 		}
-		err := s.appendRound(running, number, record)
+		err := s.tryAppend(running, number, record)
 		if err == nil || running.Err() != nil {
 			return err
 		}
-		sleep(running, pause)
-		pause = min(2*pause, appendPauseMax)
+		sleep(running, backoff)
+		backoff = min(2*backoff, recordRetryMax)
 	}
 }
 
-func (s *Service) appendRound(running context.Context, number int, record *oncev1.Record) error {
+// tryAppend makes one attempt of appendWithRetry. It returns errAppendPending if an owner has
+// accepted the record but has not appended it yet.
+func (s *Service) tryAppend(running context.Context, number int, record *oncev1.Record) error {
 	owners, self := s.peers.owners(number)
-	taken := false
+	accepted := false
 	for _, m := range owners {
-		resp, err := s.appendThere(running, m, number, record)
+		resp, err := s.appendRemote(running, m, number, record)
 		switch {
 		case err != nil:
-			s.peers.suspect(m)
+			s.peers.markSuspect(m)
 		case resp.Appended:
 			return nil
 		case !resp.LogFailing:
-			return errNotYet
+			return errAppendPending
 		default:
-			taken = true
+			accepted = true
 		}
 	}
-	if taken && !self {
-		return errNotYet
+	if accepted && !self {
+		return errAppendPending
 	}
-	return s.appendHere(running, number, record)
+	return s.appendLocal(running, number, record)
 }
 
-func (s *Service) appendThere(ctx context.Context, m request.Holder, number int, record *oncev1.Record) (*oncev1.AppendResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, appendTryTimeout)
+func (s *Service) appendRemote(ctx context.Context, m request.Holder, number int, record *oncev1.Record) (*oncev1.AppendResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, appendClientTimeout)
 	defer cancel()
 	resp, err := s.peers.client(m).Append(ctx, connect.NewRequest(&oncev1.AppendRequest{Partition: uint32(number), Record: record}))
 	if err != nil {
@@ -147,11 +149,11 @@
 	return resp.Msg, nil
 }
 
-// context returns the context of the running service, or nil.
-func (s *Service) context() context.Context {
+// runningContext returns the context of the running service, or nil if it is not running.
+func (s *Service) runningContext() context.Context {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.running
+	return s.runCtx
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/once/service.go
+++ b/once/service.go
@@ -1,8 +1,8 @@
-// Package once makes calls that may not be repeated run at most once: the claim of
-// an idempotency key goes to the platform's log before the call is dispatched, and
-// the log's offset order decides between claims. The protocol and the argument for
-// it stand in package protocol; this package runs it against the log, with the
-// appends of many calls gathered into one.
+// Package once ensures that calls which must not be repeated run at most once. The claim of an
+// idempotency key is appended to the platform's log before the call is dispatched, and the order
+// of offsets in the log decides between competing claims. Package protocol defines the protocol
+// and explains why it is correct; this package runs it against the log and batches the appends of
+// many calls.
 package once
 
 import (
@@ -19,55 +19,57 @@
 	"github.com/cairnworks/cairnworks/route"
 )
 
-// flushTimeout bounds how long Run goes on after its context ended, so that the
-// outcomes of calls that just finished reach the log.
+// flushTimeout limits how long Run continues after its context has ended, so that the outcomes of
+// calls that have just finished can be appended.
 const flushTimeout = 5 * time.Second
 
-// flushPause is how often flush looks whether calls have ended.
-const flushPause = 20 * time.Millisecond
+// flushPollInterval is how often flush checks for active intents.
+const flushPollInterval = 20 * time.Millisecond
 
 const (
-	// ownerInterval is how often an instance looks at which partitions it owns.
-	ownerInterval = time.Second
-	// idleTimeout is how long a partition that is not owned is followed after its
-	// last use. It spares a second reading of the stream when ownership wavers.
+	// ownershipCheckInterval is how often an instance checks which partitions it owns.
+	ownershipCheckInterval = time.Second
+	// idleTimeout is how long a partition that is not owned is followed after its last use. It
+	// avoids reading the stream again if ownership changes back and forth.
 	idleTimeout = 10 * time.Minute
-	// ownerGrace is how long an instance must rank first before it reads a stream
-	// that nobody asked it about. One that just started knows no other instance and
-	// would read every stream.
-	ownerGrace = 3 * time.Second
+	// ownerStartDelay is how long an instance must rank first for a partition before it reads
+	// the stream without being asked. An instance that has just started does not know any other
+	// instance and would read all streams.
+	ownerStartDelay = 3 * time.Second
 )
 
 // Service is the at-most-once guard of one instance; it implements route.Guard.
 type Service struct {
-	cfg       Config
-	system    *actor.ActorSystem
+	cfg    Config
+	system *actor.ActorSystem
+	// ownSystem reports that system was created by the service, which must shut it down.
 	ownSystem bool
 	scope     tally.Scope
 
-	mu         sync.Mutex
-	running    context.Context
+	mu sync.Mutex
+	// runCtx is the context of the running service, or nil while it is not running.
+	runCtx     context.Context
 	partitions [Partitions]*partition
-	// open are the tickets given out and not yet finished or abandoned.
-	open map[ticketID]protocol.Record
-	// active are this run's intents from their choice until their outcome or void
-	// stands in the log; only these are said to be in progress.
-	active map[protocol.IntentID]struct{}
-	peers  *peers
-	// background are records on their way to the log.
-	background sync.WaitGroup
+	// openTickets are the issued tickets that have not been finished or abandoned.
+	openTickets map[ticketID]protocol.Record
+	// activeIntents are the intents of this run from their creation until their outcome or void
+	// is in the log. Of this run's calls, only these are reported as in progress.
+	activeIntents map[protocol.IntentID]struct{}
+	peers         *peers
+	// backgroundAppends tracks the goroutines that append outcomes and voids.
+	backgroundAppends sync.WaitGroup
 }
 
 var _ route.Guard = (*Service)(nil)
 
-// ticketID names a ticket: stream and offset of its intent.
+// ticketID identifies a ticket by the stream and offset of its intent.
 type ticketID struct {
 	stream string
 	offset uint64
 }
 
-// New checks the configuration and returns a Service that refuses every call until
-// Run is called.
+// New validates the configuration and returns a Service. The service refuses all calls until Run
+// is called.
 func New(cfg Config) (*Service, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -82,23 +84,23 @@
 		cfg.System = observe.NewActorSystem()
 	}
 	return &Service{
-		cfg:       cfg,
-		system:    cfg.System,
-		ownSystem: ownSystem,
-		scope:     scope.SubScope("once"),
-		open:      make(map[ticketID]protocol.Record),
-		active:    make(map[protocol.IntentID]struct{}),
-		peers:     newPeers(cfg),
+		cfg:           cfg,
+		system:        cfg.System,
+		ownSystem:     ownSystem,
+		scope:         scope.SubScope("once"),
+		openTickets:   make(map[ticketID]protocol.Record),
+		activeIntents: make(map[protocol.IntentID]struct{}),
+		peers:         newPeers(cfg),
 	}, nil
 }
 
-// Run follows the partitions that this instance serves until ctx ends, then waits
-// up to flushTimeout for what is still to be appended. It must be called once.
+// Run follows the partitions that this instance serves until ctx ends. It then waits up to
+// flushTimeout for the remaining appends. It must be called only once.
 func (s *Service) Run(ctx context.Context) error {
 	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	s.mu.Lock()
-	s.running = running
+	s.runCtx = running
 	s.mu.Unlock()
 	s.servePartitions(ctx)
 	s.flush()
@@ -106,11 +108,11 @@
 	return ctx.Err()
 }
 
-// servePartitions keeps the partitions that this instance owns running and stops
-// those that it no longer owns and nobody asks for, until ctx ends.
+// servePartitions starts the partitions that this instance owns and stops idle ones that it does
+// not own, until ctx ends.
 func (s *Service) servePartitions(ctx context.Context) {
 	var ownedSince [Partitions]time.Time
-	ticker := time.NewTicker(ownerInterval)
+	ticker := time.NewTicker(ownershipCheckInterval)
 	defer ticker.Stop()
 	for {
 		for number := range Partitions {
@@ -126,7 +128,7 @@
 
 func (s *Service) servePartition(number int, ownedSince *time.Time) {
 	now := s.cfg.Clock()
-	if !s.peers.owner(number) {
+	if !s.peers.isOwner(number) {
 		*ownedSince = time.Time{}
 		s.stopIdle(number)
 		return
@@ -134,33 +136,32 @@
 	if ownedSince.IsZero() {
 		*ownedSince = now
 	}
-	if s.cfg.Dial == nil || now.Sub(*ownedSince) >= ownerGrace {
+	if s.cfg.Dial == nil || now.Sub(*ownedSince) >= ownerStartDelay {
 		s.partition(number)
 	}
 }
 
-// partition returns the actor of a partition, which it starts if need be, or nil
-// while the service does not run.
+// partition returns the actor of a partition and starts it if necessary. It returns nil while the
+// service is not running.
 func (s *Service) partition(number int) *partition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.running == nil {
+	if s.runCtx == nil {
 		return nil
 	}
 	if s.partitions[number] == nil {
-		s.partitions[number] = startPartition(s.running, s.system, &s.cfg, s.scope, number)
+		s.partitions[number] = startPartition(s.runCtx, s.system, &s.cfg, s.scope, number)
 	}
 	p := s.partitions[number]
-	p.used = s.cfg.Clock()
+	p.lastUsed = s.cfg.Clock()
 	return p
 }
 
-// stopIdle stops a partition that was not used for idleTimeout and has nothing to
-// append.
+// stopIdle stops a partition that has not been used for idleTimeout.
 func (s *Service) stopIdle(number int) {
 	s.mu.Lock()
 	p := s.partitions[number]
-	idle := p != nil && s.cfg.Clock().Sub(p.used) > idleTimeout
+	idle := p != nil && s.cfg.Clock().Sub(p.lastUsed) > idleTimeout
 	if idle {
 		s.partitions[number] = nil
 	}
@@ -170,33 +171,33 @@
 	}
 }
 
-// flush waits until the records of this instance's calls stand in the log and
-// every partition has appended what it holds for others.
+// flush waits until the records of this instance's calls are in the log and all partitions have
+// appended the records that they hold for other instances.
 func (s *Service) flush() {
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
-	for s.activeCalls() > 0 && ctx.Err() == nil {
-		sleep(ctx, flushPause)
+	for s.activeIntentCount() > 0 && ctx.Err() == nil {
+		sleep(ctx, flushPollInterval)
 	}
-	for _, p := range s.started() {
+	for _, p := range s.runningPartitions() {
 		done := make(chan struct{})
 		p.tell(flushMsg{done: done})
 		select {
 		case <-done:
 		case <-ctx.Done():
-			s.cfg.Logger.Warn("records were not appended before the end", zap.String("event", "once_flush"), zap.String("stream", p.stream))
+			s.cfg.Logger.Warn("not all records were appended before shutdown", zap.String("event", "once_flush"), zap.String("stream", p.stream))
 			return
 		}
 	}
 }
 
-func (s *Service) activeCalls() int {
+func (s *Service) activeIntentCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.active)
+	return len(s.activeIntents)
 }
 
-func (s *Service) started() []*partition {
+func (s *Service) runningPartitions() []*partition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var started []*partition
@@ -209,15 +210,15 @@
 }
 
 func (s *Service) stop() {
-	started := s.started()
+	started := s.runningPartitions()
 	s.mu.Lock()
-	s.running = nil
+	s.runCtx = nil
 	s.partitions = [Partitions]*partition{}
 	s.mu.Unlock()
 	for _, p := range started {
 		p.stop()
 	}
-	s.background.Wait()
+	s.backgroundAppends.Wait()
 	if s.ownSystem {
 		s.system.Shutdown()
 	}
--- a/once/service_test.go
+++ b/once/service_test.go
@@ -17,31 +17,31 @@
 )
 
 var (
-	booking = route.GuardedCall{Organisation: "frames", Service: "leaf-desk", IdempotencyKey: "book-1", BodyHash: [32]byte{1}, RequestID: "r1"}
-	booked  = route.RecordedAnswer{Status: 201, ContentType: "application/json", Body: []byte(`{"leaf":3}`)}
+	booking       = route.GuardedCall{Organisation: "frames", Service: "leaf-desk", IdempotencyKey: "book-1", BodyHash: [32]byte{1}, RequestID: "r1"}
+	bookingAnswer = route.RecordedAnswer{Status: 201, ContentType: "application/json", Body: []byte(`{"leaf":3}`)}
 )
 
-// fleet is a few instances on one log, inside a synctest bubble.
-type fleet struct {
+// testFleet is a set of instances that share one log, inside a synctest bubble.
+type testFleet struct {
 	t    *testing.T
 	log  *memlog.Log
 	mu   sync.Mutex
 	live []request.Holder
-	// links are the instances' ways to the log.
+	// links are the connections of the instances to the log.
 	links map[string]*memlog.Link
-	// net connects the instances; without it each serves every partition itself.
-	net *peerNet
+	// net connects the instances. If it is nil, each instance serves all partitions itself.
+	net *fakeNetwork
 }
 
-// inFleet runs a test with a fresh fleet.
-func inFleet(t *testing.T, test func(t *testing.T, f *fleet)) {
-	synctest.Test(t, func(t *testing.T) { test(t, &fleet{t: t, log: memlog.New(), links: map[string]*memlog.Link{}}) })
+// runWithFleet runs a test with a new fleet.
+func runWithFleet(t *testing.T, test func(t *testing.T, f *testFleet)) {
+	synctest.Test(t, func(t *testing.T) { test(t, &testFleet{t: t, log: memlog.New(), links: map[string]*memlog.Link{}}) })
 }
 
-// start runs an instance until the test ends or stop is called.
-func (f *fleet) start(name string) (s *Service, stop func()) {
+// start starts an instance, which runs until the test ends or stop is called.
+func (f *testFleet) start(name string) (s *Service, stop func()) {
 	self := request.Holder{Instance: name, Incarnation: uint64(len(f.members())) + 1}
-	f.setLive(append(f.members(), self))
+	f.setMembers(append(f.members(), self))
 	f.links[name] = f.log.Link()
 	cfg := Config{Self: self, Log: f.links[name], Members: f.members}
 	if f.net != nil {
@@ -51,7 +51,7 @@
 	assert.NilError(f.t, err)
 	if f.net != nil {
 		_, handler := s.Handler()
-		f.net.set(func() { f.net.handlers[name] = handler })
+		f.net.update(func() { f.net.handlers[name] = handler })
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -68,29 +68,30 @@
 	return s, stop
 }
 
-func (f *fleet) members() []request.Holder {
+func (f *testFleet) members() []request.Holder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.live)
 }
 
-func (f *fleet) setLive(live []request.Holder) {
+func (f *testFleet) setMembers(live []request.Holder) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.live = live
 }
 
-// kill cuts an instance off, as its death does.
-func (f *fleet) kill(name string) {
+// kill simulates the death of an instance: it loses its connection to the log and is removed from
+// the members.
+func (f *testFleet) kill(name string) {
 	f.links[name].SetDown(true)
-	f.setLive(slices.DeleteFunc(f.members(), func(h request.Holder) bool { return h.Instance == name }))
+	f.setMembers(slices.DeleteFunc(f.members(), func(h request.Holder) bool { return h.Instance == name }))
 }
 
-// settle lets group commits and followers catch up.
-func settle() { time.Sleep(time.Second) }
+// waitForCatchUp waits until group commits are done and followers have caught up.
+func waitForCatchUp() { time.Sleep(time.Second) }
 
-// refused asserts that a call is refused for a reason with the given truth.
-func refused(t *testing.T, s *Service, call route.GuardedCall, reason verdict.Reason, ran verdict.Ran) *verdict.Verdict {
+// assertRefused asserts that a call is refused with the given reason and run state.
+func assertRefused(t *testing.T, s *Service, call route.GuardedCall, reason verdict.Reason, ran verdict.Ran) *verdict.Verdict {
 	t.Helper()
 	ticket, answer, err := s.Begin(t.Context(), call)
 	assert.Assert(t, ticket == nil && answer == nil)
@@ -101,8 +102,8 @@
 	return v
 }
 
-// claims asserts that a call may be dispatched.
-func claims(t *testing.T, s *Service, call route.GuardedCall) *route.Ticket {
+// assertClaimed asserts that a call may be dispatched and returns its ticket.
+func assertClaimed(t *testing.T, s *Service, call route.GuardedCall) *route.Ticket {
 	t.Helper()
 	ticket, answer, err := s.Begin(t.Context(), call)
 	assert.NilError(t, err)
@@ -110,8 +111,8 @@
 	return ticket
 }
 
-// replays asserts that a call gets a recorded answer.
-func replays(t *testing.T, s *Service, call route.GuardedCall, want route.RecordedAnswer) {
+// assertReplayed asserts that a call gets the given recorded response.
+func assertReplayed(t *testing.T, s *Service, call route.GuardedCall, want route.RecordedAnswer) {
 	t.Helper()
 	ticket, answer, err := s.Begin(t.Context(), call)
 	assert.NilError(t, err)
@@ -119,10 +120,10 @@
 	assert.DeepEqual(t, *answer, want)
 }
 
-// A shop's client sends the same booking over two connections that reach two
-// instances at the same moment. Without the guard the shop is charged twice.
-func TestTwoInstancesGetTheSameKeyAtOnce(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+// A client sends the same booking several times at once to two instances. Only one call may run;
+// without the guard the shop would be charged twice.
+func TestConcurrentCallsWithTheSameKey(t *testing.T) {
+	runWithFleet(t, func(t *testing.T, f *testFleet) {
 		tickets := make(chan *route.Ticket, 4)
 		reasons := make(chan verdict.Reason, 4)
 		var both sync.WaitGroup
@@ -148,36 +149,35 @@
 	})
 }
 
-// The caller's connection breaks after the booking was sent to the desk, and the
-// caller repeats it elsewhere. It must get the answer of the first booking.
-func TestCallerLeavesAfterDispatch(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+// The caller's connection breaks after the booking was dispatched, and the caller retries at a
+// different instance. It must get the response of the first booking.
+func TestCallerDisconnectsAfterDispatch(t *testing.T) {
+	runWithFleet(t, func(t *testing.T, f *testFleet) {
 		a, _ := f.start("a")
 		b, _ := f.start("b")
-		ticket := claims(t, a, booking)
-		refused(t, b, booking, verdict.ReasonInProgress, verdict.MayHaveRun)
+		ticket := assertClaimed(t, a, booking)
+		assertRefused(t, b, booking, verdict.ReasonInProgress, verdict.MayHaveRun)
 		gone, cancel := context.WithCancel(t.Context())
 		cancel()
-		_ = a.Finish(gone, ticket, booked)
-		settle()
-		replays(t, b, booking, booked)
-		replays(t, a, booking, booked)
+		_ = a.Finish(gone, ticket, bookingAnswer)
+		waitForCatchUp()
+		assertReplayed(t, b, booking, bookingAnswer)
+		assertReplayed(t, a, booking, bookingAnswer)
 		err := a.Abandon(t.Context(), ticket)
 		assert.Equal(t, verdict.From(err).Ran, verdict.MayHaveRun)
-		replays(t, b, booking, booked)
+		assertReplayed(t, b, booking, bookingAnswer)
 	})
 }
 
-// An instance dies after its intent reached the log, before or after it sent the
-// booking to the desk; nobody can tell which. The caller must not be told that the
-// booking did not run, and it must not be run again.
-func TestInstanceDiesUnderAnIntent(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+// An instance dies after its intent reached the log; it is unknown whether it dispatched the booking.
+// The caller must not be told that the booking did not run, and the booking must not run again.
+func TestInstanceDiesAfterIntent(t *testing.T) {
+	runWithFleet(t, func(t *testing.T, f *testFleet) {
 		a, _ := f.start("a")
-		claims(t, a, booking)
+		assertClaimed(t, a, booking)
 		f.kill("a")
 		b, _ := f.start("b")
-		v := refused(t, b, booking, verdict.ReasonOutcomeUnknown, verdict.MayHaveRun)
+		v := assertRefused(t, b, booking, verdict.ReasonOutcomeUnknown, verdict.MayHaveRun)
 		known := b.Lookup(t.Context(), booking.Organisation, booking.Service, booking.IdempotencyKey)
 		assert.Equal(t, known.State, "claimed")
 		assert.Equal(t, known.Instance, "a")
@@ -186,158 +186,156 @@
 	})
 }
 
-// The desk's answer breaks off, or its connection breaks before any answer. The
-// caller's resend is told what is known, and does not wait for a call that ended.
-func TestCallWithoutWholeAnswer(t *testing.T) {
+// The upstream's response is truncated, or its connection breaks before any response. A retry must be
+// told what is known and must not be told to wait for a call that has ended.
+func TestIncompleteResponse(t *testing.T) {
 	for ran, reason := range map[verdict.Ran]verdict.Reason{
 		verdict.MayHaveRun: verdict.ReasonOutcomeUnknown, verdict.HasRun: verdict.ReasonAnswerNotKept,
 	} {
-		inFleet(t, func(t *testing.T, f *fleet) {
+		runWithFleet(t, func(t *testing.T, f *testFleet) {
 			a, _ := f.start("a")
 			b, _ := f.start("b")
-			assert.NilError(t, a.Unanswered(t.Context(), claims(t, a, booking), ran))
-			refused(t, a, booking, reason, ran)
-			time.Sleep(DefaultMaxRun + time.Second)
-			refused(t, b, booking, reason, ran)
+			assert.NilError(t, a.Unanswered(t.Context(), assertClaimed(t, a, booking), ran))
+			assertRefused(t, a, booking, reason, ran)
+			time.Sleep(DefaultMaxCallDuration + time.Second)
+			assertRefused(t, b, booking, reason, ran)
 		})
 	}
 }
 
-// A client reuses its idempotency key for another booking. Answering with the
-// first booking's answer would lose the second one unnoticed.
-func TestKeyReusedWithAnotherBody(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+// A client reuses its idempotency key for a different booking. Replaying the response of the first
+// booking would silently lose the second one.
+func TestKeyReusedWithDifferentBody(t *testing.T) {
+	runWithFleet(t, func(t *testing.T, f *testFleet) {
 		a, _ := f.start("a")
-		ticket := claims(t, a, booking)
+		ticket := assertClaimed(t, a, booking)
 		other := booking
 		other.BodyHash[0]++
-		refused(t, a, other, verdict.ReasonIdempotencyKeyReused, verdict.NotRun)
-		assert.NilError(t, a.Finish(t.Context(), ticket, booked))
-		refused(t, a, other, verdict.ReasonIdempotencyKeyReused, verdict.NotRun)
+		assertRefused(t, a, other, verdict.ReasonIdempotencyKeyReused, verdict.NotRun)
+		assert.NilError(t, a.Finish(t.Context(), ticket, bookingAnswer))
+		assertRefused(t, a, other, verdict.ReasonIdempotencyKeyReused, verdict.NotRun)
 		foreign := booking
 		foreign.Organisation = "zoo"
-		claims(t, a, foreign)
+		assertClaimed(t, a, foreign)
 	})
 }
 
-// The log takes an append but its answer is lost, or the append is lost on the way;
-// the instance sees the same broken connection. The booking must go on, and its
-// intent must stand in the log once.
-func TestLogAnswersAreLost(t *testing.T) {
-	for name, broken := range map[string]memlog.Fault{"answer lost": memlog.LoseResponse, "request lost": memlog.LoseRequest} {
+// Either the log executes an append and its response is lost, or the append is lost on the way. The
+// instance sees a broken connection in both cases. The booking must continue, and its intent must
+// be in the log exactly once.
+func TestAppendFailsWithBrokenConnection(t *testing.T) {
+	for name, broken := range map[string]memlog.Fault{"response lost": memlog.LoseResponse, "request lost": memlog.LoseRequest} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, func(t *testing.T, f *fleet) {
+			runWithFleet(t, func(t *testing.T, f *testFleet) {
 				a, _ := f.start("a")
 				f.log.InjectFaults(broken)
-				ticket := claims(t, a, booking)
+				ticket := assertClaimed(t, a, booking)
 				assert.Equal(t, ticket.Offset, uint64(1))
-				settle()
+				waitForCatchUp()
 				f.log.InjectFaults(broken)
-				assert.NilError(t, a.Finish(t.Context(), ticket, booked))
+				assert.NilError(t, a.Finish(t.Context(), ticket, bookingAnswer))
 				assert.Equal(t, f.log.Len(ticket.Stream), 2)
 				b, _ := f.start("b")
-				replays(t, b, booking, booked)
+				assertReplayed(t, b, booking, bookingAnswer)
 			})
 		})
 	}
 }
 
-// The log is down for an hour. New bookings are refused at once and truly have not
-// run; a booking that was running when it went down keeps its answer, and its
-// resend gets it once the log is back.
-func TestLogIsDownForAnHour(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+// The log is down for one hour. New bookings must be refused immediately without having run. The
+// response of a booking that was running when the log went down must be kept, and a retry must get
+// it after the log has recovered.
+func TestLogDownForOneHour(t *testing.T) {
+	runWithFleet(t, func(t *testing.T, f *testFleet) {
 		a, _ := f.start("a")
-		ticket := claims(t, a, booking)
+		ticket := assertClaimed(t, a, booking)
 		f.log.SetDown(true)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		assert.Equal(t, verdict.From(a.Finish(ctx, ticket, booked)).Ran, verdict.HasRun)
+		assert.Equal(t, verdict.From(a.Finish(ctx, ticket, bookingAnswer)).Ran, verdict.HasRun)
 		fresh := booking
 		fresh.IdempotencyKey = "book-2"
 		for range 60 {
 			began := time.Now()
-			v := refused(t, a, fresh, verdict.ReasonLogUnavailable, verdict.NotRun)
+			v := assertRefused(t, a, fresh, verdict.ReasonLogUnavailable, verdict.NotRun)
 			assert.Assert(t, v.RetryAfter > 0)
 			assert.Assert(t, time.Since(began) < DefaultClaimTimeout)
-			refused(t, a, booking, verdict.ReasonInProgress, verdict.MayHaveRun)
+			assertRefused(t, a, booking, verdict.ReasonInProgress, verdict.MayHaveRun)
 			time.Sleep(time.Second / 2)
 		}
 		time.Sleep(59 * time.Minute)
-		refused(t, a, booking, verdict.ReasonInProgress, verdict.MayHaveRun)
+		assertRefused(t, a, booking, verdict.ReasonInProgress, verdict.MayHaveRun)
 		f.log.SetDown(false)
 		time.Sleep(appendBackoffMax + readBackoffMax)
-		replays(t, a, booking, booked)
-		claims(t, a, fresh)
+		assertReplayed(t, a, booking, bookingAnswer)
+		assertClaimed(t, a, fresh)
 	})
 }
 
-// The log hangs until the caller's time is up; the intent then stands in the log
-// with nobody to dispatch it. The refusal said "not run", so a resend must be able
-// to run.
-func TestCallerGivesUpBeforeTheLogDecides(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+// The log hangs until the claim times out, and the intent then reaches the log without being
+// dispatched. The refusal said "not run", so a retry must be able to run.
+func TestClaimTimesOutBeforeDecision(t *testing.T) {
+	runWithFleet(t, func(t *testing.T, f *testFleet) {
 		a, _ := f.start("a")
 		f.log.SetAppendDelay(1700 * time.Millisecond)
-		refused(t, a, booking, verdict.ReasonLogUnavailable, verdict.NotRun)
+		assertRefused(t, a, booking, verdict.ReasonLogUnavailable, verdict.NotRun)
 		f.log.SetAppendDelay(0)
 		time.Sleep(time.Minute)
 		b, _ := f.start("b")
-		ticket := claims(t, b, booking)
+		ticket := assertClaimed(t, b, booking)
 		assert.Equal(t, ticket.Offset, uint64(3)) // after the intent and its void
 	})
 }
 
-// The desk's address refused the connection, so the booking certainly did not run.
-// Its resend may run.
+// The upstream refused the connection, so the booking certainly did not run. A retry may run.
 func TestAbandonedCallMayRunAgain(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	runWithFleet(t, func(t *testing.T, f *testFleet) {
 		a, _ := f.start("a")
 		b, _ := f.start("b")
-		ticket := claims(t, a, booking)
+		ticket := assertClaimed(t, a, booking)
 		assert.NilError(t, a.Abandon(t.Context(), ticket))
-		settle()
-		ticket = claims(t, b, booking)
-		assert.NilError(t, b.Finish(t.Context(), ticket, booked))
+		waitForCatchUp()
+		ticket = assertClaimed(t, b, booking)
+		assert.NilError(t, b.Finish(t.Context(), ticket, bookingAnswer))
 	})
 }
 
-// An instance was cut off from the log while the log dropped records that it had
-// not read. It does not know which keys those used.
-func TestReaderThatMissedRecordsDoesNotVouch(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+// The log drops records that an instance has not read. The instance does not know which keys they
+// claimed, so it must refuse unknown keys for one window.
+func TestUnknownKeysAreRefusedAfterLogGap(t *testing.T) {
+	runWithFleet(t, func(t *testing.T, f *testFleet) {
 		a, _ := f.start("a")
 		f.log.Truncate(streamName(partitionOf(keyOf(booking))), 6)
-		settle()
-		v := refused(t, a, booking, verdict.ReasonRetentionOver, verdict.NotRun)
+		waitForCatchUp()
+		v := assertRefused(t, a, booking, verdict.ReasonRetentionOver, verdict.NotRun)
 		assert.Assert(t, v.RetryAfter > DefaultWindow-time.Minute)
 		time.Sleep(DefaultWindow)
-		claims(t, a, booking)
+		assertClaimed(t, a, booking)
 	})
 }
 
-// A client repeats a booking days later. The first may be forgotten by then; a key
-// that carries its time of creation shows it.
-func TestOldKeyIsRefused(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+// A client repeats a booking after the window, when the first use of the key may have expired. If the
+// key contains its creation time, the retry must be refused.
+func TestKeyOlderThanWindowIsRefused(t *testing.T) {
+	runWithFleet(t, func(t *testing.T, f *testFleet) {
 		a, _ := f.start("a")
 		call := booking
-		call.IdempotencyKey = "00dc6acf-ac00-7000-8000-000000000000" // 2000-01-01T00:00:00Z, the bubble's start
-		ticket := claims(t, a, call)
-		assert.NilError(t, a.Finish(t.Context(), ticket, booked))
-		replays(t, a, call, booked)
-		time.Sleep(DefaultWindow + 2*forgetInterval)
-		refused(t, a, call, verdict.ReasonRetentionOver, verdict.NotRun)
+		call.IdempotencyKey = "00dc6acf-ac00-7000-8000-000000000000" // 2000-01-01T00:00:00Z, the start time of a synctest bubble
+		ticket := assertClaimed(t, a, call)
+		assert.NilError(t, a.Finish(t.Context(), ticket, bookingAnswer))
+		assertReplayed(t, a, call, bookingAnswer)
+		time.Sleep(DefaultWindow + 2*expiryInterval)
+		assertRefused(t, a, call, verdict.ReasonRetentionOver, verdict.NotRun)
 	})
 }
 
-// An answer too large to record: the resend is told that the call ran.
-func TestLargeAnswerIsRecordedAsRan(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+// The response is too large to record. A retry must be told that the call ran.
+func TestLargeResponseIsNotStored(t *testing.T) {
+	runWithFleet(t, func(t *testing.T, f *testFleet) {
 		a, _ := f.start("a")
-		large := booked
+		large := bookingAnswer
 		large.Body = make([]byte, MaxAnswerBytes+1)
-		assert.NilError(t, a.Finish(t.Context(), claims(t, a, booking), large))
-		refused(t, a, booking, verdict.ReasonAnswerNotKept, verdict.HasRun)
+		assert.NilError(t, a.Finish(t.Context(), assertClaimed(t, a, booking), large))
+		assertRefused(t, a, booking, verdict.ReasonAnswerNotKept, verdict.HasRun)
 	})
 }
