--- a/instance/drain.go
+++ b/instance/drain.go
@@ -57,7 +57,7 @@
 		ctx, stop = context.WithTimeout(ctx, time.Duration(i.settings.DrainSeconds)*time.Second)
 		defer stop()
 	}
-	i.log.Info("draining", zap.Int64("open", i.callerHandler.Open()))
+	i.log.Info("draining", zap.Int64("open", i.callerHandler.OpenRequests()))
 	i.members.SetDraining(true)
 	i.callerHandler.CloseConnections()
 	i.handOverHomes(ctx)
@@ -65,7 +65,7 @@
 	// Connections that are idle now have been idle since the load balancer stopped sending
 	// requests.
 	if err := i.listeners.callers.server.Shutdown(ctx); err != nil {
-		i.log.Warn("drain incomplete", zap.Int64("open", i.callerHandler.Open()), zap.Error(err))
+		i.log.Warn("drain incomplete", zap.Int64("open", i.callerHandler.OpenRequests()), zap.Error(err))
 	}
 	i.waitIdle(ctx)
 	leaveCtx, stop := context.WithTimeout(context.Background(), leaveTimeout)
@@ -89,7 +89,7 @@
 // waitIdle waits until no request is open and none of this instance's schedulers has pending
 // reservations.
 func (i *Instance) waitIdle(ctx context.Context) {
-	for i.callerHandler.Open() > 0 || i.scheduler.PendingReservations() > 0 {
+	for i.callerHandler.OpenRequests() > 0 || i.scheduler.PendingReservations() > 0 {
 		if !sleep(ctx, drainPollInterval) {
 			return
 		}
--- a/instance/path.go
+++ b/instance/path.go
@@ -35,7 +35,7 @@
 		Retrier: retrier, Log: i.log, Metrics: i.metrics,
 	}
 	i.callerHandler = caller.NewServer(caller.Config{
-		Directory: i.index, Rate: i.rate, Models: models, Plain: plain,
+		Index: i.index, Rate: i.rate, Models: models, Plain: plain,
 		Watch: i.openRequests.add, Log: i.log, Metrics: i.metrics,
 	})
 	return nil
