--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -216,20 +216,20 @@
 	var last []Member
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { last = list })
 	m.Replace([]port.KeyedRecord{record("a", 1, 1), record("b", 1, 1), record("c", 1, 1), {Key: "d", Value: []byte("{")}})
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Equal(t, len(last), 2)
 	old := m.others["b"]
 	old.changed -= Lapse + time.Second
 	m.others["b"] = old
-	m.Lost()
-	m.Proven(0)
+	m.ReadFailed()
+	m.CaughtUp(0)
 	assert.Equal(t, len(last), 2)
 	old.changed = boottime.Now() - Lapse - time.Second
 	m.others["b"] = old
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Equal(t, len(last), 1)
 	m.Add(port.KeyedRecord{Key: "c"})
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Equal(t, len(last), 0)
 }
 
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -71,7 +71,7 @@
 // incarnationNoise is the number of random bits in an incarnation.
 const incarnationNoise = 20
 
-// Members keeps the list of instances from the store. It implements follow.Reader.
+// Members keeps the list of instances from the store. It implements follow.Handler.
 type Members struct {
 	self    Member
 	log     port.KeyedLog
@@ -289,7 +289,7 @@
 	return list
 }
 
-// Replace implements follow.Reader.
+// Replace implements follow.Handler.
 func (m *Members) Replace(records []port.KeyedRecord) bool {
 	m.mu.Lock()
 	named := make(map[string]bool, len(records))
@@ -308,7 +308,7 @@
 	return true
 }
 
-// Add implements follow.Reader.
+// Add implements follow.Handler.
 func (m *Members) Add(record port.KeyedRecord) bool {
 	m.mu.Lock()
 	m.put(record)
@@ -346,8 +346,8 @@
 	m.others[record.Key] = member
 }
 
-// Proven implements follow.Reader: entries that were not renewed for long lapse.
-func (m *Members) Proven(time.Duration) {
+// CaughtUp implements follow.Handler: entries that were not renewed for long lapse.
+func (m *Members) CaughtUp(time.Duration) {
 	now := boottime.Now()
 	m.mu.Lock()
 	for name, member := range m.others {
@@ -380,8 +380,8 @@
 // only once it has been read again: where all start together, the first to read it finds it empty.
 func (m *Members) Settled() bool { return m.settled.Load() }
 
-// Lost implements follow.Reader.
-func (m *Members) Lost() {
+// ReadFailed implements follow.Handler.
+func (m *Members) ReadFailed() {
 	m.mu.Lock()
 	m.lost = true
 	m.mu.Unlock()
--- a/fleet/members_test.go
+++ b/fleet/members_test.go
@@ -25,10 +25,10 @@
 	assert.Assert(t, m.Current("b", 2) && !m.Current("b", 1))
 	// Its entry in the store is the earlier run's until it has written its own.
 	m.Add(record("b", 1, 5))
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Equal(t, last[0].Incarnation, uint64(2))
 	m.Add(record("b", 2, 1))
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Equal(t, last[0].Beat, uint64(1))
 }
 
@@ -56,18 +56,18 @@
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { last = list })
 	m.Introduce(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5"})
 	m.Replace(nil)
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Equal(t, len(last), 1)
 	silent := m.others["b"]
 	silent.changed -= 2 * Lapse
 	m.others["b"] = silent
 	m.Introduce(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5"})
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Equal(t, len(last), 1)
 	silent = m.others["b"]
 	silent.heard = boottime.Now() - 2*Lapse
 	m.others["b"] = silent
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Equal(t, len(last), 0)
 }
 
@@ -81,7 +81,7 @@
 	}
 	assert.Equal(t, count, maxUnlisted)
 	m.Add(record("listed", 1, 1))
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Equal(t, count, maxUnlisted+1)
 }
 
@@ -114,13 +114,13 @@
 	assert.Assert(t, !m.Settled(), "nothing was read")
 	m = NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func([]Member) {})
 	m.Replace(nil)
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Assert(t, !m.Settled())
 	m.firstRead -= aloneAfter
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Assert(t, m.Settled())
 	m = NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func([]Member) {})
 	m.Add(record("b", 1, 4))
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Assert(t, m.Settled())
 }
--- a/follow/explore_test.go
+++ b/follow/explore_test.go
@@ -39,8 +39,8 @@
 	return true
 }
 
-func (e *explored) Proven(begun time.Duration) { e.proof = max(e.proof, begun) }
-func (e *explored) Lost()                      {}
+func (e *explored) CaughtUp(begun time.Duration) { e.proof = max(e.proof, begun) }
+func (e *explored) ReadFailed()                  {}
 
 // pendingRead is a read whose answer has been made and is still on its way.
 type pendingRead struct {
@@ -70,7 +70,7 @@
 func (x *exploration) restart(i int) {
 	e := &explored{known: make(map[string]uint64)}
 	e.follower = NewFollower(port.TopicConfiguration, testPace, e)
-	e.follower.Turn = func() int { return i }
+	e.follower.Rank = func() int { return i }
 	e.follower.Now = func() time.Duration { return x.now }
 	e.follower.Logger = zap.NewNop()
 	x.instances[i] = e
@@ -171,7 +171,7 @@
 				}
 			case step == 10 && len(x.notes) > 0:
 				n := x.notes[pick(len(x.notes))]
-				x.instances[n.to].follower.Hear(n.note, n.earliest)
+				x.instances[n.to].follower.Receive(n.note, n.earliest)
 			case step == 11 && pick(10) == 0:
 				x.restart(pick(instances))
 			}
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -23,30 +23,30 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// Pace says how often a topic is read. Each call of the store is paid for, and a
+// PollTiming says how often a topic is read. Each call of the store is paid for, and a
 // topic that changes all the time would wake a waiting call with every change.
-type Pace struct {
+type PollTiming struct {
 	// Wait is how long a call waits at the store for a record.
 	Wait time.Duration
 	// Gap is the pause between two calls.
 	Gap time.Duration
-	// Spare is the age of the best proof from which an instance reads a shared topic
+	// TakeoverAge is the age of the best proof from which an instance reads a shared topic
 	// though others should, and Stagger what is added for each that comes before it.
-	Spare, Stagger time.Duration
+	TakeoverAge, Stagger time.Duration
 }
 
-// Reader takes in what a topic holds. Its methods are called one at a time.
-type Reader interface {
+// Handler takes in what a topic holds. Its methods are called one at a time.
+type Handler interface {
 	// Replace takes the newest record of every key, after which no other key holds.
 	// Both it and Add report whether anything has changed that others must know.
 	Replace(records []port.KeyedRecord) (changed bool)
 	// Add takes one more record.
 	Add(record port.KeyedRecord) (changed bool)
-	// Proven tells that all that stood in the topic when a call was begun has been
+	// CaughtUp tells that all that stood in the topic when a call was begun has been
 	// taken in. begun is of the clock that counts through suspensions.
-	Proven(begun time.Duration)
-	// Lost tells that a call failed.
-	Lost()
+	CaughtUp(begun time.Duration)
+	// ReadFailed tells that a call failed.
+	ReadFailed()
 }
 
 // Figures of failed calls.
@@ -62,18 +62,18 @@
 
 // Follower follows one topic.
 type Follower struct {
-	Log    port.KeyedLog
-	Topic  port.Topic
-	Pace   Pace
-	Reader Reader
-	Logger *zap.Logger
-	// Slow multiplies the gap, if set; all instances' calls together are bounded.
-	Slow func() float64
-	// Turn is the number of instances that come before this one in reading the topic
+	Log     port.KeyedLog
+	Topic   port.Topic
+	Timing  PollTiming
+	Handler Handler
+	Logger  *zap.Logger
+	// GapFactor multiplies the gap, if set; all instances' calls together are bounded.
+	GapFactor func() float64
+	// Rank is the number of instances that come before this one in reading the topic
 	// for all. Nil means that each reads for itself.
-	Turn func() int
-	// Kick is told when there is something new to tell the others. Nil is allowed.
-	Kick func()
+	Rank func() int
+	// Announce is told when there is something new to tell the others. Nil is allowed.
+	Announce func()
 	// Now is the clock that counts through suspensions.
 	Now boottime.Clock
 
@@ -105,8 +105,8 @@
 
 // NewFollower returns a follower of a topic; the fields that are exported may be set
 // until it runs.
-func NewFollower(topic port.Topic, pace Pace, reader Reader) *Follower {
-	return &Follower{Topic: topic, Pace: pace, Reader: reader, Now: boottime.Now, wake: make(chan struct{}, 1)}
+func NewFollower(topic port.Topic, pace PollTiming, reader Handler) *Follower {
+	return &Follower{Topic: topic, Timing: pace, Handler: reader, Now: boottime.Now, wake: make(chan struct{}, 1)}
 }
 
 // Run follows the topic until ctx ends.
@@ -126,18 +126,18 @@
 }
 
 func (f *Follower) gap() time.Duration {
-	if f.Slow == nil {
-		return f.Pace.Gap
+	if f.GapFactor == nil {
+		return f.Timing.Gap
 	}
-	return time.Duration(float64(f.Pace.Gap) * f.Slow())
+	return time.Duration(float64(f.Timing.Gap) * f.GapFactor())
 }
 
 // step makes one call and hands on what it brought.
 func (f *Follower) step(ctx context.Context, begun time.Duration) error {
 	f.mu.Lock()
 	known, next := f.known, f.next
-	wait := f.Pace.Wait
-	if f.Turn != nil && (!f.reads || f.behind) {
+	wait := f.Timing.Wait
+	if f.Rank != nil && (!f.reads || f.behind) {
 		wait = 0
 	}
 	f.mu.Unlock()
@@ -178,7 +178,7 @@
 		f.proven(begun)
 		return
 	}
-	changed := f.Reader.Replace(records)
+	changed := f.Handler.Replace(records)
 	if !f.known {
 		f.known, f.knownSince = true, f.Now()
 	}
@@ -194,17 +194,17 @@
 	var changed []port.KeyedRecord
 	f.mu.Lock()
 	for _, record := range records {
-		if record.Offset >= f.next && f.Reader.Add(record) {
+		if record.Offset >= f.next && f.Handler.Add(record) {
 			changed = append(changed, record)
 		}
 	}
 	f.next = max(f.next, next)
 	f.changed(changed)
 	f.proven(begun)
-	tell := f.Turn != nil && (len(changed) > 0 || !f.reads)
+	tell := f.Rank != nil && (len(changed) > 0 || !f.reads)
 	f.mu.Unlock()
-	if tell && f.Kick != nil {
-		f.Kick()
+	if tell && f.Announce != nil {
+		f.Announce()
 	}
 }
 
@@ -213,7 +213,7 @@
 	f.proof = max(f.proof, begun)
 	f.lastRead = f.Now()
 	f.behind = false
-	f.Reader.Proven(begun)
+	f.Handler.CaughtUp(begun)
 }
 
 // lost tells of a failed call and pauses.
@@ -227,7 +227,7 @@
 	}
 	f.failed++
 	f.mu.Lock()
-	f.Reader.Lost()
+	f.Handler.ReadFailed()
 	f.mu.Unlock()
 	pause := min(firstRetry<<min(f.failed-1, 4), lastRetry)
 	sleep(ctx, pause/2+rand.N(pause))
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -86,8 +86,8 @@
 	return true
 }
 
-func (n *noted) Proven(time.Duration) { n.note(func(t *told) { t.proven++ }) }
-func (n *noted) Lost()                { n.note(func(t *told) { t.lost++ }) }
+func (n *noted) CaughtUp(time.Duration) { n.note(func(t *told) { t.proven++ }) }
+func (n *noted) ReadFailed()            { n.note(func(t *told) { t.lost++ }) }
 
 func (n *noted) note(change func(*told)) {
 	n.mu.Lock()
@@ -111,7 +111,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := &noted{}
 		ctx, cancel := context.WithCancel(t.Context())
-		f := NewFollower(port.TopicConfiguration, Pace{Wait: time.Second, Gap: 50 * time.Millisecond}, n)
+		f := NewFollower(port.TopicConfiguration, PollTiming{Wait: time.Second, Gap: 50 * time.Millisecond}, n)
 		f.Log, f.Logger, f.Now = s, zap.NewNop(), virtual
 		done := make(chan error)
 		go func() { done <- f.Run(ctx) }()
--- a/follow/share.go
+++ b/follow/share.go
@@ -63,7 +63,7 @@
 func (f *Follower) Note(now time.Duration) (n Note, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.Turn == nil || !f.known || !f.marked {
+	if f.Rank == nil || !f.known || !f.marked {
 		return Note{}, false
 	}
 	n = f.note(now)
@@ -74,12 +74,12 @@
 	return n, true
 }
 
-// Tell returns what to tell an instance that knows the topic up to an offset: the records that
+// NoteFor returns what to tell an instance that knows the topic up to an offset: the records that
 // it lacks as well, if they are still kept.
-func (f *Follower) Tell(now time.Duration, known uint64) (n Note, ok bool) {
+func (f *Follower) NoteFor(now time.Duration, known uint64) (n Note, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.Turn == nil || !f.known || !f.marked {
+	if f.Rank == nil || !f.known || !f.marked {
 		return Note{}, false
 	}
 	n = f.note(now)
@@ -89,8 +89,8 @@
 	return n, true
 }
 
-// Known is the offset up to which the topic is known, 0 while it is not.
-func (f *Follower) Known() uint64 {
+// NextOffset is the offset up to which the topic is known, 0 while it is not.
+func (f *Follower) NextOffset() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.next
@@ -101,13 +101,13 @@
 	return Note{Topic: f.Topic, Mark: f.mark, Next: f.next, Age: now - f.proof}
 }
 
-// Hear takes in what another instance tells. earliest is the earliest time, of the clock
+// Receive takes in what another instance tells. earliest is the earliest time, of the clock
 // that counts through suspensions, at which it can have been told: a report may have
 // waited anywhere on its way, and what it proves is older by that.
-func (f *Follower) Hear(n Note, earliest time.Duration) {
+func (f *Follower) Receive(n Note, earliest time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.known || f.Turn == nil {
+	if !f.known || f.Rank == nil {
 		return
 	}
 	if f.next < n.Mark {
@@ -125,7 +125,7 @@
 		return
 	}
 	f.proof = begun
-	f.Reader.Proven(begun)
+	f.Handler.CaughtUp(begun)
 }
 
 // fallBehind notes that records are missing here. A note that carries records and does not
@@ -150,7 +150,7 @@
 	}
 	for _, record := range n.Records {
 		if record.Offset >= f.next {
-			f.Reader.Add(record)
+			f.Handler.Add(record)
 		}
 	}
 	f.next = n.Mark
@@ -172,7 +172,7 @@
 // changed notes records that this instance has read and that changed something; the lock
 // is held.
 func (f *Follower) changed(records []port.KeyedRecord) {
-	if f.Turn == nil || !f.marked || len(records) == 0 {
+	if f.Rank == nil || !f.marked || len(records) == 0 {
 		return
 	}
 	if f.relay.reports == 0 {
@@ -194,7 +194,7 @@
 func (f *Follower) pause(now time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.Turn == nil {
+	if f.Rank == nil {
 		return f.readAfter(now)
 	}
 	if !f.known {
@@ -203,7 +203,7 @@
 	if f.behind {
 		return max(f.catchUp-now, 0)
 	}
-	turn := f.Turn()
+	turn := f.Rank()
 	f.regular(turn < regulars && now-f.knownSince > regularAfter)
 	if turn < regulars {
 		f.mustMark(now)
@@ -212,7 +212,7 @@
 		return f.readAfter(now)
 	}
 	turn = max(turn, regulars)
-	return f.proof + f.Pace.Spare + f.Pace.Stagger*time.Duration(turn-regulars) - now
+	return f.proof + f.Timing.TakeoverAge + f.Timing.Stagger*time.Duration(turn-regulars) - now
 }
 
 // readAfter is the pause until the next read of an instance that reads all the time; the
--- a/follow/share_test.go
+++ b/follow/share_test.go
@@ -100,13 +100,13 @@
 	return true
 }
 
-func (i *instance) Proven(begun time.Duration) {
+func (i *instance) CaughtUp(begun time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.proof = max(i.proof, begun)
 }
 
-func (i *instance) Lost() {
+func (i *instance) ReadFailed() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.lost++
@@ -139,7 +139,7 @@
 
 const noteInterval = 100 * time.Millisecond
 
-var testPace = Pace{Wait: 400 * time.Millisecond, Gap: 50 * time.Millisecond, Spare: 1200 * time.Millisecond, Stagger: 25 * time.Millisecond}
+var testPace = PollTiming{Wait: 400 * time.Millisecond, Gap: 50 * time.Millisecond, TakeoverAge: 1200 * time.Millisecond, Stagger: 25 * time.Millisecond}
 
 func runShared(t *testing.T, n int, steps func(s *shared)) {
 	synctest.Test(t, func(t *testing.T) {
@@ -151,7 +151,7 @@
 			i := &instance{}
 			i.follower = NewFollower(port.TopicConfiguration, testPace, i)
 			i.follower.Log, i.follower.Logger, i.follower.Now = &reader{log: s.log, id: id}, zap.NewNop(), virtual
-			i.follower.Turn = func() int { return id }
+			i.follower.Rank = func() int { return id }
 			s.instances = append(s.instances, i)
 			running.Go(func() { _ = i.follower.Run(ctx) })
 		}
@@ -192,10 +192,10 @@
 					continue
 				}
 				if held == 0 {
-					other.follower.Hear(note, sent)
+					other.follower.Receive(note, sent)
 					continue
 				}
-				time.AfterFunc(held, func() { other.follower.Hear(note, sent) })
+				time.AfterFunc(held, func() { other.follower.Receive(note, sent) })
 			}
 		}
 	}
@@ -230,7 +230,7 @@
 		oldest := s.oldest(10 * time.Second)
 		calls := s.log.asked() - before
 		assert.Assert(t, calls <= 2*10*3, "%d calls in ten seconds", calls)
-		assert.Assert(t, oldest < testPace.Spare, "a proof was %v old", oldest)
+		assert.Assert(t, oldest < testPace.TakeoverAge, "a proof was %v old", oldest)
 		s.log.put("beat")
 		s.log.put("second")
 		before = s.log.asked()
@@ -247,7 +247,7 @@
 		s.log.refuse(0, 1)
 		time.Sleep(100 * time.Millisecond)
 		s.log.put("withdrawn")
-		time.Sleep(testPace.Spare + 600*time.Millisecond)
+		time.Sleep(testPace.TakeoverAge + 600*time.Millisecond)
 		assert.Assert(t, s.allKnow("withdrawn"))
 		oldest := s.oldest(10 * time.Second)
 		assert.Assert(t, oldest < 1700*time.Millisecond, "a proof was %v old", oldest)
@@ -263,9 +263,9 @@
 	runShared(t, 5, func(s *shared) {
 		s.set(func() { s.drop = func(int, int) bool { return true } })
 		s.log.put("second")
-		time.Sleep(testPace.Spare + 400*time.Millisecond)
+		time.Sleep(testPace.TakeoverAge + 400*time.Millisecond)
 		assert.Assert(t, s.allKnow("second"))
-		assert.Assert(t, s.oldest(5*time.Second) < testPace.Spare+400*time.Millisecond)
+		assert.Assert(t, s.oldest(5*time.Second) < testPace.TakeoverAge+400*time.Millisecond)
 	})
 }
 
@@ -295,7 +295,7 @@
 		}
 		s.log.refuse()
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, s.oldest(time.Second) < testPace.Spare+400*time.Millisecond)
+		assert.Assert(t, s.oldest(time.Second) < testPace.TakeoverAge+400*time.Millisecond)
 	})
 }
 
@@ -304,13 +304,13 @@
 func TestMissingRecordIsRead(t *testing.T) {
 	n := &instance{}
 	f := NewFollower(port.TopicUpstreams, testPace, n)
-	f.Turn = func() int { return 5 }
+	f.Rank = func() int { return 5 }
 	f.known, f.next, f.marked, f.mark = true, 10, true, 10
 	record := func(offset uint64) port.KeyedRecord { return port.KeyedRecord{Key: "new", Offset: offset} }
-	f.Hear(Note{Mark: 13, Next: 14, From: 11, Records: []port.KeyedRecord{record(12)}}, time.Second)
+	f.Receive(Note{Mark: 13, Next: 14, From: 11, Records: []port.KeyedRecord{record(12)}}, time.Second)
 	assert.Equal(t, n.known, "")
 	assert.Equal(t, f.pause(0), time.Duration(0), "the missing record is read at once")
-	f.Hear(Note{Mark: 13, Next: 14, From: 9, Records: []port.KeyedRecord{record(9), record(12)}}, time.Second)
+	f.Receive(Note{Mark: 13, Next: 14, From: 9, Records: []port.KeyedRecord{record(9), record(12)}}, time.Second)
 	assert.Equal(t, n.known, "new")
 	assert.Equal(t, f.next, uint64(14))
 }
@@ -322,18 +322,18 @@
 func TestWordOfARecordWaitsForTheRecord(t *testing.T) {
 	n := &instance{}
 	f := NewFollower(port.TopicUpstreams, testPace, n)
-	f.Turn = func() int { return 5 }
+	f.Rank = func() int { return 5 }
 	now := time.Minute
 	f.Now = func() time.Duration { return now }
 	f.known, f.next, f.marked, f.mark, f.proof = true, 10, true, 10, now
-	f.Hear(Note{Mark: 11, Next: 12}, now)
+	f.Receive(Note{Mark: 11, Next: 12}, now)
 	assert.Assert(t, f.pause(now) > 0, "the record may be on its way")
-	f.Hear(Note{Mark: 11, Next: 12}, now)
+	f.Receive(Note{Mark: 11, Next: 12}, now)
 	assert.Equal(t, f.pause(now), relayPatience, "words of others do not end the wait")
-	f.Hear(Note{Mark: 11, Next: 12, From: 10, Records: []port.KeyedRecord{{Key: "new", Offset: 10}}}, now)
+	f.Receive(Note{Mark: 11, Next: 12, From: 10, Records: []port.KeyedRecord{{Key: "new", Offset: 10}}}, now)
 	assert.Equal(t, n.known, "new")
 	assert.Assert(t, f.pause(now) > relayPatience, "nothing is missing any more")
-	f.Hear(Note{Mark: 15, Next: 15}, now)
+	f.Receive(Note{Mark: 15, Next: 15}, now)
 	now += relayPatience
 	assert.Equal(t, f.pause(now), time.Duration(0), "a record that did not come is read")
 }
@@ -344,13 +344,13 @@
 // record is never read, and a key that was withdrawn works on here for seconds.
 func TestWordsOfThoseWhoKnowLessDoNotEndTheWait(t *testing.T) {
 	f := NewFollower(port.TopicConfiguration, testPace, &instance{})
-	f.Turn = func() int { return 5 }
+	f.Rank = func() int { return 5 }
 	now := time.Minute
 	f.Now = func() time.Duration { return now }
 	f.known, f.next, f.marked, f.mark, f.proof = true, 10, true, 10, now
 	for range 3 {
-		f.Hear(Note{Mark: 11, Next: 12}, now)
-		f.Hear(Note{Mark: 10, Next: 10}, now)
+		f.Receive(Note{Mark: 11, Next: 12}, now)
+		f.Receive(Note{Mark: 10, Next: 10}, now)
 		now += relayPatience / 2
 	}
 	assert.Equal(t, f.pause(now), time.Duration(0))
@@ -362,11 +362,11 @@
 func TestJustStartedInstanceDoesNotReadForAll(t *testing.T) {
 	f := NewFollower(port.TopicConfiguration, testPace, &instance{})
 	f.Logger = zap.NewNop()
-	f.Turn = func() int { return 0 }
+	f.Rank = func() int { return 0 }
 	now := time.Minute
 	f.Now = func() time.Duration { return now }
 	f.known, f.knownSince, f.proof, f.lastRead = true, now, now, now
-	assert.Equal(t, f.pause(now), testPace.Spare, "its first read holds for a while")
+	assert.Equal(t, f.pause(now), testPace.TakeoverAge, "its first read holds for a while")
 	now += regularAfter + time.Millisecond
 	assert.Assert(t, f.pause(now) <= testPace.Gap, "nobody else has been heard")
 }
--- a/instance/routed/readers.go
+++ b/instance/routed/readers.go
@@ -67,17 +67,17 @@
 
 // follower returns a follower of a topic of which every instance must know a change
 // within a time.
-func (i *Instance) follower(topic port.Topic, within time.Duration, reader follow.Reader) *follow.Follower {
+func (i *Instance) follower(topic port.Topic, within time.Duration, reader follow.Handler) *follow.Follower {
 	part := func(share float64) time.Duration { return time.Duration(share * float64(within)) }
-	pace := follow.Pace{Spare: part(spareShare), Stagger: part(staggerShare) / maxStagger}
+	pace := follow.PollTiming{TakeoverAge: part(spareShare), Stagger: part(staggerShare) / maxStagger}
 	if topic == port.TopicConfiguration {
 		pace.Wait, pace.Gap = part(waitShare), configGap
 	} else {
 		pace.Gap = part(leavingShare)
 	}
 	f := follow.NewFollower(topic, pace, reader)
-	f.Turn = func() int { return min(i.exchange.Rank(topic.String()), maxStagger) }
-	f.Kick = func() { i.exchange.Announce() }
+	f.Rank = func() int { return min(i.exchange.Rank(topic.String()), maxStagger) }
+	f.Announce = func() { i.exchange.Announce() }
 	return f
 }
 
@@ -92,7 +92,7 @@
 		if n, ok := f.Note(now); ok {
 			r.Notes = append(r.Notes, n)
 		}
-		if known := f.Known(); known > 0 {
+		if known := f.NextOffset(); known > 0 {
 			r.Known[f.Topic] = known
 		}
 	}
@@ -111,7 +111,7 @@
 		if !told {
 			known = math.MaxUint64
 		}
-		if n, ok := f.Tell(now, known); ok {
+		if n, ok := f.NoteFor(now, known); ok {
 			r.Notes = append(r.Notes, n)
 		}
 	}
@@ -138,7 +138,7 @@
 	for _, n := range r.Notes {
 		for _, f := range i.shared {
 			if f.Topic == n.Topic {
-				f.Hear(n, r.Earliest)
+				f.Receive(n, r.Earliest)
 			}
 		}
 	}
@@ -148,7 +148,7 @@
 // evacuated.
 type configReader struct{ instance *Instance }
 
-// Replace implements follow.Reader.
+// Replace implements follow.Handler.
 func (r *configReader) Replace(records []port.KeyedRecord) bool {
 	changed := r.keepEvacuated(records)
 	for _, record := range records {
@@ -182,7 +182,7 @@
 	return true
 }
 
-// Add implements follow.Reader.
+// Add implements follow.Handler.
 func (r *configReader) Add(record port.KeyedRecord) bool {
 	i := r.instance
 	if dataCentre, evacuated, ok := i.outside.Evacuation(record); ok {
@@ -214,15 +214,15 @@
 	return true
 }
 
-// Proven implements follow.Reader.
-func (r *configReader) Proven(begun time.Duration) {
+// CaughtUp implements follow.Handler.
+func (r *configReader) CaughtUp(begun time.Duration) {
 	if r.instance.state.Index() != nil {
 		r.instance.state.ConfirmCurrent(begun)
 	}
 }
 
-// Lost implements follow.Reader.
-func (r *configReader) Lost() {}
+// ReadFailed implements follow.Handler.
+func (r *configReader) ReadFailed() {}
 
 // upstreamReader takes in upstreams' entries.
 type upstreamReader struct {
@@ -238,7 +238,7 @@
 // may still be missing.
 const returnTime = 2200 * time.Millisecond
 
-// Replace implements follow.Reader.
+// Replace implements follow.Handler.
 func (r *upstreamReader) Replace(records []port.KeyedRecord) bool {
 	r.returned()
 	changed := false
@@ -254,7 +254,7 @@
 	return changed
 }
 
-// Add implements follow.Reader.
+// Add implements follow.Handler.
 func (r *upstreamReader) Add(record port.KeyedRecord) bool {
 	r.returned()
 	i := r.instance
@@ -304,8 +304,8 @@
 	}
 }
 
-// Proven implements follow.Reader.
-func (r *upstreamReader) Proven(time.Duration) {
+// CaughtUp implements follow.Handler.
+func (r *upstreamReader) CaughtUp(time.Duration) {
 	r.instance.state.UpstreamsRead()
 	r.returned()
 	if len(r.removed) == 0 || boottime.Now() < r.holdUntil {
@@ -317,5 +317,5 @@
 	r.removed = nil
 }
 
-// Lost implements follow.Reader.
-func (r *upstreamReader) Lost() { r.lost = true }
+// ReadFailed implements follow.Handler.
+func (r *upstreamReader) ReadFailed() { r.lost = true }
--- a/instance/routed/routed.go
+++ b/instance/routed/routed.go
@@ -263,8 +263,8 @@
 
 // startFollowing starts what keeps this instance's beliefs.
 func (i *Instance) startFollowing(ctx context.Context, group *errgroup.Group) {
-	members := follow.NewFollower(port.TopicInstances, follow.Pace{Gap: memberGap}, i.members)
-	members.Slow = i.readSlowly
+	members := follow.NewFollower(port.TopicInstances, follow.PollTiming{Gap: memberGap}, i.members)
+	members.GapFactor = i.readSlowly
 	for _, f := range append(i.shared[:len(i.shared):len(i.shared)], members) {
 		f.Log, f.Logger = i.outside.Log, i.log
 		group.Go(func() error {
