--- a/config/follow_log.go
+++ b/config/follow_log.go
@@ -108,7 +108,7 @@
 	f.becomeReady()
 }
 
-func (f *Follower) countJudged(judged []Judged) {
+func (f *Follower) countJudged(judged []JudgedRecord) {
 	for _, j := range judged {
 		f.scope.Tagged(map[string]string{"judgement": string(j.Judgement)}).Counter("records").Inc(1)
 		f.log.Info("configuration record", zap.Uint64("offset", j.Record.Offset), zap.String("judgement", string(j.Judgement)))
--- a/config/follow_peers.go
+++ b/config/follow_peers.go
@@ -15,8 +15,8 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// Notice tells the follower that a peer holds a version.
-func (f *Follower) Notice(peerAddress string, version uint64) {
+// ObservePeerVersion tells the follower that a peer holds a version.
+func (f *Follower) ObservePeerVersion(peerAddress string, version uint64) {
 	if f.note(peerAddress, version) {
 		f.poke()
 	}
--- a/config/follower_test.go
+++ b/config/follower_test.go
@@ -302,7 +302,7 @@
 	f := NewFollower(FollowerConfig{})
 	f.takeReplay(replay, false, false)
 	assert.Assert(t, !f.Ready())
-	f.Notice("10.0.0.2:1", 9)
+	f.ObservePeerVersion("10.0.0.2:1", 9)
 	f.takeReplay(replay, false, true)
 	assert.Assert(t, !f.Ready())
 	f.notices = map[string]notice{}
@@ -338,7 +338,7 @@
 		defer f.stopAll()
 		mustPublish(t, f.log, 1)
 		n := f.start("10.0.0.1:1", true)
-		n.Notice("10.0.0.2:1", 9)
+		n.ObservePeerVersion("10.0.0.2:1", 9)
 		n.view.set(false)
 		settleFleet(3 * time.Second)
 		assert.Equal(t, n.version(), uint64(1))
--- a/config/publisher.go
+++ b/config/publisher.go
@@ -186,7 +186,7 @@
 	var lastErr error
 	for end := time.Now().Add(settleTime); time.Now().Before(end) && ctx.Err() == nil; {
 		page, err := readPage(ctx, p.log, replay.next, pageSize, settlePoll)
-		var judged []Judged
+		var judged []JudgedRecord
 		if err == nil {
 			judged, err = applyPage(replay, page)
 		}
@@ -204,7 +204,7 @@
 // settled looks through judged records for the own one. A foreign record that was
 // accepted on the base settles the matter too: the own one can only be void, even
 // if it arrives later.
-func settled(judged []Judged, id string, fail *PublishError) (done bool, version uint64, err error) {
+func settled(judged []JudgedRecord, id string, fail *PublishError) (done bool, version uint64, err error) {
 	for _, j := range judged {
 		own := j.Record.ID == id
 		switch {
--- a/config/read.go
+++ b/config/read.go
@@ -39,8 +39,8 @@
 }
 
 // catchUp applies records until the end of the stream and returns what was judged.
-func catchUp(ctx context.Context, log port.Log, replay *Replay) ([]Judged, error) {
-	var out []Judged
+func catchUp(ctx context.Context, log port.Log, replay *Replay) ([]JudgedRecord, error) {
+	var out []JudgedRecord
 	for {
 		page, err := readPage(ctx, log, replay.next, pageSize, 0)
 		if err != nil {
@@ -66,11 +66,11 @@
 var errShortPage = oops.Errorf("the log returned no records before its end")
 
 // applyPage applies the records of a page that was read from replay.next.
-func applyPage(replay *Replay, page port.Page) ([]Judged, error) {
+func applyPage(replay *Replay, page port.Page) ([]JudgedRecord, error) {
 	if page.First > replay.next {
 		return nil, errGap
 	}
-	var out []Judged
+	var out []JudgedRecord
 	for _, rec := range page.Records {
 		if rec.Offset < replay.next {
 			continue
@@ -120,7 +120,7 @@
 }
 
 // History judges every retained record of the stream.
-func History(ctx context.Context, log port.Log) ([]Judged, error) {
+func History(ctx context.Context, log port.Log) ([]JudgedRecord, error) {
 	page, err := readPage(ctx, log, 1, 1, 0)
 	if err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 	replay := NewReplay(max(page.First, 1))
 	judged, err := catchUp(ctx, log, replay)
 	for _, c := range replay.pending {
-		judged = append(judged, Judged{Record: c.raw, Header: c.record.header, Judgement: Undecided})
+		judged = append(judged, JudgedRecord{Record: c.raw, Header: c.record.header, Judgement: Undecided})
 	}
 	return judged, err
 }
--- a/config/replay.go
+++ b/config/replay.go
@@ -27,8 +27,8 @@
 	Undecided Judgement = "undecided"
 )
 
-// Judged is a record with its judgement.
-type Judged struct {
+// JudgedRecord is a record with its judgement.
+type JudgedRecord struct {
 	Record    port.Record
 	Header    Header
 	Judgement Judgement
@@ -93,11 +93,11 @@
 
 // Apply judges the record at offset Next. It returns the judgements that became
 // certain: none or several when the replay is not anchored.
-func (r *Replay) Apply(rec port.Record) []Judged {
+func (r *Replay) Apply(rec port.Record) []JudgedRecord {
 	r.next = rec.Offset + 1
 	c := newCandidate(rec)
 	if r.anchored {
-		return []Judged{r.judge(c)}
+		return []JudgedRecord{r.judge(c)}
 	}
 	r.pending = append(r.pending, c)
 	if len(r.pending) > maxPending {
@@ -121,7 +121,7 @@
 
 // anchor takes a record's statement of what was in force, if it reaches back no
 // further than the records at hand, and judges those after it.
-func (r *Replay) anchor(c candidate) []Judged {
+func (r *Replay) anchor(c candidate) []JudgedRecord {
 	h := c.record.header
 	if c.fault != "" || h.Kind == KindChange || h.Through+1 < r.pending[0].raw.Offset {
 		return nil
@@ -133,10 +133,10 @@
 	if h.Kind == KindRepublish {
 		r.keepWhole(c)
 	}
-	out := make([]Judged, 0, len(r.pending))
+	out := make([]JudgedRecord, 0, len(r.pending))
 	for _, p := range r.pending {
 		if p.raw.Offset <= h.Through {
-			out = append(out, Judged{Record: p.raw, Header: p.record.header, Judgement: Undecided})
+			out = append(out, JudgedRecord{Record: p.raw, Header: p.record.header, Judgement: Undecided})
 			continue
 		}
 		if r.undecidable(p) {
@@ -172,8 +172,8 @@
 }
 
 // judge applies the rule to one record of an anchored replay.
-func (r *Replay) judge(c candidate) Judged {
-	out := Judged{Record: c.raw, Header: c.record.header, Judgement: c.fault}
+func (r *Replay) judge(c candidate) JudgedRecord {
+	out := JudgedRecord{Record: c.raw, Header: c.record.header, Judgement: c.fault}
 	if c.fault != "" {
 		return out
 	}
--- a/instance/join.go
+++ b/instance/join.go
@@ -76,7 +76,7 @@
 func (i *Instance) subscribe() {
 	i.follower.Subscribe(i.applyConfig)
 	i.members.OnConfigVersion(func(peer membership.Member, version uint64) {
-		i.follower.Notice(peer.Address, version)
+		i.follower.ObservePeerVersion(peer.Address, version)
 	})
 	i.members.OnChange(func([]membership.Member) { i.refreshSchedulers() })
 	i.members.OnRenewed(func(old, renewed uint64) {
--- a/operator/ctl/show.go
+++ b/operator/ctl/show.go
@@ -131,7 +131,7 @@
 	}
 }
 
-func newHistoryEntry(j config.Judged) historyEntry {
+func newHistoryEntry(j config.JudgedRecord) historyEntry {
 	return historyEntry{
 		Offset: j.Record.Offset, Judgement: j.Judgement, Kind: j.Header.Kind, Base: j.Header.Base,
 		Appended: j.Record.Appended.UTC().Format("2006-01-02T15:04:05Z"), RecordID: j.Record.ID,
