--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// fleetSet has the users' later number of organisations, with two keys each.
-func fleetSet() object.Set {
+// largeSet has the number of organisations expected later, 12000, with two keys each.
+func largeSet() object.Set {
 	set := testSet(1)
 	for i := range 12000 {
 		name := fmt.Sprintf("organisation-%05d", i)
@@ -23,9 +23,9 @@
 	return set
 }
 
-// BenchmarkApplyFleetSet is what a whole set costs every instance.
-func BenchmarkApplyFleetSet(b *testing.B) {
-	data, err := encodeSet(Header{Format: format, Kind: KindPublish}, fleetSet())
+// BenchmarkApplyLargeSet measures the cost of applying a full set, which every instance pays.
+func BenchmarkApplyLargeSet(b *testing.B) {
+	data, err := encodeSet(Header{Format: recordFormat, Kind: KindPublish}, largeSet())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -38,17 +38,18 @@
 	b.ReportMetric(float64(len(data)), "bytes/record")
 }
 
-// BenchmarkApplyFleetChange is what the withdrawal of one key costs every instance.
-func BenchmarkApplyFleetChange(b *testing.B) {
-	whole, err := encodeSet(Header{Format: format, Kind: KindPublish}, fleetSet())
+// BenchmarkApplyLargeChange measures the cost of applying the withdrawal of one key, which
+// every instance pays.
+func BenchmarkApplyLargeChange(b *testing.B) {
+	full, err := encodeSet(Header{Format: recordFormat, Kind: KindPublish}, largeSet())
 	if err != nil {
 		b.Fatal(err)
 	}
 	start := NewReplay(1)
-	start.Apply(port.Record{Offset: 1, Data: whole, Appended: time.Now()})
-	edited := fleetSet()
+	start.Apply(port.Record{Offset: 1, Data: full, Appended: time.Now()})
+	edited := largeSet()
 	edited.Keys[7000].Withdrawn = true
-	data, err := encodePublish(Header{Format: format, Kind: KindPublish, Base: 1, Through: 1}, edited, start)
+	data, err := encodePublish(Header{Format: recordFormat, Kind: KindPublish, Base: 1, Through: 1}, edited, start)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/config/fakes_test.go
+++ b/config/fakes_test.go
@@ -19,17 +19,17 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// memLog is a log in memory. Its faults are set between calls.
+// memLog is an in-memory log. Tests inject failures by setting its fields between calls.
 type memLog struct {
 	mu      sync.Mutex
 	first   uint64
 	records []port.Record
 	changed chan struct{}
-	// beforeAppend runs without the lock before each append takes effect.
+	// beforeAppend runs once, without the lock held, before the next append takes effect.
 	beforeAppend func()
-	// loseBefore and loseAfter lose the answer of the next append, before or after
-	// its effect.
-	loseBefore, loseAfter bool
+	// failBeforeAppend and failAfterAppend make the next append fail with an unknown outcome,
+	// before or after it takes effect.
+	failBeforeAppend, failAfterAppend bool
 }
 
 func newMemLog() *memLog { return &memLog{first: 1, changed: make(chan struct{})} }
@@ -46,8 +46,8 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.loseBefore {
-		l.loseBefore = false
+	if l.failBeforeAppend {
+		l.failBeforeAppend = false
 		return 0, errLost
 	}
 	first := l.next()
@@ -56,8 +56,8 @@
 	}
 	close(l.changed)
 	l.changed = make(chan struct{})
-	if l.loseAfter {
-		l.loseAfter = false
+	if l.failAfterAppend {
+		l.failAfterAppend = false
 		return 0, errLost
 	}
 	return first, nil
@@ -103,14 +103,14 @@
 	}
 }
 
-// logView is one instance's way to the log.
+// logView is one instance's connection to the log.
 type logView struct {
 	*memLog
 	mu   sync.Mutex
 	down chan struct{}
 }
 
-func (v *logView) set(down bool) {
+func (v *logView) setDown(down bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch {
@@ -151,23 +151,23 @@
 	view   *logView
 	cancel context.CancelFunc
 	done   chan struct{}
-	// cut nodes are reached by no peer.
-	cut atomic.Bool
-	// deaf nodes know no peer.
-	deaf atomic.Bool
-	seen []uint64
+	// isolated nodes cannot be reached by their peers.
+	isolated atomic.Bool
+	// knowsNoPeers nodes have an empty peer list.
+	knowsNoPeers atomic.Bool
+	seenVersions []uint64
 }
 
-// fleet is a few followers that reach one another by direct calls.
+// fleet is a group of followers that call each other directly.
 type fleet struct {
 	log       *memLog
 	retention time.Duration
 	mu        sync.Mutex
 	nodes     map[string]*node
-	// fetches counts questions between peers.
+	// fetches counts the fetches between peers.
 	fetches atomic.Int64
-	// ghost is a peer that everybody knows and nobody reaches.
-	ghost atomic.Pointer[Peer]
+	// unreachablePeer, if set, is listed by every node and cannot be reached.
+	unreachablePeer atomic.Pointer[Peer]
 }
 
 func newFleet(retention time.Duration) *fleet {
@@ -176,13 +176,13 @@
 
 func (f *fleet) start(address string, logDown bool) *node {
 	n := &node{view: &logView{memLog: f.log}, done: make(chan struct{})}
-	n.view.set(logDown)
+	n.view.setDown(logDown)
 	n.Follower = NewFollower(FollowerConfig{
 		Log: n.view, Self: address, Retention: f.retention, Seed: uint64(crc32.ChecksumIEEE([]byte(address))),
 		Peers: func() []Peer { return f.peers(address) },
 		Dial:  func(to string) peerv1connect.ConfigServiceClient { return client{f, to} },
 	})
-	n.Subscribe(func(x *object.Index) { n.seen = append(n.seen, x.Version()) })
+	n.Subscribe(func(x *object.Index) { n.seenVersions = append(n.seenVersions, x.Version()) })
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	f.mu.Lock()
@@ -225,15 +225,15 @@
 func (f *fleet) peers(self string) []Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n := f.nodes[self]; n == nil || n.deaf.Load() {
+	if n := f.nodes[self]; n == nil || n.knowsNoPeers.Load() {
 		return nil
 	}
 	var out []Peer
-	if ghost := f.ghost.Load(); ghost != nil {
-		out = append(out, *ghost)
+	if unreachable := f.unreachablePeer.Load(); unreachable != nil {
+		out = append(out, *unreachable)
 	}
 	for address, n := range f.nodes {
-		if address != self && !n.cut.Load() {
+		if address != self && !n.isolated.Load() {
 			out = append(out, Peer{Address: address, Version: n.version()})
 		}
 	}
@@ -247,7 +247,7 @@
 	return 0
 }
 
-// client calls a follower of the fleet in place of the network.
+// client calls a follower of the fleet directly instead of over the network.
 type client struct {
 	fleet *fleet
 	to    string
@@ -258,13 +258,13 @@
 	c.fleet.mu.Lock()
 	n := c.fleet.nodes[c.to]
 	c.fleet.mu.Unlock()
-	if n == nil || n.cut.Load() {
+	if n == nil || n.isolated.Load() {
 		return nil, connect.NewError(connect.CodeUnavailable, errors.New("unreachable"))
 	}
 	return n.Follower.Fetch(ctx, req)
 }
 
-// testKeys make a set so large that an edit of it is published as a change.
+// testKeys make a set large enough that an edit of it is published as a change.
 var testKeys = func() []object.Key {
 	keys := make([]object.Key, 12)
 	for i := range keys {
@@ -274,8 +274,7 @@
 	return keys
 }()
 
-// testSet is a valid set that a number tells from others. A negative one has its
-// first key withdrawn.
+// testSet returns a valid set that depends on n. If n is negative, the first key is withdrawn.
 func testSet(n int) object.Set {
 	keys := slices.Clone(testKeys)
 	keys[0].Withdrawn = n < 0
@@ -288,8 +287,8 @@
 	}
 }
 
-// numbered makes record ids that are the same in every run.
-func numbered(prefix string) func() string {
+// sequentialIDs returns a generator of record IDs that are the same in every run.
+func sequentialIDs(prefix string) func() string {
 	n := 0
 	return func() string {
 		n++
@@ -298,5 +297,5 @@
 }
 
 func testPublisher(log port.Log, name string) *Publisher {
-	return &Publisher{log: log, newID: numbered(name)}
+	return &Publisher{log: log, newID: sequentialIDs(name)}
 }
--- a/config/follow_log.go
+++ b/config/follow_log.go
@@ -9,48 +9,49 @@
 	"go.uber.org/zap"
 )
 
-// Waits between failed reads. The first is short, since a log that restarts is
-// back within a second; the last is such that 400 instances ask a log that is
-// down about 200 times a second.
+// Delays between failed reads. The first is short, since a restarting log is back within a
+// second; with the last, 400 instances send about 200 reads a second to a log that is
+// unavailable.
 const (
-	firstLogRetry = 200 * time.Millisecond
-	lastLogRetry  = 2 * time.Second
+	initialLogRetry = 200 * time.Millisecond
+	maxLogRetry     = 2 * time.Second
 )
 
 func newLogBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = firstLogRetry
-	b.MaxInterval = lastLogRetry
+	b.InitialInterval = initialLogRetry
+	b.MaxInterval = maxLogRetry
 	b.RandomizationFactor = 0
 	return b
 }
 
-// jitter spreads a wait over half to one and a half of it, by the follower's own
-// seed. Without it, instances that lost the log together ask again together.
+// jitter returns a random duration between half and one and a half times d, drawn from the
+// follower's seed. Without it, instances that lost the log at the same time would retry at the
+// same time.
 func (f *Follower) jitter(d time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return d/2 + time.Duration(f.rand.Int64N(int64(d)))
 }
 
-// followLog reads the log to its end and then waits for each new record.
+// followLog reads the log to its end and then waits for new records.
 func (f *Follower) followLog(ctx context.Context) error {
 	retry := newLogBackoff()
 	var replay *Replay
 	for ctx.Err() == nil {
 		var err error
 		if replay == nil {
-			replay, err = f.openLog(ctx)
+			replay, err = f.openReplay(ctx)
 		} else {
-			err = f.readOn(ctx, replay)
+			err = f.readNext(ctx, replay)
 		}
-		f.noteLog(ctx, err)
+		f.updateLogStatus(ctx, err)
 		switch {
 		case errors.Is(err, errGap) && replay != nil:
 			f.scope.Counter("log_gaps").Inc(1)
 			replay = nil
 		case err != nil:
-			pause(ctx, f.jitter(retry.NextBackOff()))
+			sleep(ctx, f.jitter(retry.NextBackOff()))
 		default:
 			retry.Reset()
 		}
@@ -58,65 +59,64 @@
 	return ctx.Err()
 }
 
-// openLog finds what is in force at the end of the log.
-func (f *Follower) openLog(ctx context.Context) (*Replay, error) {
+// openReplay reads the end of the log to find the current version.
+func (f *Follower) openReplay(ctx context.Context) (*Replay, error) {
 	replay, err := readTail(ctx, f.cfg.Log)
 	if err != nil {
 		return nil, err
 	}
-	f.takeReplay(replay, false, true)
+	f.adoptReplay(replay, false, true)
 	return replay, nil
 }
 
-// readOn waits for records after those already read.
-func (f *Follower) readOn(ctx context.Context, replay *Replay) error {
+// readNext waits for records after those already read.
+func (f *Follower) readNext(ctx context.Context, replay *Replay) error {
 	page, err := readPage(ctx, f.cfg.Log, replay.next, pageSize, longPoll)
 	if err != nil {
 		return err
 	}
 	if page.Next < replay.next {
-		// Offsets are never used twice, so that a shorter stream is not this one.
+		// Offsets are never reused, so a shorter stream is a different one.
 		f.scope.Counter("log_behind").Inc(1)
 		return errLogBehind
 	}
 	judged, err := applyPage(replay, page)
-	f.countJudged(judged)
-	f.takeReplay(replay, true, page.Next <= replay.next)
-	f.noteFirst(page.First)
+	f.reportJudged(judged)
+	f.adoptReplay(replay, true, page.Next <= replay.next)
+	f.noticeExpiry(page.First)
 	return err
 }
 
-var errLogBehind = errors.New("the log ends before a record that was read from it")
+var errLogBehind = errors.New("the log ends before an offset already read")
 
-// takeReplay offers the replay's version and remembers which record carries it.
-// The record was live if it was seen to arrive; atEnd tells whether the replay has
-// reached the end of the log.
-func (f *Follower) takeReplay(replay *Replay, live, atEnd bool) {
+// adoptReplay takes over the replay's version and notes which record carries its full set.
+// live is true if the last record was read as it arrived, atEnd if the replay has reached the
+// end of the log.
+func (f *Follower) adoptReplay(replay *Replay, live, atEnd bool) {
 	if !replay.anchored || replay.set == nil {
-		// Without an anchor nothing may be said about what is in force, so that
-		// there is nothing to republish either.
+		// Without an anchor the current version is unknown, so there is nothing to republish.
 		f.mu.Lock()
-		f.carrier = carrier{}
+		f.fullRecord = fullSetRecord{}
 		f.mu.Unlock()
 		return
 	}
-	f.offer(replay.version, *replay.set, "log")
+	f.holdIfNewer(replay.version, *replay.set, "log")
 	f.mu.Lock()
-	f.carrier.update(replay, live, time.Now())
+	f.fullRecord.update(replay, live, time.Now())
 	f.caughtUp = f.caughtUp || atEnd
 	f.mu.Unlock()
-	f.becomeReady()
+	f.activateIfComplete()
 }
 
-func (f *Follower) countJudged(judged []JudgedRecord) {
+func (f *Follower) reportJudged(judged []JudgedRecord) {
 	for _, j := range judged {
 		f.scope.Tagged(map[string]string{"judgement": string(j.Judgement)}).Counter("records").Inc(1)
-		f.log.Info("configuration record", zap.Uint64("offset", j.Record.Offset), zap.String("judgement", string(j.Judgement)))
+		f.log.Info("configuration record judged", zap.Uint64("offset", j.Record.Offset), zap.String("judgement", string(j.Judgement)))
 	}
 }
 
-// noteLog remembers whether the log answers.
-func (f *Follower) noteLog(ctx context.Context, err error) {
+// updateLogStatus records whether the log is available.
+func (f *Follower) updateLogStatus(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -132,15 +132,15 @@
 		return
 	}
 	if down {
-		f.log.Warn("configuration log down", errorField(err))
-		f.poke()
+		f.log.Warn("configuration log unavailable", errorField(err))
+		f.wakePeerLoop()
 		return
 	}
-	f.log.Info("configuration log up")
+	f.log.Info("configuration log available again")
 }
 
-// errorField gives the message alone. zap.Error adds the stack trace of errors
-// that carry one, over many lines' worth of one line.
+// errorField logs the message alone. zap.Error would add the stack trace of errors that carry
+// one, which turns one line into many.
 func errorField(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
--- a/config/follow_peers.go
+++ b/config/follow_peers.go
@@ -15,36 +15,37 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// ObservePeerVersion tells the follower that a peer holds a version.
+// ObservePeerVersion records that a peer advertises a version.
 func (f *Follower) ObservePeerVersion(peerAddress string, version uint64) {
-	if f.note(peerAddress, version) {
-		f.poke()
+	if f.addAdvertised(peerAddress, version) {
+		f.wakePeerLoop()
 	}
 }
 
-// note remembers a version that a peer is said to hold, if that is news.
-func (f *Follower) note(peerAddress string, version uint64) bool {
+// addAdvertised records a version that a peer advertises and reports whether it is higher than
+// the held version and any that this peer advertised before.
+func (f *Follower) addAdvertised(peerAddress string, version uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if version <= f.held.version() || version <= f.notices[peerAddress].version {
+	if version <= f.held.version() || version <= f.advertised[peerAddress].version {
 		return false
 	}
-	f.notices[peerAddress] = notice{version: version, heard: time.Now()}
+	f.advertised[peerAddress] = advertisement{version: version, heardAt: time.Now()}
 	return true
 }
 
-func (f *Follower) poke() {
+func (f *Follower) wakePeerLoop() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// followPeers fetches from peers what the log does not deliver.
+// followPeers fetches from peers the versions that the log does not deliver.
 func (f *Follower) followPeers(ctx context.Context) error {
-	tick := time.NewTicker(peerInterval)
+	tick := time.NewTicker(peerCheckInterval)
 	defer tick.Stop()
-	var fresh start
+	var startup peerStart
 	for {
 		select {
 		case <-ctx.Done():
@@ -52,33 +53,33 @@
 		case <-f.wake:
 		case <-tick.C:
 		}
-		f.noticePeers()
+		f.refreshPeerVersions()
 		switch {
 		case f.Ready():
-			f.fetchHigher(ctx)
-		case f.readToEnd():
-			f.fetchHigher(ctx)
-			f.becomeReady()
-		case f.askPeersToStart():
-			f.startFromPeers(ctx, &fresh)
+			f.fetchNewest(ctx)
+		case f.logCaughtUp():
+			f.fetchNewest(ctx)
+			f.activateIfComplete()
+		case f.shouldStartFromPeers():
+			f.startFromPeers(ctx, &startup)
 		}
 	}
 }
 
-// noticePeers takes the versions that membership knows, and forgets failed claims
-// of peers that it no longer names. It wakes nobody: a peer that cannot be reached
-// would be asked again without a pause.
-func (f *Follower) noticePeers() {
+// refreshPeerVersions reads the versions from the membership list and drops failed
+// advertisements of peers that are no longer listed. It does not wake the peer loop: an
+// unreachable peer would be asked again without a delay.
+func (f *Follower) refreshPeerVersions() {
 	listed := make(map[string]bool)
 	for _, p := range f.peers() {
 		listed[p.Address] = true
-		f.note(p.Address, p.Version)
+		f.addAdvertised(p.Address, p.Version)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for address, n := range f.notices {
+	for address, n := range f.advertised {
 		if n.failed() && !listed[address] {
-			delete(f.notices, address)
+			delete(f.advertised, address)
 		}
 	}
 }
@@ -90,56 +91,56 @@
 	return f.cfg.Peers()
 }
 
-// fetchHigher fetches the highest noticed version from one of the peers that hold
-// it. While the log answers, the version is left some time to arrive that way.
-func (f *Follower) fetchHigher(ctx context.Context) {
-	address, ok := f.chooseNotice(time.Now())
+// fetchNewest fetches the highest advertised version from one of the peers that hold it. While
+// the log is available, the version is first given time to arrive that way.
+func (f *Follower) fetchNewest(ctx context.Context) {
+	address, ok := f.choosePeer(time.Now())
 	if !ok {
 		return
 	}
 	_ = f.fetch(ctx, address)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n, ok := f.notices[address]; ok && n.version > f.held.version() {
-		n.retry = time.Now().Add(noticeRetry)
-		f.notices[address] = n
+	if n, ok := f.advertised[address]; ok && n.version > f.held.version() {
+		n.retryAt = time.Now().Add(peerRetryDelay)
+		f.advertised[address] = n
 	}
 }
 
-// chooseNotice drops notices of versions that arrived meanwhile and picks one of
-// the peers that hold the highest.
-func (f *Follower) chooseNotice(now time.Time) (string, bool) {
+// choosePeer drops advertisements of versions that have arrived in the meantime and picks one
+// of the peers that hold the highest one.
+func (f *Follower) choosePeer(now time.Time) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var best uint64
-	var first time.Time
+	var firstHeard time.Time
 	var addresses []string
-	for address, n := range f.notices {
+	for address, n := range f.advertised {
 		switch {
 		case n.version <= f.held.version():
-			delete(f.notices, address)
-		case now.Before(n.retry):
+			delete(f.advertised, address)
+		case now.Before(n.retryAt):
 		case n.version > best:
-			best, first, addresses = n.version, n.heard, []string{address}
+			best, firstHeard, addresses = n.version, n.heardAt, []string{address}
 		case n.version == best:
 			addresses = append(addresses, address)
-			if n.heard.Before(first) {
-				first = n.heard
+			if n.heardAt.Before(firstHeard) {
+				firstHeard = n.heardAt
 			}
 		}
 	}
-	if len(addresses) == 0 || !f.logDown && now.Sub(first) < noticeGrace {
+	if len(addresses) == 0 || !f.logDown && now.Sub(firstHeard) < logDeliveryGrace {
 		return "", false
 	}
 	slices.Sort(addresses)
 	return addresses[f.rand.IntN(len(addresses))], true
 }
 
-// fetch asks one peer for what is newer than the held version.
+// fetch asks one peer for a version newer than the held one.
 func (f *Follower) fetch(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	have := f.wantedAbove(time.Now())
+	have := f.fetchFloor(time.Now())
 	resp, err := f.cfg.Dial(address).Fetch(ctx, connect.NewRequest(&peerv1.FetchRequest{HaveVersion: have}))
 	if err != nil {
 		f.scope.Counter("fetch_errors").Inc(1)
@@ -148,111 +149,111 @@
 	if resp.Msg.GetVersion() <= have {
 		return nil
 	}
-	return f.takeRecord(address, resp.Msg)
+	return f.acceptPeerRecord(address, resp.Msg)
 }
 
-// takeRecord checks a peer's record as strictly as one from the log.
-func (f *Follower) takeRecord(address string, msg *peerv1.FetchResponse) error {
+// acceptPeerRecord validates a peer's record as strictly as one from the log.
+func (f *Follower) acceptPeerRecord(address string, msg *peerv1.FetchResponse) error {
 	decoded, err := decodeRecord(msg.GetRecord())
 	if h := decoded.header; err == nil && (h.Kind != KindRepublish || h.Base != msg.GetVersion()) {
-		err = oops.Errorf("the record is a %s on version %d", h.Kind, h.Base)
+		err = oops.Errorf("the record is of kind %s with base %d", h.Kind, h.Base)
 	}
 	if err == nil && len(object.Check(decoded.set)) > 0 {
 		err = oops.Errorf("the set has faults")
 	}
 	if err != nil {
 		f.scope.Counter("fetch_void").Inc(1)
-		f.refuseVersion(msg.GetVersion())
-		f.log.Warn("configuration from peer refused", zap.String("peer", address), zap.Uint64("version", msg.GetVersion()), errorField(err))
+		f.rejectVersion(msg.GetVersion())
+		f.log.Warn("configuration record from peer rejected", zap.String("peer", address), zap.Uint64("version", msg.GetVersion()), errorField(err))
 		return err
 	}
-	f.offer(msg.GetVersion(), decoded.set, "peer")
+	f.holdIfNewer(msg.GetVersion(), decoded.set, "peer")
 	return nil
 }
 
-// refuseVersion remembers a version that could not be used. Peers that run a newer
-// program may hold one that this instance cannot read; asked for twice a second
-// it would fill the link with whole sets.
-func (f *Follower) refuseVersion(version uint64) {
+// rejectVersion records a version that could not be used. Peers that run a newer release may
+// hold one that this instance cannot read; fetched twice a second, its full set would saturate
+// the link.
+func (f *Follower) rejectVersion(version uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.refused = notice{version: version, heard: time.Now()}
+	f.rejected = advertisement{version: version, heardAt: time.Now()}
 }
 
-// wantedAbove is the version above which peers are asked for theirs.
-func (f *Follower) wantedAbove(now time.Time) uint64 {
+// fetchFloor returns the version above which peers are asked for theirs.
+func (f *Follower) fetchFloor(now time.Time) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now.Sub(f.refused.heard) < refusedAgain {
-		return max(f.held.version(), f.refused.version)
+	if now.Sub(f.rejected.heardAt) < rejectedRetryDelay {
+		return max(f.held.version(), f.rejected.version)
 	}
 	return f.held.version()
 }
 
-// start is what a fresh instance remembers while it asks its peers.
-type start struct {
-	addresses []string
-	since     time.Time
-	// answered holds the peers that have answered. They are asked again only when
-	// membership knows them at a higher version: if a whole fleet starts while the
-	// log is down, everybody asking everybody twice a second would fill the links.
+// peerStart is the state of a starting instance that loads its set from peers.
+type peerStart struct {
+	addresses   []string
+	stableSince time.Time
+	// answered holds the peers that have answered. They are asked again only when membership
+	// lists them with a higher version: if a whole fleet starts while the log is unavailable,
+	// fetches between all pairs twice a second would saturate the links.
 	answered map[string]bool
 }
 
-// stable tells whether the same peers, at least one, have been known for
-// peersSettle.
-func (s *start) stable(addresses []string, now time.Time) bool {
+// stable reports whether the list of peers has been non-empty and unchanged for
+// peersStableTime.
+func (s *peerStart) stable(addresses []string, now time.Time) bool {
 	if !slices.Equal(addresses, s.addresses) {
-		s.addresses, s.since = addresses, now
+		s.addresses, s.stableSince = addresses, now
 	}
-	return len(addresses) > 0 && now.Sub(s.since) >= peersSettle
+	return len(addresses) > 0 && now.Sub(s.stableSince) >= peersStableTime
 }
 
-// startFromPeers asks every known peer. The instance becomes ready once it has
-// known and asked the same peers for a while: membership fills its list while the
-// instance starts, and the first peer that it names may be the one that is behind.
-func (f *Follower) startFromPeers(ctx context.Context, s *start) {
+// startFromPeers asks every known peer. The instance becomes ready once its list of peers has
+// been unchanged for a while and all were asked: membership is still filling the list while
+// the instance starts, and the first peer listed may be one with an old version.
+func (f *Follower) startFromPeers(ctx context.Context, s *peerStart) {
 	peers := f.peers()
-	f.askAll(ctx, peers, s)
+	f.fetchFromAll(ctx, peers, s)
 	addresses := make([]string, len(peers))
 	for i, p := range peers {
 		addresses[i] = p.Address
 	}
 	slices.Sort(addresses)
 	if s.stable(addresses, time.Now()) && ctx.Err() == nil && f.heldVersion() > 0 {
-		f.deliver()
+		f.activateHeld()
 		f.log.Info("configuration ready", zap.String("source", "peers"))
 	}
 }
 
-// askAll fetches from the peers that have not answered yet or are known to hold
-// more. The one with the highest version is asked first, so that the others have
-// nothing to send.
-func (f *Follower) askAll(ctx context.Context, peers []Peer, s *start) {
+// fetchFromAll fetches from the peers that have not answered yet or that advertise a higher
+// version. The peer with the highest version is asked first, so that the others need not send
+// theirs.
+func (f *Follower) fetchFromAll(ctx context.Context, peers []Peer, s *peerStart) {
 	peers = slices.Clone(peers)
 	slices.SortFunc(peers, func(a, b Peer) int {
 		return cmp.Or(cmp.Compare(b.Version, a.Version), cmp.Compare(a.Address, b.Address))
 	})
-	ok := make([]bool, len(peers))
+	succeeded := make([]bool, len(peers))
 	var group errgroup.Group
-	group.SetLimit(fetchParallel)
+	group.SetLimit(maxParallelFetches)
 	for i, p := range peers {
-		ok[i] = s.answered[p.Address] && p.Version <= f.heldVersion()
-		if ok[i] {
+		succeeded[i] = s.answered[p.Address] && p.Version <= f.heldVersion()
+		if succeeded[i] {
 			continue
 		}
 		if i == 0 {
-			ok[i] = f.fetch(ctx, p.Address) == nil
+			succeeded[i] = f.fetch(ctx, p.Address) == nil
 			continue
 		}
 		group.Go(func() error {
-			ok[i] = f.fetch(ctx, p.Address) == nil
+			succeeded[i] = f.fetch(ctx, p.Address) == nil
 			return nil
 		})
 	}
 	_ = group.Wait()
 	s.answered = make(map[string]bool, len(peers))
 	for i, p := range peers {
-		s.answered[p.Address] = ok[i]
+		s.answered[p.Address] = succeeded[i]
 	}
 }
--- a/config/follower.go
+++ b/config/follower.go
@@ -17,61 +17,61 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// Peer is a live instance other than the own one.
+// Peer is a live instance other than this one.
 type Peer struct {
-	// Address is IP:port for peers.
+	// Address is the IP:port for calls between instances.
 	Address string
 	// Version is the highest version that the peer is known to hold; 0 when unknown.
 	Version uint64
 }
 
-// FollowerConfig is what a Follower needs.
+// FollowerConfig holds the dependencies and settings of a Follower.
 type FollowerConfig struct {
 	// Log is the platform's log.
 	Log port.Log
-	// Self is the own address for peers.
+	// Self is this instance's address for peers.
 	Self string
 	// Peers lists the live peers. It may be nil.
 	Peers func() []Peer
-	// Dial returns the client of a peer's ConfigService. It may be nil if Peers is.
+	// Dial returns a client for a peer's ConfigService. It may be nil if Peers is.
 	Dial func(address string) peerv1connect.ConfigServiceClient
-	// Retention is how long the log keeps records. The set in force is republished
-	// in time before; 0 switches this off.
+	// Retention is how long the log keeps records. The current set is republished before it
+	// expires; 0 disables this.
 	Retention time.Duration
 	// Logger and Metrics may be nil.
 	Logger  *zap.Logger
 	Metrics *observe.Metrics
-	// Seed makes waits, and the choice among peers that hold the same version,
-	// differ from instance to instance.
+	// Seed makes delays, and the choice among peers that hold the same version, differ between
+	// instances.
 	Seed uint64
 }
 
-// Follower keeps an instance on the newest version of the object set. Run does
-// the work; every other method may be called at any time by any goroutine.
+// Follower keeps an instance on the newest version of the object set. Run does the work; all
+// other methods are safe for concurrent use at any time.
 type Follower struct {
 	cfg     FollowerConfig
 	log     *zap.Logger
 	scope   tally.Scope
 	current atomic.Pointer[object.Index]
 
-	// mu guards what follows.
+	// mu guards the fields below, up to activateMu.
 	mu sync.Mutex
-	// held is the highest version that arrived by any way.
-	held held
-	// caughtUp is set once the log was read to its end with a set in force.
+	// held is the highest version received from any source.
+	held heldSet
+	// caughtUp is set once the log has been read to its end and contained a current set.
 	caughtUp bool
-	// logDown is set while the last read failed.
+	// logDown is set while the last read of the log failed.
 	logDown bool
-	// started is when Run began.
+	// started is when Run was called.
 	started time.Time
-	// notices holds versions that peers were said to hold and when that was heard.
-	notices map[string]notice
-	// refused is the last version from a peer that could not be used.
-	refused notice
-	carrier carrier
-
-	// deliverMu orders deliveries, so that no subscriber sees versions go back.
-	deliverMu   sync.Mutex
+	// advertised holds the versions that peers advertise, by peer address.
+	advertised map[string]advertisement
+	// rejected is the last version from a peer that could not be used.
+	rejected   advertisement
+	fullRecord fullSetRecord
+
+	// activateMu serialises activations, so that no subscriber sees versions decrease.
+	activateMu  sync.Mutex
 	subscribers map[uint64]func(*object.Index)
 	nextID      uint64
 
@@ -80,46 +80,46 @@
 	rand *rand.Rand
 }
 
-// held is a version with the record that passes it on to peers.
-type held struct {
+// heldSet is a version and the record that passes it on to peers.
+type heldSet struct {
 	index *object.Index
-	// record is made when the first peer asks, and kept for the others.
+	// record is encoded when the first peer asks, and cached for the others.
 	record func() ([]byte, error)
 }
 
-func newHeld(set object.Set, version uint64) held {
+func newHeldSet(set object.Set, version uint64) heldSet {
 	index := object.NewIndex(set, version)
-	return held{index: index, record: sync.OnceValues(func() ([]byte, error) {
-		return encodeSet(Header{Format: format, Kind: KindRepublish, Base: version, Through: version}, index.Published())
+	return heldSet{index: index, record: sync.OnceValues(func() ([]byte, error) {
+		return encodeSet(Header{Format: recordFormat, Kind: KindRepublish, Base: version, Through: version}, index.Published())
 	})}
 }
 
-func (h held) version() uint64 {
+func (h heldSet) version() uint64 {
 	if h.index == nil {
 		return 0
 	}
 	return h.index.Version()
 }
 
-// notice is a version that a peer was said to hold.
-type notice struct {
+// advertisement is a version that a peer claims to hold.
+type advertisement struct {
 	version uint64
-	heard   time.Time
-	// retry is set when the peer did not pass the version on, to the time from which
-	// it is asked again. Until then others are asked for what they hold: the peer may
-	// be gone, and a claim that nobody proves must not stop a fresh instance.
-	retry time.Time
+	heardAt time.Time
+	// retryAt is set when the peer failed to deliver the version, to the time at which it is
+	// asked again. Until then other peers are asked for theirs: the peer may be gone, and a
+	// version that nobody delivers must not block a starting instance.
+	retryAt time.Time
 }
 
-func (n notice) failed() bool { return !n.retry.IsZero() }
+func (n advertisement) failed() bool { return !n.retryAt.IsZero() }
 
-// NewFollower returns a follower that holds nothing until Run.
+// NewFollower returns a follower that holds no version until Run is called.
 func NewFollower(cfg FollowerConfig) *Follower {
 	f := &Follower{
 		cfg:         cfg,
 		log:         cfg.Logger,
 		scope:       tally.NoopScope,
-		notices:     make(map[string]notice),
+		advertised:  make(map[string]advertisement),
 		subscribers: make(map[uint64]func(*object.Index)),
 		wake:        make(chan struct{}, 1),
 		rand:        rand.New(rand.NewPCG(cfg.Seed, 0)),
@@ -141,23 +141,23 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return f.followLog(ctx) })
 	group.Go(func() error { return f.followPeers(ctx) })
-	group.Go(func() error { return f.keepRepublished(ctx) })
+	group.Go(func() error { return f.republishLoop(ctx) })
 	return group.Wait()
 }
 
-// Current returns the version in force on this instance, or nil while there is
-// none that may be served.
+// Current returns the active version on this instance, or nil while there is none that may be
+// served.
 func (f *Follower) Current() *object.Index { return f.current.Load() }
 
-// Ready tells whether the instance may serve.
+// Ready reports whether the instance may serve.
 func (f *Follower) Ready() bool { return f.current.Load() != nil }
 
-// Subscribe calls fn with the current version, if there is one, and with each
-// new one, in rising order. A slow fn delays the next version; it must not call
-// back into Subscribe. The returned function ends the subscription.
+// Subscribe calls fn with the current version, if there is one, and with each new one, in
+// increasing order. A slow fn delays the next version; fn must not call Subscribe. The
+// returned function ends the subscription.
 func (f *Follower) Subscribe(fn func(*object.Index)) (cancel func()) {
-	f.deliverMu.Lock()
-	defer f.deliverMu.Unlock()
+	f.activateMu.Lock()
+	defer f.activateMu.Unlock()
 	id := f.nextID
 	f.nextID++
 	f.subscribers[id] = fn
@@ -165,34 +165,34 @@
 		fn(index)
 	}
 	return func() {
-		f.deliverMu.Lock()
-		defer f.deliverMu.Unlock()
+		f.activateMu.Lock()
+		defer f.activateMu.Unlock()
 		delete(f.subscribers, id)
 	}
 }
 
-// offer takes a version that arrived from the log or from a peer. Only a higher
-// one replaces the one held: a page that was read before an outage, or a peer
-// that is behind, would otherwise bring a withdrawn key back to life.
-func (f *Follower) offer(version uint64, set object.Set, source string) {
+// holdIfNewer takes a version that arrived from the log or from a peer. It replaces the held
+// one only if it is higher: a page read before an outage, or a peer that lags behind, would
+// otherwise make a withdrawn key valid again.
+func (f *Follower) holdIfNewer(version uint64, set object.Set, source string) {
 	f.mu.Lock()
 	if version <= f.held.version() {
 		f.mu.Unlock()
 		return
 	}
-	f.held = newHeld(set, version)
+	f.held = newHeldSet(set, version)
 	f.mu.Unlock()
 	f.scope.Tagged(map[string]string{"source": source}).Counter("received").Inc(1)
 	f.log.Info("configuration received", zap.Uint64("version", version), zap.String("source", source))
 	if f.Ready() {
-		f.deliver()
+		f.activateHeld()
 	}
 }
 
-// deliver puts the held version in force and tells subscribers.
-func (f *Follower) deliver() {
-	f.deliverMu.Lock()
-	defer f.deliverMu.Unlock()
+// activateHeld activates the held version and notifies subscribers.
+func (f *Follower) activateHeld() {
+	f.activateMu.Lock()
+	defer f.activateMu.Unlock()
 	f.mu.Lock()
 	index := f.held.index
 	f.mu.Unlock()
@@ -206,7 +206,7 @@
 	}
 }
 
-// heldVersion is the highest version that arrived, in force or not.
+// heldVersion returns the highest version received, whether active or not.
 func (f *Follower) heldVersion() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/config/handler.go
+++ b/config/handler.go
@@ -12,13 +12,13 @@
 
 var _ peerv1connect.ConfigServiceHandler = (*Follower)(nil)
 
-// Handler returns the path and the handler of the peers' ConfigService.
+// Handler returns the path and the HTTP handler of ConfigService.
 func (f *Follower) Handler() (string, http.Handler) {
 	return peerv1connect.NewConfigServiceHandler(f)
 }
 
-// Fetch implements the peers' ConfigService. An instance that is not ready has
-// nothing to pass on: it does not know whether what it holds is the newest.
+// Fetch implements ConfigService. An instance that is not ready returns no version: it does
+// not know whether the one it holds is the newest.
 func (f *Follower) Fetch(_ context.Context, req *connect.Request[peerv1.FetchRequest]) (*connect.Response[peerv1.FetchResponse], error) {
 	resp := &peerv1.FetchResponse{}
 	if !f.Ready() {
--- a/config/publisher_test.go
+++ b/config/publisher_test.go
@@ -13,9 +13,9 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// Two operators change the same version at the same moment. If both were told of
-// success, the first one's change, perhaps a withdrawn key, would be gone unnoticed.
-func TestOfTwoOperatorsTheFirstWinsAndTheOtherIsTold(t *testing.T) {
+// Two operators publish on the same version concurrently. If both were told of success, the
+// first change, which may withdraw a key, would be lost without notice.
+func TestConcurrentPublishesOnOneBase(t *testing.T) {
 	ctx := context.Background()
 	log := newMemLog()
 	one, two := testPublisher(log, "one"), testPublisher(log, "two")
@@ -44,37 +44,37 @@
 	assert.Equal(t, judged[2].Judgement, VoidStaleBase)
 }
 
-// The log takes the record but its answer is lost, or the record itself is lost.
-// A publisher that guesses tells the operator of a failure that is none, or of a
-// success that is none.
-func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
+// The log stores the record but its response is lost, or the record itself is lost. A
+// publisher that guesses would report a failure for a successful publish, or a success for a
+// failed one.
+func TestLostAppendResponseIsResolvedByReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		log := newMemLog()
 		p := testPublisher(log, "p")
-		log.loseAfter = true
+		log.failAfterAppend = true
 		v, err := p.Publish(ctx, testSet(1), 0, "")
 		assert.NilError(t, err)
 		assert.Equal(t, v, uint64(1))
 		assert.Equal(t, len(log.records), 1)
 
-		log.loseBefore = true
+		log.failBeforeAppend = true
 		_, err = p.Publish(ctx, testSet(2), 1, "")
 		assert.ErrorIs(t, err, ErrOutcomeUnknown)
-		assert.Equal(t, len(log.records), 1, "nothing may be appended anew")
+		assert.Equal(t, len(log.records), 1, "the record must not be appended again")
 	})
 }
 
-// The lost record appears after all, when the operator has already published
-// again on the same base. It must stay without effect.
-func TestLateRecordOnAnOldBaseIsVoid(t *testing.T) {
+// The lost record is appended after the operator has published again on the same base. It must
+// have no effect.
+func TestLateRecordOnStaleBaseIsVoid(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		log := newMemLog()
 		p := testPublisher(log, "p")
 		_, err := p.Publish(ctx, testSet(1), 0, "")
 		assert.NilError(t, err)
-		late, err := encodeSet(Header{Format: format, Kind: KindPublish, Base: 1, Through: 1}, testSet(2))
+		late, err := encodeSet(Header{Format: recordFormat, Kind: KindPublish, Base: 1, Through: 1}, testSet(2))
 		assert.NilError(t, err)
 		_, err = p.Publish(ctx, testSet(3), 1, "")
 		assert.NilError(t, err)
@@ -86,27 +86,27 @@
 	})
 }
 
-// An append that is not answered while another operator's record takes the base:
-// the own record can only be void, so that the operator is told at once.
-func TestUnansweredAppendLosesToAForeignRecord(t *testing.T) {
+// An append is not acknowledged, and another operator's record is accepted on the base. The
+// own record can only be void, so the operator is told at once.
+func TestUnansweredAppendLosesToOtherRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newMemLog()
 		log.beforeAppend = func() {
 			_, err := testPublisher(log, "other").Publish(context.Background(), testSet(2), 0, "")
 			assert.NilError(t, err)
-			log.loseBefore = true
+			log.failBeforeAppend = true
 		}
 		_, err := testPublisher(log, "p").Publish(context.Background(), testSet(1), 0, "")
 		assert.ErrorIs(t, err, ErrLostRace)
 	})
 }
 
-// The log is down before anything was written, or the set has faults: the
-// operator may simply try again.
-func TestRefusedPublishWritesNothing(t *testing.T) {
+// The log is unavailable before anything is written, or the set has faults. Nothing may be
+// written, so that the operator can simply retry.
+func TestRejectedPublishWritesNothing(t *testing.T) {
 	log := newMemLog()
 	view := &logView{memLog: log}
-	view.set(true)
+	view.setDown(true)
 	_, err := testPublisher(view, "p").Publish(context.Background(), testSet(1), 0, "")
 	assert.ErrorIs(t, err, ErrNotPublished)
 	bad := testSet(1)
@@ -118,10 +118,10 @@
 	assert.Equal(t, len(log.records), 0)
 }
 
-// Every record expired while nothing was alive. A publish cannot know what it
-// replaces and is refused; a restart is accepted by every reader, and of two
-// restarts only the first.
-func TestRestartAfterEverythingExpired(t *testing.T) {
+// All records expired while no instance was running. A publish cannot know what it would
+// replace and is rejected; a restart is accepted by every reader, and of two concurrent
+// restarts only the first is.
+func TestRestartAfterAllRecordsExpired(t *testing.T) {
 	ctx := context.Background()
 	log := newMemLog()
 	p := testPublisher(log, "p")
--- a/config/read.go
+++ b/config/read.go
@@ -10,19 +10,20 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// tailStart is how many records before the end a reader begins. Each record
-// states what was in force shortly before it, so that those since the last whole
-// set are enough; reading everything retained would take minutes at each start of
-// an instance once hundreds are published a day.
-const tailStart = 4
+// initialTailRecords is the number of records before the end at which a reader starts. Each
+// record states which version was current shortly before it, so the records since the last
+// full set are enough. Reading all retained records would take minutes at each start of an
+// instance once hundreds are published a day.
+const initialTailRecords = 4
 
-// readTail replays the stream to its end, beginning as late as the result allows.
+// readTail replays the stream to its end, starting as close to the end as an anchored result
+// allows.
 func readTail(ctx context.Context, log port.Log) (*Replay, error) {
 	page, err := readPage(ctx, log, 1, 1, 0)
 	if err != nil {
 		return nil, err
 	}
-	for back := uint64(tailStart); ; back *= 4 {
+	for back := uint64(initialTailRecords); ; back *= 4 {
 		first := max(page.First, 1)
 		from := first
 		if page.Next > first+back {
@@ -38,7 +39,7 @@
 	}
 }
 
-// catchUp applies records until the end of the stream and returns what was judged.
+// catchUp applies records up to the end of the stream and returns their judgements.
 func catchUp(ctx context.Context, log port.Log, replay *Replay) ([]JudgedRecord, error) {
 	var out []JudgedRecord
 	for {
@@ -57,13 +58,13 @@
 	}
 }
 
-// errGap means that records between the last read one and the first retained one
-// are gone. What they said is unknown, so that the reader must find a new anchor.
-var errGap = oops.Errorf("records fell out of retention before they were read")
+// errGap means that records between the last one read and the first retained one have expired.
+// Their content is unknown, so the reader must find a new anchor.
+var errGap = oops.Errorf("records expired before they were read")
 
-// errShortPage means that the log withheld records that it says exist. Taking such
-// a page for the end of the stream would put an old version in force.
-var errShortPage = oops.Errorf("the log returned no records before its end")
+// errShortPage means that the log did not return records that exist according to the same
+// response. Taking such a page for the end of the stream would activate an old version.
+var errShortPage = oops.Errorf("the log returned no records although its end was not reached")
 
 // applyPage applies the records of a page that was read from replay.next.
 func applyPage(replay *Replay, page port.Page) ([]JudgedRecord, error) {
@@ -86,9 +87,9 @@
 	return out, nil
 }
 
-// readPage bounds one read, so that a log that hangs is noticed.
+// readPage sets a timeout on one read, so that a hanging log is detected.
 func readPage(ctx context.Context, log port.Log, from uint64, limit int, wait time.Duration) (port.Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+readSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutMargin)
 	defer cancel()
 	page, err := log.Read(ctx, Stream, from, limit, wait)
 	if err != nil {
@@ -97,16 +98,16 @@
 	return page, nil
 }
 
-// Published is the set in force as the log has it.
+// Published is the current set according to the log.
 type Published struct {
 	// Version is 0 when nothing has been published.
 	Version uint64
 	Set     object.Set
-	// Known is false when no retained record tells what is in force.
+	// Known is false when no retained record states the current version.
 	Known bool
 }
 
-// Latest reads the set in force from the log.
+// Latest reads the current set from the log.
 func Latest(ctx context.Context, log port.Log) (Published, error) {
 	replay, err := readTail(ctx, log)
 	if err != nil {
@@ -133,16 +134,16 @@
 	return judged, err
 }
 
-// SetAt returns the set that a retained record stands for. Of a void record that
-// is known only if it carries the set whole.
+// SetAt returns the set of a retained record. For a void record that is possible only if it
+// carries a full set.
 func SetAt(ctx context.Context, log port.Log, offset uint64) (object.Set, error) {
 	page, err := readPage(ctx, log, offset, 1, 0)
 	if err != nil {
 		return object.Set{}, err
 	}
-	fail := oops.With("offset", offset, "first", page.First, "next", page.Next)
+	errBuilder := oops.With("offset", offset, "first", page.First, "next", page.Next)
 	if len(page.Records) == 0 || page.Records[0].Offset != offset {
-		return object.Set{}, fail.Errorf("no record is retained at this offset")
+		return object.Set{}, errBuilder.Errorf("no record is retained at this offset")
 	}
 	decoded, err := decodeRecord(page.Records[0].Data)
 	if err != nil || decoded.header.Kind != KindChange {
@@ -153,12 +154,12 @@
 		return object.Set{}, err
 	}
 	if !replay.anchored || replay.version != offset {
-		return object.Set{}, fail.Errorf("the record is a change that was not accepted, or whose base is not retained")
+		return object.Set{}, errBuilder.Errorf("the record is a change that was not accepted, or whose base is not retained")
 	}
 	return *replay.set, nil
 }
 
-// replayThrough applies the records up to an offset that is retained.
+// replayThrough applies the records up to and including a retained offset.
 func replayThrough(ctx context.Context, log port.Log, replay *Replay, offset uint64) error {
 	for replay.next <= offset {
 		left := int(min(offset-replay.next+1, pageSize))
--- a/config/ready.go
+++ b/config/ready.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// becomeReady puts the held version in force once the log was read to its end.
-// The end of the log is no older than what any peer has, since peers have it from
-// the log; should a peer claim a higher version all the same, it is fetched first.
-func (f *Follower) becomeReady() {
+// activateIfComplete makes the instance ready once the log has been read to its end. The end
+// of the log is no older than the version of any peer, since peers got theirs from the log; if
+// a peer advertises a higher version nevertheless, that is fetched first.
+func (f *Follower) activateIfComplete() {
 	if f.Ready() {
 		return
 	}
 	f.mu.Lock()
 	complete := f.caughtUp
-	for _, n := range f.notices {
+	for _, n := range f.advertised {
 		if n.version > f.held.version() && !n.failed() {
 			complete = false
 		}
 	}
 	f.mu.Unlock()
 	if complete {
-		f.deliver()
+		f.activateHeld()
 	}
 }
 
-// readToEnd tells whether the log was read to its end with a set in force.
-func (f *Follower) readToEnd() bool {
+// logCaughtUp reports whether the log has been read to its end and contained a current set.
+func (f *Follower) logCaughtUp() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.caughtUp
 }
 
-// askPeersToStart tells whether a fresh instance turns to its peers: the log is
-// down, has not answered for a while, or does not tell what is in force.
-func (f *Follower) askPeersToStart() bool {
+// shouldStartFromPeers reports whether a starting instance asks its peers: the log is
+// unavailable, or has not yielded the current version within logStartTimeout.
+func (f *Follower) shouldStartFromPeers() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.logDown || time.Since(f.started) >= startSuspect
+	return f.logDown || time.Since(f.started) >= logStartTimeout
 }
--- a/config/record.go
+++ b/config/record.go
@@ -15,32 +15,32 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// format is the version of the record's form. It changes when records are judged
-// differently; instances that do not know a format treat its records as void, so
-// instances are upgraded before the first record of a new format is published.
-const format = 1
+// recordFormat is the version of the record format. It changes whenever records are judged
+// differently. Instances treat records of a format they do not know as void, so all instances
+// must be upgraded before the first record of a new format is published.
+const recordFormat = 1
 
-// maxSetBytes bounds the uncompressed text of a set. A damaged or hostile record
-// could otherwise expand until the instance runs out of memory.
+// maxSetBytes limits the uncompressed size of a set. A damaged or hostile record could
+// otherwise expand until the instance runs out of memory.
 const maxSetBytes = 64 << 20
 
-// maxRatio bounds how much memory is reserved on the word of a record.
-const maxRatio = 64
+// maxPreallocRatio limits the memory that is preallocated based on the size a record declares.
+const maxPreallocRatio = 64
 
-// Kind tells why a record was written.
+// Kind is the reason why a record was written.
 type Kind string
 
 const (
-	// KindPublish records carry a whole set that replaces the base.
+	// KindPublish records carry a full set that replaces the base.
 	KindPublish Kind = "publish"
-	// KindChange records carry the edit of the base that makes the new set.
+	// KindChange records carry the edit that turns the base into the new set.
 	KindChange Kind = "change"
-	// KindRepublish records carry the set of the base again, so that it outlives
-	// the retention of its first record.
+	// KindRepublish records repeat the set of the base, so that it outlives the retention of
+	// its first record.
 	KindRepublish Kind = "republish"
-	// KindRestart records are accepted whatever was in force before, if no record
-	// stands between them and what their writer had read. They are written only
-	// when no retained record tells what was in force.
+	// KindRestart records are accepted regardless of the current version, provided that no
+	// record lies between them and the last one their writer had read. They are written only
+	// when no retained record states the current version.
 	KindRestart Kind = "restart"
 )
 
@@ -48,23 +48,23 @@
 type Header struct {
 	Format int  `json:"format"`
 	Kind   Kind `json:"kind"`
-	// Base is the version that was in force after the record at offset Through, as
-	// the writer had read it; 0 means that nothing had been published.
+	// Base is the version that was current after the record at offset Through, as the writer
+	// had read it; 0 means that nothing had been published.
 	Base    uint64 `json:"base"`
 	Through uint64 `json:"through"`
-	// Note is the operator's reason, for the history.
+	// Note is the operator's reason, shown in the history.
 	Note string `json:"note,omitempty"`
 }
 
 // change is the content of a KindChange record.
 type change struct {
 	Edit object.Edit `json:"edit"`
-	// Sum is the setSum of the result. A reader whose base differs, through a fault
-	// of a program, would otherwise run another set under the same version.
+	// Sum is the setChecksum of the result. Without it, a reader whose base differs because of
+	// a bug would run a different set under the same version.
 	Sum string `json:"sum"`
 }
 
-// record is a decoded record: a whole set, or a change.
+// record is a decoded record: a full set or a change.
 type record struct {
 	header Header
 	set    object.Set
@@ -73,10 +73,9 @@
 
 var errDamaged = errors.New("damaged record")
 
-// encodeRecord writes the header on the first line, as text that tools can read,
-// and the compressed content after it. That carries the checksum of its compression;
-// the header needs one of its own: a damaged digit of Base or Through would
-// otherwise be a false statement of what was in force.
+// encodeRecord writes the header on the first line, as text that tools can read, followed by
+// the compressed content. The compression has its own checksum. The header needs a separate
+// one: a corrupted digit of Base or Through would be a false statement of the current version.
 func encodeRecord(h Header, payload []byte) ([]byte, error) {
 	line, err := json.Marshal(h)
 	if err != nil {
@@ -86,7 +85,7 @@
 	return append(data, payload...), nil
 }
 
-// encodeSet returns a record with a whole set.
+// encodeSet returns a record with a full set.
 func encodeSet(h Header, set object.Set) ([]byte, error) {
 	payload, err := compress(set)
 	if err != nil {
@@ -95,22 +94,21 @@
 	return encodeRecord(h, payload)
 }
 
-// setSum is the checksum of a set's objects in their order. They are encoded one
-// by one: the text of a large set at once would be several megabytes of garbage
-// for each version.
-func setSum(set object.Set) string {
+// setChecksum is the checksum of a set's objects in order. They are encoded one by one:
+// encoding a large set at once would allocate several megabytes of garbage for each version.
+func setChecksum(set object.Set) string {
 	h := sha256.New()
 	enc := json.NewEncoder(h)
-	addObjects(enc, object.TypeOrganisation, set.Organisations)
-	addObjects(enc, object.TypeKey, set.Keys)
-	addObjects(enc, object.TypeService, set.Services)
-	addObjects(enc, object.TypeUpstream, set.Upstreams)
-	addObjects(enc, object.TypeLimit, set.Limits)
+	encodeObjects(enc, object.TypeOrganisation, set.Organisations)
+	encodeObjects(enc, object.TypeKey, set.Keys)
+	encodeObjects(enc, object.TypeService, set.Services)
+	encodeObjects(enc, object.TypeUpstream, set.Upstreams)
+	encodeObjects(enc, object.TypeLimit, set.Limits)
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-func addObjects[T any](enc *json.Encoder, t object.Type, objects []T) {
-	// The type separates the lists; neither it nor an object can fail to encode.
+func encodeObjects[T any](enc *json.Encoder, t object.Type, objects []T) {
+	// The type separates the lists; encoding it or an object cannot fail.
 	_ = enc.Encode(t)
 	for i := range objects {
 		_ = enc.Encode(&objects[i])
@@ -129,7 +127,7 @@
 	return b.Bytes(), nil
 }
 
-// decodeRecord fails with errDamaged on anything that encodeRecord does not write.
+// decodeRecord fails with errDamaged on any input that encodeRecord does not produce.
 func decodeRecord(data []byte) (record, error) {
 	line, payload, found := bytes.Cut(data, []byte("\n"))
 	if !found {
@@ -155,7 +153,7 @@
 	if err := decodeStrict(bytes.NewReader(text), &h); err != nil {
 		return h, fmt.Errorf("%w: header: %v", errDamaged, err)
 	}
-	if h.Format != format {
+	if h.Format != recordFormat {
 		return h, fmt.Errorf("%w: format %d", errDamaged, h.Format)
 	}
 	switch h.Kind {
@@ -172,7 +170,7 @@
 		return fmt.Errorf("%w: content: %v", errDamaged, err)
 	}
 	var text bytes.Buffer
-	text.Grow(statedSize(payload))
+	text.Grow(declaredSize(payload))
 	if n, err := text.ReadFrom(io.LimitReader(zr, maxSetBytes+1)); err != nil || n > maxSetBytes {
 		return fmt.Errorf("%w: content: %v, %d bytes", errDamaged, err, n)
 	}
@@ -182,14 +180,14 @@
 	return nil
 }
 
-// statedSize is the uncompressed size that the last four bytes of a gzip stream
-// state, or little when they cannot be right. It only saves growing a buffer.
-func statedSize(payload []byte) int {
+// declaredSize returns the uncompressed size declared in the last four bytes of a gzip stream,
+// or 0 if that is implausible. It only avoids growing a buffer.
+func declaredSize(payload []byte) int {
 	if len(payload) < 4 {
 		return 0
 	}
 	stated := int(binary.LittleEndian.Uint32(payload[len(payload)-4:])) + bytes.MinRead
-	if stated > maxSetBytes || stated > maxRatio*len(payload) {
+	if stated > maxSetBytes || stated > maxPreallocRatio*len(payload) {
 		return 0
 	}
 	return stated
--- a/config/replay_test.go
+++ b/config/replay_test.go
@@ -10,9 +10,9 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// writeStream writes records as honest writers do that lag behind one another:
-// each states what it had read, which may be some records ago, and carries a whole
-// set or an edit of the one it had read. Some records are damaged on the way.
+// writeStream writes the records of correct writers that lag behind each other by different
+// amounts: each states what it had read, which may be some records ago, and carries a full set
+// or an edit of the set it had read. Some records are corrupted.
 func writeStream(t *testing.T, r *rand.Rand, length int) []port.Record {
 	t.Helper()
 	full := NewReplay(1)
@@ -21,7 +21,7 @@
 	for offset := uint64(1); offset <= uint64(length); offset++ {
 		through := offset - 1 - min(offset-1, r.Uint64N(4))
 		read := states[through]
-		h := Header{Format: format, Kind: KindPublish, Base: read.version, Through: through}
+		h := Header{Format: recordFormat, Kind: KindPublish, Base: read.version, Through: through}
 		set := testSet(int(offset))
 		var content any = set
 		switch kind := r.IntN(3); {
@@ -32,7 +32,7 @@
 		default:
 			h.Kind = KindChange
 			edit := object.EditBetween(*read.set, set)
-			content = change{Edit: edit, Sum: setSum(edit.Apply(*read.set))}
+			content = change{Edit: edit, Sum: setChecksum(edit.Apply(*read.set))}
 		}
 		payload, err := compress(content)
 		assert.NilError(t, err)
@@ -49,18 +49,18 @@
 	return out
 }
 
-// Instances start at different times and read different parts of the stream. If
-// two of them judged one record differently, part of the fleet would run another
-// configuration for good.
-func TestEveryStartOfAStreamLeadsToOneVersion(t *testing.T) {
+// Instances start at different times and read different parts of the stream. If two of them
+// judged a record differently, part of the fleet would run a different configuration
+// permanently.
+func TestReplaysFromAnyOffsetAgree(t *testing.T) {
 	for seed := range uint64(8) {
 		records := writeStream(t, rand.New(rand.NewPCG(seed, 1)), 16)
-		full := make(map[uint64]*Replay)
-		whole := NewReplay(1)
+		references := make(map[uint64]*Replay)
+		reference := NewReplay(1)
 		for _, rec := range records {
-			whole.Apply(rec)
-			state := *whole
-			full[rec.Offset] = &state
+			reference.Apply(rec)
+			state := *reference
+			references[rec.Offset] = &state
 		}
 		for start := range records {
 			part := NewReplay(uint64(start) + 1)
@@ -69,17 +69,17 @@
 				if !part.Anchored() {
 					continue
 				}
-				whole := full[rec.Offset]
-				assert.Equal(t, part.Version(), whole.Version(), "seed %d, start %d, offset %d", seed, start+1, rec.Offset)
-				assert.Assert(t, part.Version() == 0 || part.Set() != nil, "an anchored reader knows its set")
-				assert.DeepEqual(t, part.Set(), whole.Set())
+				want := references[rec.Offset]
+				assert.Equal(t, part.Version(), want.Version(), "seed %d, start %d, offset %d", seed, start+1, rec.Offset)
+				assert.Assert(t, part.Version() == 0 || part.Set() != nil, "an anchored replay must know its set")
+				assert.DeepEqual(t, part.Set(), want.Set())
 			}
 		}
 	}
 }
 
 func FuzzDecodeRecord(f *testing.F) {
-	data, err := encodeSet(Header{Format: format, Kind: KindPublish}, testSet(1))
+	data, err := encodeSet(Header{Format: recordFormat, Kind: KindPublish}, testSet(1))
 	assert.NilError(f, err)
 	f.Add(data)
 	f.Add([]byte("{}\n"))
--- a/config/republish.go
+++ b/config/republish.go
@@ -14,54 +14,54 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// carrier is the newest record in the log with a whole set, and what is in force.
-type carrier struct {
-	// version is 0 while there is none.
+// fullSetRecord is the newest full-set record in the log, together with the current version
+// and set.
+type fullSetRecord struct {
+	// version is 0 if there is no current version.
 	version uint64
 	set     *object.Set
 	offset  uint64
-	// through is the last offset read; version is in force after it.
+	// through is the last offset read; version is current after it.
 	through uint64
-	// since is when the record was appended, as far as that is known.
-	since time.Time
-	// expired is when the record was found to be out of retention.
-	expired time.Time
+	// appendedAt is when the record was appended, as far as known.
+	appendedAt time.Time
+	// expiredAt is when the record was found to have expired.
+	expiredAt time.Time
 }
 
-// update takes over what a replay found. The age of a record that was seen to
-// arrive is known by the own clock. That of an older one is known by the log's
-// clock only; if that is wrong, a republish comes too early or late, once.
-func (c *carrier) update(replay *Replay, live bool, now time.Time) {
+// update takes over the result of a replay. If the record was seen to arrive, its age is
+// measured by the local clock. For an older record only the log's clock is available; if that
+// is wrong, one republish comes too early or too late.
+func (c *fullSetRecord) update(replay *Replay, live bool, now time.Time) {
 	c.version = replay.version
 	c.set = replay.set
 	c.through = replay.next - 1
-	if replay.whole.Offset == c.offset {
+	if replay.fullRecord.Offset == c.offset {
 		return
 	}
-	c.offset = replay.whole.Offset
-	c.expired = time.Time{}
-	c.since = now
-	if appended := replay.whole.Appended; !live && !appended.IsZero() && appended.Before(now) {
-		c.since = appended
+	c.offset = replay.fullRecord.Offset
+	c.expiredAt = time.Time{}
+	c.appendedAt = now
+	if appended := replay.fullRecord.Appended; !live && !appended.IsZero() && appended.Before(now) {
+		c.appendedAt = appended
 	}
 }
 
-// noteFirst notices that the carrier expired earlier than the settings say.
-func (f *Follower) noteFirst(first uint64) {
+// noticeExpiry detects that the record expired earlier than the configured retention.
+func (f *Follower) noticeExpiry(first uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.carrier.version > 0 && first > f.carrier.offset && f.carrier.expired.IsZero() {
-		f.carrier.expired = time.Now()
+	if f.fullRecord.version > 0 && first > f.fullRecord.offset && f.fullRecord.expiredAt.IsZero() {
+		f.fullRecord.expiredAt = time.Now()
 	}
 }
 
-// keepRepublished appends the set in force again before its record expires. A
-// fresh instance could otherwise find nothing in the log. The live instance with
-// the lowest address does it at half of the retention; should it fail to, the
-// others follow from three quarters on, spread by their addresses. Two that do it
-// at once are harmless: a republished set keeps its version, and the second record
-// says what the first one says.
-func (f *Follower) keepRepublished(ctx context.Context) error {
+// republishLoop appends the current set again before its record expires, since a starting
+// instance might otherwise find no set in the log. The live instance with the lowest address
+// does this at half of the retention. If it fails to, the others follow from three quarters
+// on, spread by their addresses. Concurrent republishes are harmless: a republished set keeps
+// its version, and the second record repeats the first.
+func (f *Follower) republishLoop(ctx context.Context) error {
 	if f.cfg.Retention <= 0 {
 		<-ctx.Done()
 		return ctx.Err()
@@ -69,47 +69,47 @@
 	interval := min(max(f.cfg.Retention/64, time.Second), time.Minute)
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
-	var tried time.Time
+	var lastAttempt time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-tick.C:
 			c, due := f.republishDue(now)
-			if !due || now.Sub(tried) < republishRetry {
+			if !due || now.Sub(lastAttempt) < republishRetryDelay {
 				continue
 			}
-			tried = now
+			lastAttempt = now
 			f.republish(ctx, c)
 		}
 	}
 }
 
-func (f *Follower) republishDue(now time.Time) (carrier, bool) {
+func (f *Follower) republishDue(now time.Time) (fullSetRecord, bool) {
 	f.mu.Lock()
-	c, down := f.carrier, f.logDown
+	c, down := f.fullRecord, f.logDown
 	f.mu.Unlock()
 	if c.version == 0 || down {
 		return c, false
 	}
-	return c, !now.Before(c.dueAt(f.cfg.Retention, f.lowestAddress(), f.spread()))
+	return c, !now.Before(c.dueAt(f.cfg.Retention, f.hasLowestAddress(), f.addressFraction()))
 }
 
-// dueAt is when the carrier should be repeated. An instance that is not the lowest
-// waits until the lowest had time to do it.
-func (c *carrier) dueAt(retention time.Duration, lowest bool, spread float64) time.Time {
-	due := c.since.Add(retention / 2)
+// dueAt returns when the record should be republished. An instance without the lowest address
+// leaves the one with the lowest time to do it first.
+func (c *fullSetRecord) dueAt(retention time.Duration, lowest bool, spread float64) time.Time {
+	due := c.appendedAt.Add(retention / 2)
 	extra := time.Duration(0)
 	if !lowest {
 		extra = retention/4 + time.Duration(spread*float64(retention/8))
 	}
-	if !c.expired.IsZero() && c.expired.Before(due) {
-		due = c.expired
+	if !c.expiredAt.IsZero() && c.expiredAt.Before(due) {
+		due = c.expiredAt
 	}
 	return due.Add(extra)
 }
 
-func (f *Follower) lowestAddress() bool {
+func (f *Follower) hasLowestAddress() bool {
 	for _, p := range f.peers() {
 		if p.Address < f.cfg.Self {
 			return false
@@ -118,17 +118,17 @@
 	return true
 }
 
-// spread maps the own address to [0, 1].
-func (f *Follower) spread() float64 {
+// addressFraction maps this instance's address to [0, 1].
+func (f *Follower) addressFraction() float64 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(f.cfg.Self))
 	return float64(h.Sum32()) / math.MaxUint32
 }
 
-// republish appends the carrier's set once. Its result is not looked at: the
-// record is seen when it is read, and tried again later if it is not.
-func (f *Follower) republish(ctx context.Context, c carrier) {
-	data, err := encodeSet(Header{Format: format, Kind: KindRepublish, Base: c.version, Through: c.through}, *c.set)
+// republish appends the set once. The result of the append is only logged: the record is
+// noticed when it is read, and the republish is retried later if it is not.
+func (f *Follower) republish(ctx context.Context, c fullSetRecord) {
+	data, err := encodeSet(Header{Format: recordFormat, Kind: KindRepublish, Base: c.version, Through: c.through}, *c.set)
 	if err == nil {
 		ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 		defer cancel()
@@ -136,5 +136,5 @@
 		_, err = f.cfg.Log.Append(ctx, Stream, entry)
 	}
 	f.scope.Counter("republished").Inc(1)
-	f.log.Info("configuration republished", zap.Uint64("version", c.version), errorField(err))
+	f.log.Info("configuration republish attempted", zap.Uint64("version", c.version), errorField(err))
 }
