--- a/follow/explore_test.go
+++ b/follow/explore_test.go
@@ -15,15 +15,15 @@
 
 func TestMain(m *testing.M) { os.Exit(propertyseed.Run(m)) }
 
-// explored is one instance of the exploration, which keeps the newest record of each key
-// and what it holds for proven.
-type explored struct {
+// modelInstance is one instance of the model. It keeps the offset of the newest record of each
+// key and the time as of which it claims to be caught up.
+type modelInstance struct {
 	follower *Follower
 	known    map[string]uint64
-	proof    time.Duration
+	asOf     time.Duration
 }
 
-func (e *explored) Replace(records []port.KeyedRecord) bool {
+func (e *modelInstance) Replace(records []port.KeyedRecord) bool {
 	e.known = make(map[string]uint64)
 	for _, r := range records {
 		e.Add(r)
@@ -31,7 +31,7 @@
 	return true
 }
 
-func (e *explored) Add(r port.KeyedRecord) bool {
+func (e *modelInstance) Add(r port.KeyedRecord) bool {
 	if r.Key == "beat" {
 		return false
 	}
@@ -39,16 +39,16 @@
 	return true
 }
 
-func (e *explored) CaughtUp(begun time.Duration) { e.proof = max(e.proof, begun) }
-func (e *explored) ReadFailed()                  {}
+func (e *modelInstance) CaughtUp(asOf time.Duration) { e.asOf = max(e.asOf, asOf) }
+func (e *modelInstance) ReadFailed()                 {}
 
-// pendingRead is a read whose answer has been made and is still on its way.
+// pendingRead is a read whose response has been produced but not delivered.
 type pendingRead struct {
-	reader  *explored
-	records []port.KeyedRecord
-	next    uint64
-	begun   time.Duration
-	whole   bool
+	instance *modelInstance
+	records  []port.KeyedRecord
+	next     uint64
+	begun    time.Duration
+	snapshot bool
 }
 
 type pendingNote struct {
@@ -57,38 +57,38 @@
 	earliest time.Duration
 }
 
-// exploration is a fleet and its topic, one step at a time.
-type exploration struct {
+// model is a fleet and its topic, advanced one step at a time.
+type model struct {
 	now       time.Duration
 	records   []port.KeyedRecord
 	written   []time.Duration
-	instances []*explored
+	instances []*modelInstance
 	reads     []pendingRead
 	notes     []pendingNote
 }
 
-func (x *exploration) restart(i int) {
-	e := &explored{known: make(map[string]uint64)}
-	e.follower = NewFollower(port.TopicConfiguration, testPace, e)
+func (x *model) restart(i int) {
+	e := &modelInstance{known: make(map[string]uint64)}
+	e.follower = NewFollower(port.TopicConfiguration, testTiming, e)
 	e.follower.Rank = func() int { return i }
 	e.follower.Now = func() time.Duration { return x.now }
 	e.follower.Logger = zap.NewNop()
 	x.instances[i] = e
 }
 
-func (x *exploration) write(key string) {
+func (x *model) write(key string) {
 	x.records = append(x.records, port.KeyedRecord{Key: key, Value: []byte(key), Offset: uint64(len(x.records))})
 	x.written = append(x.written, x.now)
 }
 
-// read makes the store's answer to one instance, which arrives later.
-func (x *exploration) read(i int, whole bool) {
+// read produces the store's response to one instance; finish delivers it later.
+func (x *model) read(i int, snapshot bool) {
 	e := x.instances[i]
 	e.follower.mu.Lock()
 	next, known := e.follower.next, e.follower.known
 	e.follower.mu.Unlock()
-	p := pendingRead{reader: e, next: uint64(len(x.records)), begun: x.now, whole: whole || !known}
-	if p.whole {
+	p := pendingRead{instance: e, next: uint64(len(x.records)), begun: x.now, snapshot: snapshot || !known}
+	if p.snapshot {
 		newest := make(map[string]port.KeyedRecord)
 		for _, r := range x.records {
 			newest[r.Key] = r
@@ -102,42 +102,44 @@
 	x.reads = append(x.reads, p)
 }
 
-// finish lets a read's answer arrive, as Run does.
-func (x *exploration) finish(p pendingRead) {
-	if !p.whole {
-		p.reader.follower.add(p.records, p.next, p.begun)
+// finish delivers the response of a read, as Run does.
+func (x *model) finish(p pendingRead) {
+	if !p.snapshot {
+		p.instance.follower.applyRecords(p.records, p.next, p.begun)
 		return
 	}
-	f := p.reader.follower
+	f := p.instance.follower
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.takeWhole(p.records, p.next, p.begun)
+	f.applySnapshot(p.records, p.next, p.begun)
 }
 
-// check finds an instance that holds for proven what it does not know.
-func (x *exploration) check(t *rapid.T) {
+// check fails if an instance claims to be caught up as of a time but lacks a record written
+// before it.
+func (x *model) check(t *rapid.T) {
 	newest := make(map[string]uint64)
 	for i, e := range x.instances {
 		clear(newest)
 		for offset, r := range x.records {
-			if x.written[offset] < e.proof && r.Key != "beat" {
+			if x.written[offset] < e.asOf && r.Key != "beat" {
 				newest[r.Key] = uint64(offset)
 			}
 		}
 		for key, offset := range newest {
-			assert.Assert(t, e.known[key] >= offset, "at %v instance %d has a proof from %v and knows %s only up to record %d, not %d", x.now, i, e.proof, key, e.known[key], offset)
+			assert.Assert(t, e.known[key] >= offset, "at %v instance %d is caught up as of %v but knows %s only up to record %d, not %d", x.now, i, e.asOf, key, e.known[key], offset)
 		}
 	}
 }
 
-// Records are written, read by any instance at any time, told on in notes that are lost,
-// repeated, overtaken or held up; instances restart and read the topic whole. Whatever
-// the order, an instance that holds a time for proven knows all that was written before
-// it. Otherwise it would serve a withdrawn key, or an engine that has left, in good faith.
-func TestNothingUnknownIsProven(t *testing.T) {
+// Records are written and read by any instance at any time, and relayed in notes that are
+// lost, repeated, reordered or delayed; instances restart and read a snapshot. Whatever the
+// order, an instance that is caught up as of a time must know everything written before that
+// time. Otherwise it would accept a withdrawn key, or use an engine that has left, while it
+// believes itself up to date.
+func TestCaughtUpImpliesAllRecordsKnown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const instances = 4
-		x := &exploration{now: time.Second, instances: make([]*explored, instances)}
+		x := &model{now: time.Second, instances: make([]*modelInstance, instances)}
 		for i := range instances {
 			x.restart(i)
 		}
@@ -162,7 +164,7 @@
 			case step <= 9:
 				from := pick(instances)
 				if note, ok := x.instances[from].follower.Note(x.now); ok {
-					// It is heard by the others at times of their own, or never.
+					// Each of the others receives it at a different time, or never.
 					for to := range instances {
 						if to != from {
 							x.notes = append(x.notes, pendingNote{to, note, x.now})
@@ -177,7 +179,7 @@
 			}
 			for _, e := range x.instances {
 				e.follower.mu.Lock()
-				e.follower.mustMark(x.now)
+				e.follower.defaultMark(x.now)
 				e.follower.mu.Unlock()
 			}
 			x.check(t)
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -1,13 +1,14 @@
-// Package follow reads keyed topics of the platform's store as they grow, through
-// outages, forgotten records and refusals.
+// Package follow reads keyed topics of the platform's store as they grow, and continues after
+// outages, expired records and rejected calls.
 //
-// A topic that all instances follow may be read by a few of them for all: these tell the
-// others what is new and how old the proof is that nothing else is (share.go). Each call
-// of the store is paid for, and calls of each instance for itself grow with the fleet: at
-// 62 instances they were 174 a second, for a configuration that changes a few times a
-// minute. Nobody is appointed. Who comes first in an order that all share reads all the
-// time; another reads when the best proof that it has heard of grows old, so that the
-// loss of any readers costs one short delay.
+// A topic that all instances follow can be read by a few of them on behalf of all: these tell
+// the others which records are new and as of when they were caught up with the topic
+// (share.go). Every call of the store is billed, and if each instance reads for itself, the
+// number of calls grows with the fleet: at 62 instances there were 174 a second, for a
+// configuration that changes a few times a minute. No reader is elected. Instances are ranked
+// in an order that all of them share: the first ones read continuously, and another one reads
+// when the latest as-of time it knows becomes too old, so the loss of any readers costs one
+// short delay.
 package follow
 
 import (
@@ -23,41 +24,41 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// PollTiming says how often a topic is read. Each call of the store is paid for, and a
-// topic that changes all the time would wake a waiting call with every change.
+// PollTiming sets how often a topic is read. Every call of the store is billed, and a topic
+// that changes constantly would end a waiting call with every change.
 type PollTiming struct {
 	// Wait is how long a call waits at the store for a record.
 	Wait time.Duration
-	// Gap is the pause between two calls.
+	// Gap is the delay between two calls.
 	Gap time.Duration
-	// TakeoverAge is the age of the best proof from which an instance reads a shared topic
-	// though others should, and Stagger what is added for each that comes before it.
+	// TakeoverAge is the age of the as-of time at which a standby instance reads a shared
+	// topic itself. Stagger is added to it for each standby that precedes this one.
 	TakeoverAge, Stagger time.Duration
 }
 
-// Handler takes in what a topic holds. Its methods are called one at a time.
+// Handler processes the content of a topic. Its methods are not called concurrently.
 type Handler interface {
-	// Replace takes the newest record of every key, after which no other key holds.
-	// Both it and Add report whether anything has changed that others must know.
+	// Replace takes the newest record of every key; any other key is gone. Like Add, it
+	// reports whether anything changed that other instances must know.
 	Replace(records []port.KeyedRecord) (changed bool)
 	// Add takes one more record.
 	Add(record port.KeyedRecord) (changed bool)
-	// CaughtUp tells that all that stood in the topic when a call was begun has been
-	// taken in. begun is of the clock that counts through suspensions.
-	CaughtUp(begun time.Duration)
-	// ReadFailed tells that a call failed.
+	// CaughtUp reports that every record that was in the topic at asOf has been processed.
+	// asOf is a time of the clock that includes suspensions.
+	CaughtUp(asOf time.Duration)
+	// ReadFailed reports a failed call.
 	ReadFailed()
 }
 
-// Figures of failed calls.
+// Limits for failed calls.
 const (
-	// callSlack is added to the waiting time of a call: the store answers in some
-	// milliseconds, and up to sixty times as slowly when it is ill.
-	callSlack = 1200 * time.Millisecond
-	// firstRetry and lastRetry bound the pause after a failed call. The store refuses
-	// calls beyond its rate, and refused ones are paid for like others.
-	firstRetry = 120 * time.Millisecond
-	lastRetry  = 600 * time.Millisecond
+	// callTimeoutMargin is added to a call's wait to get its timeout. The store answers within
+	// some milliseconds, and up to sixty times as slowly when it is degraded.
+	callTimeoutMargin = 1200 * time.Millisecond
+	// minRetryDelay and maxRetryDelay limit the delay after a failed call. The store rejects
+	// calls beyond its rate limit, and rejected calls are billed too.
+	minRetryDelay = 120 * time.Millisecond
+	maxRetryDelay = 600 * time.Millisecond
 )
 
 // Follower follows one topic.
@@ -67,61 +68,62 @@
 	Timing  PollTiming
 	Handler Handler
 	Logger  *zap.Logger
-	// GapFactor multiplies the gap, if set; all instances' calls together are bounded.
+	// GapFactor multiplies the gap, if set. It is used to limit the total call rate of all
+	// instances.
 	GapFactor func() float64
-	// Rank is the number of instances that come before this one in reading the topic
-	// for all. Nil means that each reads for itself.
+	// Rank returns the number of instances that precede this one in the order of readers of a
+	// shared topic. If it is nil, the topic is not shared, and each instance reads for itself.
 	Rank func() int
-	// Announce is told when there is something new to tell the others. Nil is allowed.
+	// Announce is called when there is something new to tell the other instances. It may be
+	// nil.
 	Announce func()
-	// Now is the clock that counts through suspensions.
+	// Now is the clock that includes suspensions.
 	Now boottime.Clock
 
-	wake   chan struct{}
-	failed int
-	since  time.Duration
+	wake         chan struct{}
+	failedCalls  int
+	failingSince time.Duration
 
 	mu sync.Mutex
-	// next is the offset up to which the topic is known, once it is.
+	// next is the offset up to which the topic is known, if known is set.
 	next       uint64
 	known      bool
 	knownSince time.Duration
-	// mark is the offset after the last record that changed anything, once that is
-	// settled; see Note.
-	mark   uint64
-	marked bool
-	// proof is when a read was begun that showed that nothing followed, lastRead when
-	// this instance's own last one ended.
-	proof, lastRead time.Duration
-	// behind tells that another instance knows of records that are missing here, and
-	// catchUp when they are read if they have not come before. They end below ahead.
-	behind  bool
-	catchUp time.Duration
-	ahead   uint64
-	// reads tells that this instance reads the topic for all.
-	reads bool
-	relay relay
+	// mark is the offset after the last record that changed anything, if markKnown is set; see
+	// Note.
+	mark      uint64
+	markKnown bool
+	// asOf is the start time of the latest read, by any instance, that proved that there were
+	// no further records. lastRead is when this instance's own last read ended.
+	asOf, lastRead time.Duration
+	// behind is set while another instance knows records that are missing here. They end below
+	// behindMark, and are read from the store at catchUpAt unless they arrive earlier.
+	behind     bool
+	catchUpAt  time.Duration
+	behindMark uint64
+	// active is set while this instance reads the topic on behalf of all.
+	active bool
+	relay  relay
 }
 
-// NewFollower returns a follower of a topic; the fields that are exported may be set
-// until it runs.
-func NewFollower(topic port.Topic, pace PollTiming, reader Handler) *Follower {
-	return &Follower{Topic: topic, Timing: pace, Handler: reader, Now: boottime.Now, wake: make(chan struct{}, 1)}
+// NewFollower returns a follower of a topic. Exported fields may be set until Run is called.
+func NewFollower(topic port.Topic, timing PollTiming, handler Handler) *Follower {
+	return &Follower{Topic: topic, Timing: timing, Handler: handler, Now: boottime.Now, wake: make(chan struct{}, 1)}
 }
 
 // Run follows the topic until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	for {
-		f.waitForTurn(ctx.Done())
+		f.waitUntilDue(ctx.Done())
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		begun := f.Now()
-		if err := f.step(ctx, begun); err != nil {
-			f.lost(ctx, err)
+		if err := f.readOnce(ctx, begun); err != nil {
+			f.handleFailure(ctx, err)
 			continue
 		}
-		f.regained()
+		f.handleSuccess()
 	}
 }
 
@@ -132,50 +134,50 @@
 	return time.Duration(float64(f.Timing.Gap) * f.GapFactor())
 }
 
-// step makes one call and hands on what it brought.
-func (f *Follower) step(ctx context.Context, begun time.Duration) error {
+// readOnce makes one call and processes its result.
+func (f *Follower) readOnce(ctx context.Context, begun time.Duration) error {
 	f.mu.Lock()
 	known, next := f.known, f.next
 	wait := f.Timing.Wait
-	if f.Rank != nil && (!f.reads || f.behind) {
+	if f.Rank != nil && (!f.active || f.behind) {
 		wait = 0
 	}
 	f.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, wait+callSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+callTimeoutMargin)
 	defer cancel()
 	if !known {
-		return f.readWhole(ctx, begun)
+		return f.readSnapshot(ctx, begun)
 	}
 	records, next, err := f.Log.Since(ctx, f.Topic, next, wait)
 	if errors.Is(err, port.ErrForgotten) {
 		f.Logger.Info("history forgotten", zap.Stringer("topic", f.Topic), zap.Uint64("from", next))
-		return f.readWhole(ctx, begun)
+		return f.readSnapshot(ctx, begun)
 	}
 	if err != nil {
 		return err
 	}
-	f.add(records, next, begun)
+	f.applyRecords(records, next, begun)
 	return nil
 }
 
-// readWhole reads the newest record of each key.
-func (f *Follower) readWhole(ctx context.Context, begun time.Duration) error {
+// readSnapshot reads the newest record of each key.
+func (f *Follower) readSnapshot(ctx context.Context, begun time.Duration) error {
 	records, next, err := f.Log.Newest(ctx, f.Topic)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.takeWhole(records, next, begun)
+	f.applySnapshot(records, next, begun)
 	return nil
 }
 
-// takeWhole takes in the newest record of each key; the lock is held.
-func (f *Follower) takeWhole(records []port.KeyedRecord, next uint64, begun time.Duration) {
+// applySnapshot processes the newest record of each key. f.mu must be held.
+func (f *Follower) applySnapshot(records []port.KeyedRecord, next uint64, begun time.Duration) {
 	if f.known && next < f.next {
-		// Others have told of records since the answer was made, and it would take them
-		// away again for good: they are not read twice.
-		f.proven(begun)
+		// Other instances have relayed records since this response was produced. Applying it
+		// would remove them permanently, since they are not read again.
+		f.noteCaughtUp(begun)
 		return
 	}
 	changed := f.Handler.Replace(records)
@@ -183,14 +185,14 @@
 		f.known, f.knownSince = true, f.Now()
 	}
 	f.next = next
-	if changed && f.marked {
+	if changed && f.markKnown {
 		f.mark, f.relay = f.next, relay{}
 	}
-	f.proven(begun)
+	f.noteCaughtUp(begun)
 }
 
-// add hands on the records of a read. Some may have come from others meanwhile.
-func (f *Follower) add(records []port.KeyedRecord, next uint64, begun time.Duration) {
+// applyRecords processes the records of a read. Some may have been relayed in the meantime.
+func (f *Follower) applyRecords(records []port.KeyedRecord, next uint64, begun time.Duration) {
 	var changed []port.KeyedRecord
 	f.mu.Lock()
 	for _, record := range records {
@@ -199,49 +201,50 @@
 		}
 	}
 	f.next = max(f.next, next)
-	f.changed(changed)
-	f.proven(begun)
-	tell := f.Rank != nil && (len(changed) > 0 || !f.reads)
+	f.queueRelay(changed)
+	f.noteCaughtUp(begun)
+	announce := f.Rank != nil && (len(changed) > 0 || !f.active)
 	f.mu.Unlock()
-	if tell && f.Announce != nil {
+	if announce && f.Announce != nil {
 		f.Announce()
 	}
 }
 
-// proven notes what a read of this instance has shown; the lock is held.
-func (f *Follower) proven(begun time.Duration) {
-	f.proof = max(f.proof, begun)
+// noteCaughtUp records that a read of this instance reached the end of the topic. f.mu must be
+// held.
+func (f *Follower) noteCaughtUp(begun time.Duration) {
+	f.asOf = max(f.asOf, begun)
 	f.lastRead = f.Now()
 	f.behind = false
 	f.Handler.CaughtUp(begun)
 }
 
-// lost tells of a failed call and pauses.
-func (f *Follower) lost(ctx context.Context, err error) {
+// handleFailure reports a failed call and waits before the next one.
+func (f *Follower) handleFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	if f.failed == 0 {
-		f.since = f.Now()
+	if f.failedCalls == 0 {
+		f.failingSince = f.Now()
 		f.Logger.Warn("store lost", zap.Stringer("topic", f.Topic), zap.Error(err))
 	}
-	f.failed++
+	f.failedCalls++
 	f.mu.Lock()
 	f.Handler.ReadFailed()
 	f.mu.Unlock()
-	pause := min(firstRetry<<min(f.failed-1, 4), lastRetry)
-	sleep(ctx, pause/2+rand.N(pause))
+	delay := min(minRetryDelay<<min(f.failedCalls-1, 4), maxRetryDelay)
+	sleep(ctx, delay/2+rand.N(delay))
 }
 
-func (f *Follower) regained() {
-	if f.failed > 0 {
-		f.Logger.Info("store regained", zap.Stringer("topic", f.Topic), zap.Int("failed_calls", f.failed),
-			zap.Duration("after", f.Now()-f.since))
+func (f *Follower) handleSuccess() {
+	if f.failedCalls > 0 {
+		f.Logger.Info("store regained", zap.Stringer("topic", f.Topic), zap.Int("failed_calls", f.failedCalls),
+			zap.Duration("after", f.Now()-f.failingSince))
 	}
-	f.failed = 0
+	f.failedCalls = 0
 }
 
-// sleep waits for a time or the end of ctx.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -14,8 +14,8 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// scripted is a topic that fails as told.
-type scripted struct {
+// fakeTopic is a topic whose failures are set by the test.
+type fakeTopic struct {
 	port.KeyedLog
 	mu      sync.Mutex
 	records []port.KeyedRecord
@@ -24,7 +24,7 @@
 	calls   int
 }
 
-func (s *scripted) Newest(context.Context, port.Topic) ([]port.KeyedRecord, uint64, error) {
+func (s *fakeTopic) Newest(context.Context, port.Topic) ([]port.KeyedRecord, uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -34,7 +34,7 @@
 	return s.records, uint64(len(s.records)), nil
 }
 
-func (s *scripted) Since(_ context.Context, _ port.Topic, from uint64, wait time.Duration) ([]port.KeyedRecord, uint64, error) {
+func (s *fakeTopic) Since(_ context.Context, _ port.Topic, from uint64, wait time.Duration) ([]port.KeyedRecord, uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -52,67 +52,67 @@
 	return s.records[from:], uint64(len(s.records)), nil
 }
 
-// set changes the script.
-func (s *scripted) set(change func()) {
+// set changes the state under the lock.
+func (s *fakeTopic) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// asked is how often the store was called.
-func (s *scripted) asked() int {
+// callCount returns the number of calls of the store.
+func (s *fakeTopic) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// noted is what a reader was told.
-type noted struct {
+// recordingHandler counts the calls of its methods.
+type recordingHandler struct {
 	mu sync.Mutex
-	told
+	handlerCalls
 }
 
-type told struct {
-	replaced, added, proven, lost int
+type handlerCalls struct {
+	replaced, added, caughtUp, readFailed int
 }
 
-func (n *noted) Replace(records []port.KeyedRecord) bool {
-	n.note(func(t *told) { t.replaced += 1 + len(records) })
+func (n *recordingHandler) Replace(records []port.KeyedRecord) bool {
+	n.record(func(t *handlerCalls) { t.replaced += 1 + len(records) })
 	return true
 }
 
-func (n *noted) Add(port.KeyedRecord) bool {
-	n.note(func(t *told) { t.added++ })
+func (n *recordingHandler) Add(port.KeyedRecord) bool {
+	n.record(func(t *handlerCalls) { t.added++ })
 	return true
 }
 
-func (n *noted) CaughtUp(time.Duration) { n.note(func(t *told) { t.proven++ }) }
-func (n *noted) ReadFailed()            { n.note(func(t *told) { t.lost++ }) }
+func (n *recordingHandler) CaughtUp(time.Duration) { n.record(func(t *handlerCalls) { t.caughtUp++ }) }
+func (n *recordingHandler) ReadFailed()            { n.record(func(t *handlerCalls) { t.readFailed++ }) }
 
-func (n *noted) note(change func(*told)) {
+func (n *recordingHandler) record(change func(*handlerCalls)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	change(&n.told)
+	change(&n.handlerCalls)
 }
 
-// so is what was told so far.
-func (n *noted) so() told {
+// calls returns the counts so far.
+func (n *recordingHandler) calls() handlerCalls {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.told
+	return n.handlerCalls
 }
 
-// virtual is the time of a bubble of synctest, which begins at midnight.
-func virtual() time.Duration {
+// virtualNow is the time in a synctest bubble, which starts at midnight.
+func virtualNow() time.Duration {
 	return time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)) + time.Hour
 }
 
-func run(t *testing.T, s *scripted, steps func(n *noted)) {
+func runFollower(t *testing.T, s *fakeTopic, steps func(n *recordingHandler)) {
 	synctest.Test(t, func(t *testing.T) {
-		n := &noted{}
+		n := &recordingHandler{}
 		ctx, cancel := context.WithCancel(t.Context())
 		f := NewFollower(port.TopicConfiguration, PollTiming{Wait: time.Second, Gap: 50 * time.Millisecond}, n)
-		f.Log, f.Logger, f.Now = s, zap.NewNop(), virtual
+		f.Log, f.Logger, f.Now = s, zap.NewNop(), virtualNow
 		done := make(chan error)
 		go func() { done <- f.Run(ctx) }()
 		steps(n)
@@ -121,42 +121,43 @@
 	})
 }
 
-func pass(d time.Duration) {
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// The store is away for ten seconds. Nothing is proven meanwhile, it is not asked more
-// often than it bears, and what was written in between is read at its return.
+// The store is unavailable for ten seconds. Meanwhile the follower must not report that it is
+// caught up, nor exceed the call rate that the store allows; afterwards it must read what was
+// written in between.
 func TestOutage(t *testing.T) {
-	s := &scripted{records: make([]port.KeyedRecord, 2)}
-	run(t, s, func(n *noted) {
-		pass(time.Millisecond)
-		assert.Equal(t, n.so().replaced, 3)
-		assert.Equal(t, n.so().proven, 1)
+	s := &fakeTopic{records: make([]port.KeyedRecord, 2)}
+	runFollower(t, s, func(n *recordingHandler) {
+		advance(time.Millisecond)
+		assert.Equal(t, n.calls().replaced, 3)
+		assert.Equal(t, n.calls().caughtUp, 1)
 		s.set(func() { s.down = true })
-		pass(2 * time.Second)
-		proven, calls := n.so().proven, s.asked()
+		advance(2 * time.Second)
+		caughtUp, calls := n.calls().caughtUp, s.callCount()
 		s.set(func() { s.records = append(s.records, port.KeyedRecord{Offset: uint64(len(s.records))}) })
-		pass(10 * time.Second)
-		assert.Equal(t, n.so().proven, proven)
-		assert.Assert(t, n.so().lost > 0 && s.asked()-calls < 40, "%d calls in ten seconds", s.asked()-calls)
+		advance(10 * time.Second)
+		assert.Equal(t, n.calls().caughtUp, caughtUp)
+		assert.Assert(t, n.calls().readFailed > 0 && s.callCount()-calls < 40, "%d calls in ten seconds", s.callCount()-calls)
 		s.set(func() { s.down = false })
-		pass(2 * time.Second)
-		assert.Equal(t, n.so().added, 1)
-		assert.Assert(t, n.so().proven > proven)
+		advance(2 * time.Second)
+		assert.Equal(t, n.calls().added, 1)
+		assert.Assert(t, n.calls().caughtUp > caughtUp)
 	})
 }
 
-// The store forgets what was not read yet. The newest of each key is read instead;
-// going on from the records that are left would miss keys for good.
+// Records expire before they are read. The newest record of each key must be read instead;
+// continuing with the remaining records would miss keys permanently.
 func TestForgottenHistory(t *testing.T) {
-	s := &scripted{records: make([]port.KeyedRecord, 2)}
-	run(t, s, func(n *noted) {
-		pass(time.Millisecond)
+	s := &fakeTopic{records: make([]port.KeyedRecord, 2)}
+	runFollower(t, s, func(n *recordingHandler) {
+		advance(time.Millisecond)
 		s.set(func() { s.records, s.first = make([]port.KeyedRecord, 9), 5 })
-		pass(3 * time.Second)
-		assert.Equal(t, n.so().replaced, 3+10)
-		assert.Equal(t, n.so().lost, 0)
+		advance(3 * time.Second)
+		assert.Equal(t, n.calls().replaced, 3+10)
+		assert.Equal(t, n.calls().readFailed, 0)
 	})
 }
--- a/follow/share.go
+++ b/follow/share.go
@@ -8,102 +8,104 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// Figures of what instances tell one another of a topic.
+// Limits for what instances tell each other about a topic.
 const (
-	// regulars is how many instances read a topic all the time, for all. The second
-	// covers the time until the loss of the first is noticed.
-	regulars = 2
-	// regularAfter is how long after its first read an instance reads for all at the
-	// earliest. One that has just started hears nobody and takes itself for the first in the
-	// order; when all start together, each would read all the time until the first reports.
-	regularAfter = 1200 * time.Millisecond
-	// relayReports is how many reports carry a new record. One in forty is lost on a
-	// bad link; who has lost both reads the store.
+	// activeReaders is the number of instances that read a shared topic continuously. The
+	// second one covers the time until the loss of the first is noticed.
+	activeReaders = 2
+	// activeReaderDelay is the minimum time between an instance's first read and its becoming
+	// an active reader. An instance that has just started has not received any reports and
+	// considers itself first in the order; when all start together, each would read
+	// continuously until the first reports arrive.
+	activeReaderDelay = 1200 * time.Millisecond
+	// relayReports is the number of reports that carry a new record. One report in forty is
+	// lost on a bad link; an instance that misses both reads the store.
 	relayReports = 2
-	// relayBytes bounds the records that a report carries, before they are compressed to
-	// about a fifth. The report goes to every instance; what is larger each reads from the
-	// store itself.
-	relayBytes = 24 << 10
-	// relayPatience is how long an instance that hears of a record waits for the report
-	// that carries it: the time that a link of 10 Mbit/s takes to send 4 KB to eighty
-	// instances. Who has the record already tells of it as well, and is often heard
-	// first; at 78 instances each change of a configuration was so read by nearly all of
-	// them, which was half of the fleet's calls.
-	relayPatience = 250 * time.Millisecond
-	// markPatience is how long an instance that has read a whole topic waits for the
-	// word of others on what of it is new. Without others, all of it is.
-	markPatience = 1500 * time.Millisecond
+	// maxRelayBytes limits the records that a report carries, before compression to about a
+	// fifth. The report goes to every instance; each reads larger amounts from the store
+	// itself.
+	maxRelayBytes = 24 << 10
+	// relayTimeout is how long an instance that learns of a record waits for the report that
+	// carries it: the time a 10 Mbit/s link takes to send 4 KB to eighty instances. Instances
+	// that already have the record also mention it, and their notes often arrive first:
+	// without the wait, at 78 instances nearly all of them read each configuration change from
+	// the store, which was half of the fleet's calls.
+	relayTimeout = 250 * time.Millisecond
+	// markTimeout is how long an instance that has read a snapshot waits for others to say
+	// which part of it is new. Without other instances, all of it counts as new.
+	markTimeout = 1500 * time.Millisecond
 )
 
-// Note is what an instance tells the others of a topic that it follows. Who has all
-// records up to Mark, by its own reads or by notes, knows as much as the sender did when
-// its proof was begun.
+// Note is what an instance tells the others about a topic that it follows. An instance that
+// has all records up to Mark, from its own reads or from notes, is caught up as of the same
+// time as the sender.
 type Note struct {
 	Topic port.Topic
 	// Mark is the offset after the last record that changed anything.
 	Mark uint64
-	// Next is the offset up to which the sender knows the topic. What lies between Mark
-	// and Next changes nothing.
+	// Next is the offset up to which the sender knows the topic. The records between Mark and
+	// Next change nothing.
 	Next uint64
-	// Age of the proof that nothing followed.
+	// Age is the time since the sender was caught up.
 	Age time.Duration
-	// Records are the newest that changed anything: all between From and Mark.
+	// Records are the newest records that changed anything: all of those between From and
+	// Mark.
 	From    uint64
 	Records []port.KeyedRecord
 }
 
-// relay is what the next reports carry of new records.
+// relay holds the new records that the next reports carry.
 type relay struct {
-	from    uint64
-	records []port.KeyedRecord
-	reports int
+	from        uint64
+	records     []port.KeyedRecord
+	reportsLeft int
 }
 
-// Note returns what to tell the others; ok is false while there is nothing to tell.
+// Note returns the note for the next report; ok is false while there is nothing to report.
 func (f *Follower) Note(now time.Duration) (n Note, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.Rank == nil || !f.known || !f.marked {
+	if f.Rank == nil || !f.known || !f.markKnown {
 		return Note{}, false
 	}
-	n = f.note(now)
-	if f.relay.reports > 0 {
-		f.relay.reports--
+	n = f.newNote(now)
+	if f.relay.reportsLeft > 0 {
+		f.relay.reportsLeft--
 		n.From, n.Records = f.relay.from, f.relay.records
 	}
 	return n, true
 }
 
-// NoteFor returns what to tell an instance that knows the topic up to an offset: the records that
-// it lacks as well, if they are still kept.
+// NoteFor returns the note for an instance that knows the topic up to offset known. It
+// includes the records that the instance lacks, if they are still kept.
 func (f *Follower) NoteFor(now time.Duration, known uint64) (n Note, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.Rank == nil || !f.known || !f.marked {
+	if f.Rank == nil || !f.known || !f.markKnown {
 		return Note{}, false
 	}
-	n = f.note(now)
+	n = f.newNote(now)
 	if len(f.relay.records) > 0 && known < f.mark && f.relay.from <= known {
 		n.From, n.Records = f.relay.from, f.relay.records
 	}
 	return n, true
 }
 
-// NextOffset is the offset up to which the topic is known, 0 while it is not.
+// NextOffset returns the offset up to which the topic is known, or 0 while it is unknown.
 func (f *Follower) NextOffset() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.next
 }
 
-// note is what to tell without records; the lock is held.
-func (f *Follower) note(now time.Duration) Note {
-	return Note{Topic: f.Topic, Mark: f.mark, Next: f.next, Age: now - f.proof}
+// newNote returns a note without records. f.mu must be held.
+func (f *Follower) newNote(now time.Duration) Note {
+	return Note{Topic: f.Topic, Mark: f.mark, Next: f.next, Age: now - f.asOf}
 }
 
-// Receive takes in what another instance tells. earliest is the earliest time, of the clock
-// that counts through suspensions, at which it can have been told: a report may have
-// waited anywhere on its way, and what it proves is older by that.
+// Receive processes a note from another instance. earliest is the earliest time at which it
+// can have been sent, by the clock that includes suspensions: a report may have been delayed
+// anywhere on its way, so the sender's as-of time is computed from earliest.
 func (f *Follower) Receive(n Note, earliest time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,40 +113,40 @@
 		return
 	}
 	if f.next < n.Mark {
-		f.takeOver(n)
+		f.applyNoteRecords(n)
 	}
 	if f.next < n.Mark {
-		f.fallBehind(n)
+		f.setBehind(n)
 		f.wakeUp()
 		return
 	}
-	f.settle(n)
-	f.behind = f.behind && f.next < f.ahead
-	begun := earliest - n.Age
-	if earliest <= 0 || begun <= f.proof {
+	f.adoptMark(n)
+	f.behind = f.behind && f.next < f.behindMark
+	asOf := earliest - n.Age
+	if earliest <= 0 || asOf <= f.asOf {
 		return
 	}
-	f.proof = begun
-	f.Handler.CaughtUp(begun)
+	f.asOf = asOf
+	f.Handler.CaughtUp(asOf)
 }
 
-// fallBehind notes that records are missing here. A note that carries records and does not
-// join what is known follows one that was lost, so that waiting for more is in vain; one
-// without records may have overtaken those that carry them. The lock is held.
-func (f *Follower) fallBehind(n Note) {
-	var read time.Duration
+// setBehind records that records are missing here. A note whose records do not follow directly
+// on what is known follows one that was lost, so waiting for more is useless; a note without
+// records may have overtaken the ones that carry them. f.mu must be held.
+func (f *Follower) setBehind(n Note) {
+	var catchUpAt time.Duration
 	if len(n.Records) == 0 {
-		read = f.Now() + relayPatience
+		catchUpAt = f.Now() + relayTimeout
 	}
-	if !f.behind || read < f.catchUp {
-		f.catchUp = read
+	if !f.behind || catchUpAt < f.catchUpAt {
+		f.catchUpAt = catchUpAt
 	}
-	f.behind, f.ahead = true, max(f.ahead, n.Mark)
+	f.behind, f.behindMark = true, max(f.behindMark, n.Mark)
 }
 
-// takeOver adds the records that a note brings, if none is missing before them; the lock
-// is held.
-func (f *Follower) takeOver(n Note) {
+// applyNoteRecords processes the records of a note, unless records before them are missing.
+// f.mu must be held.
+func (f *Follower) applyNoteRecords(n Note) {
 	if len(n.Records) == 0 || n.From > f.next {
 		return
 	}
@@ -156,91 +158,92 @@
 	f.next = n.Mark
 }
 
-// settle learns what of the topic is new. What another instance has read beyond this
-// one and found to change nothing need not be read here. The lock is held.
-func (f *Follower) settle(n Note) {
-	if !f.marked && n.Next >= f.next {
-		f.marked, f.mark = true, n.Mark
+// adoptMark learns from a note which part of the topic is new. Records that another instance
+// has read beyond this one and that changed nothing need not be read here. f.mu must be held.
+func (f *Follower) adoptMark(n Note) {
+	if !f.markKnown && n.Next >= f.next {
+		f.markKnown, f.mark = true, n.Mark
 	}
-	if f.marked && f.mark < n.Mark {
-		// What this instance was about to tell would leave out what it has just learnt.
+	if f.markKnown && f.mark < n.Mark {
+		// The records queued here do not include those that were just received.
 		f.mark, f.relay = n.Mark, relay{from: n.From, records: n.Records}
 	}
 	f.next = max(f.next, n.Next)
 }
 
-// changed notes records that this instance has read and that changed something; the lock
-// is held.
-func (f *Follower) changed(records []port.KeyedRecord) {
-	if f.Rank == nil || !f.marked || len(records) == 0 {
+// queueRelay queues records that this instance has read and that changed something. f.mu must
+// be held.
+func (f *Follower) queueRelay(records []port.KeyedRecord) {
+	if f.Rank == nil || !f.markKnown || len(records) == 0 {
 		return
 	}
-	if f.relay.reports == 0 {
+	if f.relay.reportsLeft == 0 {
 		f.relay = relay{from: f.mark}
 	}
 	f.relay.records = append(f.relay.records, records...)
-	f.relay.reports = relayReports
+	f.relay.reportsLeft = relayReports
 	size := 0
 	for _, record := range f.relay.records {
 		size += len(record.Key) + len(record.Value)
 	}
-	if size > relayBytes {
+	if size > maxRelayBytes {
 		f.relay = relay{}
 	}
 	f.mark = max(f.mark, records[len(records)-1].Offset+1)
 }
 
-// pause is how long this instance may wait before it reads the topic itself.
-func (f *Follower) pause(now time.Duration) time.Duration {
+// readDelay returns how long this instance may wait before it reads the topic itself.
+func (f *Follower) readDelay(now time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.Rank == nil {
-		return f.readAfter(now)
+		return f.pollDelay(now)
 	}
 	if !f.known {
 		return 0
 	}
 	if f.behind {
-		return max(f.catchUp-now, 0)
+		return max(f.catchUpAt-now, 0)
 	}
-	turn := f.Rank()
-	f.regular(turn < regulars && now-f.knownSince > regularAfter)
-	if turn < regulars {
-		f.mustMark(now)
+	rank := f.Rank()
+	f.setActive(rank < activeReaders && now-f.knownSince > activeReaderDelay)
+	if rank < activeReaders {
+		f.defaultMark(now)
 	}
-	if f.reads {
-		return f.readAfter(now)
+	if f.active {
+		return f.pollDelay(now)
 	}
-	turn = max(turn, regulars)
-	return f.proof + f.Timing.TakeoverAge + f.Timing.Stagger*time.Duration(turn-regulars) - now
+	rank = max(rank, activeReaders)
+	return f.asOf + f.Timing.TakeoverAge + f.Timing.Stagger*time.Duration(rank-activeReaders) - now
 }
 
-// readAfter is the pause until the next read of an instance that reads all the time; the
-// lock is held.
-func (f *Follower) readAfter(now time.Duration) time.Duration {
+// pollDelay returns the delay until the next read of an instance that reads continuously. f.mu
+// must be held.
+func (f *Follower) pollDelay(now time.Duration) time.Duration {
 	if !f.known {
 		return 0
 	}
 	return f.lastRead + f.gap() - now
 }
 
-// regular notes whether this instance reads for all; the lock is held.
-func (f *Follower) regular(reads bool) {
-	if reads == f.reads {
+// setActive sets whether this instance reads on behalf of all. f.mu must be held.
+func (f *Follower) setActive(active bool) {
+	if active == f.active {
 		return
 	}
-	f.reads = reads
-	f.Logger.Info("reads for all", zap.Stringer("topic", f.Topic), zap.Bool("reads", reads))
+	f.active = active
+	f.Logger.Info("reads for all", zap.Stringer("topic", f.Topic), zap.Bool("reads", active))
 }
 
-// mustMark takes the whole topic for new where nobody says what of it is; the lock is held.
-func (f *Follower) mustMark(now time.Duration) {
-	if !f.marked && now-f.knownSince > markPatience {
-		f.marked, f.mark = true, f.next
+// defaultMark treats the whole topic as new if no other instance has said which part is. f.mu
+// must be held.
+func (f *Follower) defaultMark(now time.Duration) {
+	if !f.markKnown && now-f.knownSince > markTimeout {
+		f.markKnown, f.mark = true, f.next
 	}
 }
 
-// wakeUp ends a pause.
+// wakeUp ends the wait in waitUntilDue.
 func (f *Follower) wakeUp() {
 	select {
 	case f.wake <- struct{}{}:
@@ -248,15 +251,14 @@
 	}
 }
 
-// waitForTurn returns when this instance is to read the topic, or at the end of its
-// context.
-func (f *Follower) waitForTurn(done <-chan struct{}) {
+// waitUntilDue returns when this instance is due to read the topic, or when done is closed.
+func (f *Follower) waitUntilDue(done <-chan struct{}) {
 	for {
-		left := f.pause(f.Now())
+		left := f.readDelay(f.Now())
 		if left <= 0 {
 			return
 		}
-		timer := time.NewTimer(min(left, lookAgain))
+		timer := time.NewTimer(min(left, rankCheckInterval))
 		select {
 		case <-done:
 			timer.Stop()
@@ -268,5 +270,5 @@
 	}
 }
 
-// lookAgain is how often an instance that reads nothing looks whether it is its turn.
-const lookAgain = 250 * time.Millisecond
+// rankCheckInterval is how often a waiting instance checks again whether it is due to read.
+const rankCheckInterval = 250 * time.Millisecond
--- a/follow/share_test.go
+++ b/follow/share_test.go
@@ -14,38 +14,38 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// log is a topic whose records change something unless their key is "beat".
-type log struct {
+// sharedTopic is a topic whose records change something unless their key is "beat".
+type sharedTopic struct {
 	port.KeyedLog
 	mu      sync.Mutex
 	records []port.KeyedRecord
-	// refused are readers that the store turns away.
+	// refused contains the clients whose calls fail.
 	refused map[int]bool
 	calls   int
 }
 
-// reader is one instance's access to the log.
-type reader struct {
+// topicClient is one instance's connection to the topic.
+type topicClient struct {
 	port.KeyedLog
-	log *log
-	id  int
+	topic *sharedTopic
+	id    int
 }
 
 var errRefused = errors.New("refused")
 
-func (r *reader) Newest(ctx context.Context, topic port.Topic) ([]port.KeyedRecord, uint64, error) {
+func (r *topicClient) Newest(ctx context.Context, topic port.Topic) ([]port.KeyedRecord, uint64, error) {
 	return r.Since(ctx, topic, 0, 0)
 }
 
-func (r *reader) Since(ctx context.Context, _ port.Topic, from uint64, wait time.Duration) ([]port.KeyedRecord, uint64, error) {
-	l := r.log
+func (r *topicClient) Since(ctx context.Context, _ port.Topic, from uint64, wait time.Duration) ([]port.KeyedRecord, uint64, error) {
+	l := r.topic
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
 	if l.refused[r.id] {
 		return nil, 0, errRefused
 	}
-	for end := virtual() + wait; int(from) == len(l.records) && virtual() < end && ctx.Err() == nil; {
+	for end := virtualNow() + wait; int(from) == len(l.records) && virtualNow() < end && ctx.Err() == nil; {
 		l.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
 		l.mu.Lock()
@@ -53,13 +53,13 @@
 	return l.records[from:], uint64(len(l.records)), nil
 }
 
-func (l *log) put(key string) {
+func (l *sharedTopic) put(key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.records = append(l.records, port.KeyedRecord{Key: key, Value: []byte(key), Offset: uint64(len(l.records))})
 }
 
-func (l *log) refuse(ids ...int) {
+func (l *sharedTopic) refuse(ids ...int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refused = make(map[int]bool)
@@ -68,19 +68,19 @@
 	}
 }
 
-func (l *log) asked() int {
+func (l *sharedTopic) callCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.calls
 }
 
-// instance is one that follows the log with others.
+// instance follows the topic together with others.
 type instance struct {
-	follower *Follower
-	mu       sync.Mutex
-	known    string
-	proof    time.Duration
-	lost     int
+	follower    *Follower
+	mu          sync.Mutex
+	known       string
+	asOf        time.Duration
+	failedReads int
 }
 
 func (i *instance) Replace(records []port.KeyedRecord) bool {
@@ -100,62 +100,62 @@
 	return true
 }
 
-func (i *instance) CaughtUp(begun time.Duration) {
+func (i *instance) CaughtUp(asOf time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.proof = max(i.proof, begun)
+	i.asOf = max(i.asOf, asOf)
 }
 
 func (i *instance) ReadFailed() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.lost++
+	i.failedReads++
 }
 
-// failures is how often the store could not be read.
-func (i *instance) failures() int {
+// failureCount returns the number of failed reads.
+func (i *instance) failureCount() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.lost
+	return i.failedReads
 }
 
 func (i *instance) state() (known string, age time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.known, virtual() - i.proof
+	return i.known, virtualNow() - i.asOf
 }
 
-// shared is a fleet whose instances tell one another what they know each 100 ms.
-type shared struct {
-	log       *log
+// testFleet is a fleet whose instances exchange notes every 100 ms.
+type testFleet struct {
+	topic     *sharedTopic
 	instances []*instance
 
 	mu sync.Mutex
-	// drop loses every note between two instances, if set.
+	// drop, if set, reports whether a note between two instances is lost.
 	drop func(from, to int) bool
-	// held is how long a note waits on its way.
-	held time.Duration
+	// delay is the time a note takes to arrive.
+	delay time.Duration
 }
 
 const noteInterval = 100 * time.Millisecond
 
-var testPace = PollTiming{Wait: 400 * time.Millisecond, Gap: 50 * time.Millisecond, TakeoverAge: 1200 * time.Millisecond, Stagger: 25 * time.Millisecond}
+var testTiming = PollTiming{Wait: 400 * time.Millisecond, Gap: 50 * time.Millisecond, TakeoverAge: 1200 * time.Millisecond, Stagger: 25 * time.Millisecond}
 
-func runShared(t *testing.T, n int, steps func(s *shared)) {
+func runFleet(t *testing.T, n int, steps func(s *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &shared{log: &log{}}
-		s.log.put("first")
+		s := &testFleet{topic: &sharedTopic{}}
+		s.topic.put("first")
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		for id := range n {
 			i := &instance{}
-			i.follower = NewFollower(port.TopicConfiguration, testPace, i)
-			i.follower.Log, i.follower.Logger, i.follower.Now = &reader{log: s.log, id: id}, zap.NewNop(), virtual
+			i.follower = NewFollower(port.TopicConfiguration, testTiming, i)
+			i.follower.Log, i.follower.Logger, i.follower.Now = &topicClient{topic: s.topic, id: id}, zap.NewNop(), virtualNow
 			i.follower.Rank = func() int { return id }
 			s.instances = append(s.instances, i)
 			running.Go(func() { _ = i.follower.Run(ctx) })
 		}
-		running.Go(func() { s.tell(ctx) })
+		running.Go(func() { s.deliverNotes(ctx) })
 		time.Sleep(4 * time.Second)
 		steps(s)
 		cancel()
@@ -163,48 +163,48 @@
 	})
 }
 
-// set changes how notes travel.
-func (s *shared) set(change func()) {
+// set changes the state under the lock.
+func (s *testFleet) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-func (s *shared) travel() (drop func(from, to int) bool, held time.Duration) {
+func (s *testFleet) delivery() (drop func(from, to int) bool, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.drop, s.held
+	return s.drop, s.delay
 }
 
-// tell carries notes between all instances.
-func (s *shared) tell(ctx context.Context) {
+// deliverNotes delivers notes between all instances until ctx ends.
+func (s *testFleet) deliverNotes(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(noteInterval)
 		for from, i := range s.instances {
-			sent := virtual()
+			sent := virtualNow()
 			note, ok := i.follower.Note(sent)
 			if !ok {
 				continue
 			}
-			drop, held := s.travel()
+			drop, delay := s.delivery()
 			for to, other := range s.instances {
 				if to == from || drop != nil && drop(from, to) {
 					continue
 				}
-				if held == 0 {
+				if delay == 0 {
 					other.follower.Receive(note, sent)
 					continue
 				}
-				time.AfterFunc(held, func() { other.follower.Receive(note, sent) })
+				time.AfterFunc(delay, func() { other.follower.Receive(note, sent) })
 			}
 		}
 	}
 }
 
-// oldest is the greatest age of an instance's proof over a time.
-func (s *shared) oldest(d time.Duration) time.Duration {
+// maxAge returns the greatest age of any instance's as-of time during d.
+func (s *testFleet) maxAge(d time.Duration) time.Duration {
 	worst := time.Duration(0)
-	for end := virtual() + d; virtual() < end; time.Sleep(20 * time.Millisecond) {
+	for end := virtualNow() + d; virtualNow() < end; time.Sleep(20 * time.Millisecond) {
 		for _, i := range s.instances {
 			_, age := i.state()
 			worst = max(worst, age)
@@ -213,7 +213,7 @@
 	return worst
 }
 
-func (s *shared) allKnow(key string) bool {
+func (s *testFleet) allKnow(key string) bool {
 	for _, i := range s.instances {
 		if known, _ := i.state(); known != key {
 			return false
@@ -222,151 +222,153 @@
 	return true
 }
 
-// Sixty instances that each ask the store come close to what it bears, and every call is
-// paid for. Two of them read for all, and a change still reaches everyone within a report.
-func TestFewReadForAll(t *testing.T) {
-	runShared(t, 60, func(s *shared) {
-		before := s.log.asked()
-		oldest := s.oldest(10 * time.Second)
-		calls := s.log.asked() - before
+// Sixty instances that each read the store come close to its rate limit, and every call is
+// billed. Only two may read on behalf of all, and a change must still reach every instance
+// within the time of a report.
+func TestTwoInstancesReadForFleet(t *testing.T) {
+	runFleet(t, 60, func(s *testFleet) {
+		before := s.topic.callCount()
+		oldest := s.maxAge(10 * time.Second)
+		calls := s.topic.callCount() - before
 		assert.Assert(t, calls <= 2*10*3, "%d calls in ten seconds", calls)
-		assert.Assert(t, oldest < testPace.TakeoverAge, "a proof was %v old", oldest)
-		s.log.put("beat")
-		s.log.put("second")
-		before = s.log.asked()
+		assert.Assert(t, oldest < testTiming.TakeoverAge, "an as-of time was %v old", oldest)
+		s.topic.put("beat")
+		s.topic.put("second")
+		before = s.topic.callCount()
 		time.Sleep(2*noteInterval + 20*time.Millisecond)
 		assert.Assert(t, s.allKnow("second"))
-		assert.Assert(t, s.log.asked()-before <= 6, "%d calls for one change", s.log.asked()-before)
+		assert.Assert(t, s.topic.callCount()-before <= 6, "%d calls for one change", s.topic.callCount()-before)
 	})
 }
 
-// The store turns away those that read for all while a key is withdrawn. The others
-// notice that nothing is proven any more, and read.
-func TestOthersReadWhenTheReadersCannot(t *testing.T) {
-	runShared(t, 9, func(s *shared) {
-		s.log.refuse(0, 1)
+// The store rejects the calls of the active readers while a key is withdrawn. The standbys
+// must notice that their as-of time no longer advances, and read the store.
+func TestStandbysReadWhenActiveReadersFail(t *testing.T) {
+	runFleet(t, 9, func(s *testFleet) {
+		s.topic.refuse(0, 1)
 		time.Sleep(100 * time.Millisecond)
-		s.log.put("withdrawn")
-		time.Sleep(testPace.TakeoverAge + 600*time.Millisecond)
+		s.topic.put("withdrawn")
+		time.Sleep(testTiming.TakeoverAge + 600*time.Millisecond)
 		assert.Assert(t, s.allKnow("withdrawn"))
-		oldest := s.oldest(10 * time.Second)
-		assert.Assert(t, oldest < 1700*time.Millisecond, "a proof was %v old", oldest)
-		before := s.log.asked()
+		oldest := s.maxAge(10 * time.Second)
+		assert.Assert(t, oldest < 1700*time.Millisecond, "an as-of time was %v old", oldest)
+		before := s.topic.callCount()
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, s.log.asked()-before < 100, "%d calls in ten seconds", s.log.asked()-before)
+		assert.Assert(t, s.topic.callCount()-before < 100, "%d calls in ten seconds", s.topic.callCount()-before)
 	})
 }
 
-// Every note is lost. Each instance must notice and read for itself, or it would serve
-// an old configuration.
-func TestEachReadsWithoutNotes(t *testing.T) {
-	runShared(t, 5, func(s *shared) {
+// Every note is lost. Each instance must notice and read for itself, or it would keep an
+// outdated configuration.
+func TestEachInstanceReadsWithoutNotes(t *testing.T) {
+	runFleet(t, 5, func(s *testFleet) {
 		s.set(func() { s.drop = func(int, int) bool { return true } })
-		s.log.put("second")
-		time.Sleep(testPace.TakeoverAge + 400*time.Millisecond)
+		s.topic.put("second")
+		time.Sleep(testTiming.TakeoverAge + 400*time.Millisecond)
 		assert.Assert(t, s.allKnow("second"))
-		assert.Assert(t, s.oldest(5*time.Second) < testPace.TakeoverAge+400*time.Millisecond)
+		assert.Assert(t, s.maxAge(5*time.Second) < testTiming.TakeoverAge+400*time.Millisecond)
 	})
 }
 
-// Reports are held up for three seconds on their way, as in a machine that is suspended.
-// A proof counts from when it was told; taken for new it would hide that a key has been
-// withdrawn since.
-func TestHeldUpNotesProveNothingNew(t *testing.T) {
-	runShared(t, 3, func(s *shared) {
-		s.set(func() { s.held = 3 * time.Second })
+// Reports are delayed by three seconds, as on a machine that is suspended. Their age must
+// count from the time they were sent; if they were treated as fresh, they would hide that a
+// key has been withdrawn since.
+func TestDelayedNotesKeepTheirAge(t *testing.T) {
+	runFleet(t, 3, func(s *testFleet) {
+		s.set(func() { s.delay = 3 * time.Second })
 		time.Sleep(4 * time.Second)
-		s.log.refuse(2)
+		s.topic.refuse(2)
 		time.Sleep(3 * time.Second)
 		_, age := s.instances[2].state()
-		assert.Assert(t, age > 2900*time.Millisecond, "a proof that is %v old was taken for new", age)
+		assert.Assert(t, age > 2900*time.Millisecond, "a delayed note was treated as fresh: the as-of time is only %v old", age)
 	})
 }
 
-// The whole store is away. Nobody's proof may get younger by others' word of it.
-func TestNothingIsProvenInAnOutage(t *testing.T) {
-	runShared(t, 5, func(s *shared) {
-		s.log.refuse(0, 1, 2, 3, 4)
+// The store is unavailable to all instances. Notes between them must not advance any
+// instance's as-of time.
+func TestNoInstanceCatchesUpDuringOutage(t *testing.T) {
+	runFleet(t, 5, func(s *testFleet) {
+		s.topic.refuse(0, 1, 2, 3, 4)
 		time.Sleep(8 * time.Second)
 		for n, i := range s.instances {
 			_, age := i.state()
-			assert.Assert(t, age > 7*time.Second, "instance %d believes in a proof %v old", n, age)
-			assert.Assert(t, i.failures() > 0)
+			assert.Assert(t, age > 7*time.Second, "instance %d counts as caught up %v ago although the store is unavailable", n, age)
+			assert.Assert(t, i.failureCount() > 0)
 		}
-		s.log.refuse()
+		s.topic.refuse()
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, s.oldest(time.Second) < testPace.TakeoverAge+400*time.Millisecond)
+		assert.Assert(t, s.maxAge(time.Second) < testTiming.TakeoverAge+400*time.Millisecond)
 	})
 }
 
-// A note carries a new record but not the one before it, which was in a report that got
-// lost. Taking over the one alone would skip a change for good.
-func TestMissingRecordIsRead(t *testing.T) {
+// A note carries a new record but not the one before it, whose report was lost. Applying only
+// the new one would skip a change permanently.
+func TestMissingRecordIsReadFromStore(t *testing.T) {
 	n := &instance{}
-	f := NewFollower(port.TopicUpstreams, testPace, n)
+	f := NewFollower(port.TopicUpstreams, testTiming, n)
 	f.Rank = func() int { return 5 }
-	f.known, f.next, f.marked, f.mark = true, 10, true, 10
+	f.known, f.next, f.markKnown, f.mark = true, 10, true, 10
 	record := func(offset uint64) port.KeyedRecord { return port.KeyedRecord{Key: "new", Offset: offset} }
 	f.Receive(Note{Mark: 13, Next: 14, From: 11, Records: []port.KeyedRecord{record(12)}}, time.Second)
 	assert.Equal(t, n.known, "")
-	assert.Equal(t, f.pause(0), time.Duration(0), "the missing record is read at once")
+	assert.Equal(t, f.readDelay(0), time.Duration(0), "the missing record is read at once")
 	f.Receive(Note{Mark: 13, Next: 14, From: 9, Records: []port.KeyedRecord{record(9), record(12)}}, time.Second)
 	assert.Equal(t, n.known, "new")
 	assert.Equal(t, f.next, uint64(14))
 }
 
-// Of eighty instances the one that reads for all tells of a new record, and one that already
-// has the record is heard first: its word names the record and does not carry it. If that
-// made everybody read, each change would cost a call for every instance, all of which are
-// paid for, and the store would refuse others' calls for a while.
-func TestWordOfARecordWaitsForTheRecord(t *testing.T) {
+// The note of an instance that already has a new record, but does not carry it, arrives before
+// that of the active reader. If it made every one of eighty instances read, each change would
+// cost a call per instance, all of which are billed, and the store would reject other calls
+// for a while.
+func TestNoteWithoutRecordsWaitsForRelay(t *testing.T) {
 	n := &instance{}
-	f := NewFollower(port.TopicUpstreams, testPace, n)
+	f := NewFollower(port.TopicUpstreams, testTiming, n)
 	f.Rank = func() int { return 5 }
 	now := time.Minute
 	f.Now = func() time.Duration { return now }
-	f.known, f.next, f.marked, f.mark, f.proof = true, 10, true, 10, now
+	f.known, f.next, f.markKnown, f.mark, f.asOf = true, 10, true, 10, now
 	f.Receive(Note{Mark: 11, Next: 12}, now)
-	assert.Assert(t, f.pause(now) > 0, "the record may be on its way")
+	assert.Assert(t, f.readDelay(now) > 0, "the record may be on its way")
 	f.Receive(Note{Mark: 11, Next: 12}, now)
-	assert.Equal(t, f.pause(now), relayPatience, "words of others do not end the wait")
+	assert.Equal(t, f.readDelay(now), relayTimeout, "further notes without the record must not end the wait")
 	f.Receive(Note{Mark: 11, Next: 12, From: 10, Records: []port.KeyedRecord{{Key: "new", Offset: 10}}}, now)
 	assert.Equal(t, n.known, "new")
-	assert.Assert(t, f.pause(now) > relayPatience, "nothing is missing any more")
+	assert.Assert(t, f.readDelay(now) > relayTimeout, "no record is missing any more")
 	f.Receive(Note{Mark: 15, Next: 15}, now)
-	now += relayPatience
-	assert.Equal(t, f.pause(now), time.Duration(0), "a record that did not come is read")
+	now += relayTimeout
+	assert.Equal(t, f.readDelay(now), time.Duration(0), "a record that was not relayed in time is read")
 }
 
-// A third of eighty instances are turned away by the store and go on telling that nothing is
-// new, as far as they know. Were each of their words taken for the end of the wait for a
-// missing record, the wait would begin anew with the next word of those who have it: the
-// record is never read, and a key that was withdrawn works on here for seconds.
-func TestWordsOfThoseWhoKnowLessDoNotEndTheWait(t *testing.T) {
-	f := NewFollower(port.TopicConfiguration, testPace, &instance{})
+// A third of eighty instances are rejected by the store and keep reporting the older state
+// they know. If each of their notes ended the wait for a missing record, the next note of an
+// instance that has it would restart the wait: the record would never be read, and a withdrawn
+// key would keep working here for seconds.
+func TestOutdatedNotesDoNotRestartRelayWait(t *testing.T) {
+	f := NewFollower(port.TopicConfiguration, testTiming, &instance{})
 	f.Rank = func() int { return 5 }
 	now := time.Minute
 	f.Now = func() time.Duration { return now }
-	f.known, f.next, f.marked, f.mark, f.proof = true, 10, true, 10, now
+	f.known, f.next, f.markKnown, f.mark, f.asOf = true, 10, true, 10, now
 	for range 3 {
 		f.Receive(Note{Mark: 11, Next: 12}, now)
 		f.Receive(Note{Mark: 10, Next: 10}, now)
-		now += relayPatience / 2
+		now += relayTimeout / 2
 	}
-	assert.Equal(t, f.pause(now), time.Duration(0))
+	assert.Equal(t, f.readDelay(now), time.Duration(0))
 }
 
-// All eighty instances start together. Until their first reports each hears nobody and takes
-// itself for the first in the order of those that read for all; eighty that read all the time
-// come close to what the store bears, and every call is paid for.
-func TestJustStartedInstanceDoesNotReadForAll(t *testing.T) {
-	f := NewFollower(port.TopicConfiguration, testPace, &instance{})
+// All eighty instances start together. Until the first reports arrive, each considers itself
+// first in the order of readers. Eighty instances that read continuously come close to the
+// store's rate limit, and every call is billed.
+func TestStartingInstanceIsNotActiveReader(t *testing.T) {
+	f := NewFollower(port.TopicConfiguration, testTiming, &instance{})
 	f.Logger = zap.NewNop()
 	f.Rank = func() int { return 0 }
 	now := time.Minute
 	f.Now = func() time.Duration { return now }
-	f.known, f.knownSince, f.proof, f.lastRead = true, now, now, now
-	assert.Equal(t, f.pause(now), testPace.TakeoverAge, "its first read holds for a while")
-	now += regularAfter + time.Millisecond
-	assert.Assert(t, f.pause(now) <= testPace.Gap, "nobody else has been heard")
+	f.known, f.knownSince, f.asOf, f.lastRead = true, now, now, now
+	assert.Equal(t, f.readDelay(now), testTiming.TakeoverAge, "the as-of time of its first read is still recent enough")
+	now += activeReaderDelay + time.Millisecond
+	assert.Assert(t, f.readDelay(now) <= testTiming.Gap, "no other instance has been heard from")
 }
