--- a/fleet/members_test.go
+++ b/fleet/members_test.go
@@ -25,10 +25,10 @@
 	assert.Assert(t, m.IsCurrent("b", 2) && !m.IsCurrent("b", 1))
 	// The store has the entry of the earlier run until the new run has written its own.
 	m.Add(record("b", 1, 5))
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Equal(t, last[0].Incarnation, uint64(2))
 	m.Add(record("b", 2, 1))
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Equal(t, last[0].Renewals, uint64(1))
 }
 
@@ -56,18 +56,18 @@
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { last = list })
 	m.RecordReport(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5"})
 	m.Replace(nil)
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Equal(t, len(last), 1)
 	silent := m.others["b"]
 	silent.lastChanged -= 2 * EntryTTL
 	m.others["b"] = silent
 	m.RecordReport(Member{Name: "b", Incarnation: 1, Address: "1.2.3.4:5"})
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Equal(t, len(last), 1)
 	silent = m.others["b"]
 	silent.lastHeard = boottime.Now() - 2*EntryTTL
 	m.others["b"] = silent
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Equal(t, len(last), 0)
 }
 
@@ -81,7 +81,7 @@
 	}
 	assert.Equal(t, count, maxUnlisted)
 	m.Add(record("listed", 1, 1))
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Equal(t, count, maxUnlisted+1)
 }
 
@@ -114,13 +114,13 @@
 	assert.Assert(t, !m.HasSynced(), "nothing was read")
 	m = NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func([]Member) {})
 	m.Replace(nil)
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Assert(t, !m.HasSynced())
 	m.firstRead -= emptyListDelay
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Assert(t, m.HasSynced())
 	m = NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func([]Member) {})
 	m.Add(record("b", 1, 4))
-	m.Proven(0)
+	m.CaughtUp(0)
 	assert.Assert(t, m.HasSynced())
 }
--- a/instance/join.go
+++ b/instance/join.go
@@ -77,7 +77,7 @@
 func (i *Instance) registerCallbacks() {
 	i.follower.Subscribe(i.applyConfig)
 	i.members.OnConfigVersion(func(peer membership.Member, version uint64) {
-		i.follower.Notice(peer.Address, version)
+		i.follower.ObservePeerVersion(peer.Address, version)
 	})
 	i.members.OnChange(func([]membership.Member) { i.refreshSchedulers() })
 	i.members.OnNewIncarnation(func(old, renewed uint64) {
--- a/instance/routed/readers.go
+++ b/instance/routed/readers.go
@@ -70,17 +70,17 @@
 
 // newSharedFollower returns a follower of a topic whose changes all instances must know within the
 // given time.
-func (i *Instance) newSharedFollower(topic port.Topic, within time.Duration, reader follow.Reader) *follow.Follower {
+func (i *Instance) newSharedFollower(topic port.Topic, within time.Duration, reader follow.Handler) *follow.Follower {
 	fractionOf := func(fraction float64) time.Duration { return time.Duration(fraction * float64(within)) }
-	pace := follow.Pace{Spare: fractionOf(spareFraction), Stagger: fractionOf(staggerFraction) / maxStaggerRank}
+	pace := follow.PollTiming{TakeoverAge: fractionOf(spareFraction), Stagger: fractionOf(staggerFraction) / maxStaggerRank}
 	if topic == port.TopicConfiguration {
 		pace.Wait, pace.Gap = fractionOf(configWaitFraction), configReadGap
 	} else {
 		pace.Gap = fractionOf(upstreamGapFraction)
 	}
 	f := follow.NewFollower(topic, pace, reader)
-	f.Turn = func() int { return min(i.exchange.Rank(topic.String()), maxStaggerRank) }
-	f.Kick = func() { i.exchange.Announce() }
+	f.Rank = func() int { return min(i.exchange.Rank(topic.String()), maxStaggerRank) }
+	f.Announce = func() { i.exchange.Announce() }
 	return f
 }
 
@@ -95,7 +95,7 @@
 		if n, ok := f.Note(now); ok {
 			r.Notes = append(r.Notes, n)
 		}
-		if known := f.Known(); known > 0 {
+		if known := f.NextOffset(); known > 0 {
 			r.Known[f.Topic] = known
 		}
 	}
@@ -114,7 +114,7 @@
 		if !present {
 			known = math.MaxUint64
 		}
-		if n, ok := f.Tell(now, known); ok {
+		if n, ok := f.NoteFor(now, known); ok {
 			r.Notes = append(r.Notes, n)
 		}
 	}
@@ -141,7 +141,7 @@
 	for _, n := range r.Notes {
 		for _, f := range i.sharedFollowers {
 			if f.Topic == n.Topic {
-				f.Hear(n, r.Earliest)
+				f.Receive(n, r.Earliest)
 			}
 		}
 	}
@@ -151,7 +151,7 @@
 // centres.
 type configReader struct{ instance *Instance }
 
-// Replace implements follow.Reader.
+// Replace implements follow.Handler.
 func (r *configReader) Replace(records []port.KeyedRecord) bool {
 	changed := r.liftMissingEvacuations(records)
 	for _, record := range records {
@@ -185,7 +185,7 @@
 	return true
 }
 
-// Add implements follow.Reader.
+// Add implements follow.Handler.
 func (r *configReader) Add(record port.KeyedRecord) bool {
 	i := r.instance
 	if dataCentre, evacuated, ok := i.adapters.Evacuation(record); ok {
@@ -217,15 +217,15 @@
 	return true
 }
 
-// Proven implements follow.Reader.
-func (r *configReader) Proven(start time.Duration) {
+// CaughtUp implements follow.Handler.
+func (r *configReader) CaughtUp(start time.Duration) {
 	if r.instance.state.Index() != nil {
 		r.instance.state.ConfirmCurrent(start)
 	}
 }
 
-// Lost implements follow.Reader.
-func (r *configReader) Lost() {}
+// ReadFailed implements follow.Handler.
+func (r *configReader) ReadFailed() {}
 
 // upstreamReader applies the entries of upstreams.
 type upstreamReader struct {
@@ -243,7 +243,7 @@
 // of the store.
 const reregistrationTime = 2200 * time.Millisecond
 
-// Replace implements follow.Reader.
+// Replace implements follow.Handler.
 func (r *upstreamReader) Replace(records []port.KeyedRecord) bool {
 	r.noteStoreReachable()
 	changed := false
@@ -259,7 +259,7 @@
 	return changed
 }
 
-// Add implements follow.Reader.
+// Add implements follow.Handler.
 func (r *upstreamReader) Add(record port.KeyedRecord) bool {
 	r.noteStoreReachable()
 	i := r.instance
@@ -309,8 +309,8 @@
 	}
 }
 
-// Proven implements follow.Reader.
-func (r *upstreamReader) Proven(time.Duration) {
+// CaughtUp implements follow.Handler.
+func (r *upstreamReader) CaughtUp(time.Duration) {
 	r.instance.state.UpstreamsRead()
 	r.noteStoreReachable()
 	if len(r.pendingRemovals) == 0 || boottime.Now() < r.keepRemovedUntil {
@@ -322,5 +322,5 @@
 	r.pendingRemovals = nil
 }
 
-// Lost implements follow.Reader.
-func (r *upstreamReader) Lost() { r.lost = true }
+// ReadFailed implements follow.Handler.
+func (r *upstreamReader) ReadFailed() { r.lost = true }
--- a/instance/routed/routed.go
+++ b/instance/routed/routed.go
@@ -263,8 +263,8 @@
 
 // startBackground starts the goroutines that maintain the instance's state and report it.
 func (i *Instance) startBackground(ctx context.Context, group *errgroup.Group) {
-	members := follow.NewFollower(port.TopicInstances, follow.Pace{Gap: memberReadGap}, i.members)
-	members.Slow = i.memberGapFactor
+	members := follow.NewFollower(port.TopicInstances, follow.PollTiming{Gap: memberReadGap}, i.members)
+	members.GapFactor = i.memberGapFactor
 	for _, f := range append(i.sharedFollowers[:len(i.sharedFollowers):len(i.sharedFollowers)], members) {
 		f.Log, f.Logger = i.adapters.Log, i.log
 		group.Go(func() error {
