--- a/order/codec.go
+++ b/order/codec.go
@@ -18,7 +18,7 @@
 		Upstream:    c.Upstream,
 		OrderKind:   c.Kind,
 		OrderName:   c.Name,
-		From:        c.From,
+		From:        c.BaseOffset,
 		LeaseMs:     uint32(c.Lease.Milliseconds()),
 		Instance:    c.Instance,
 		Incarnation: c.Incarnation,
@@ -29,7 +29,7 @@
 
 func resultEntry(id protocol.ClaimID, r protocol.Result) (port.Entry, error) {
 	data, err := proto.Marshal(&orderv1.Record{Kind: &orderv1.Record_Result{Result: &orderv1.Result{
-		ClaimOffset: r.Claim,
+		ClaimOffset: r.ClaimOffset,
 		Upstream:    r.Upstream,
 		Ran:         uint32(r.Ran),
 		Confirmed:   r.Confirmed,
@@ -48,7 +48,7 @@
 		return claimOf(kind.Claim), nil, nil
 	case *orderv1.Record_Result:
 		r := kind.Result
-		return nil, &protocol.Result{Claim: r.ClaimOffset, Upstream: r.Upstream, Ran: uint8(r.Ran), Confirmed: r.Confirmed}, nil
+		return nil, &protocol.Result{ClaimOffset: r.ClaimOffset, Upstream: r.Upstream, Ran: uint8(r.Ran), Confirmed: r.Confirmed}, nil
 	default:
 		return nil, nil, fmt.Errorf("order: record of unknown kind")
 	}
@@ -59,7 +59,7 @@
 		Upstream:    m.Upstream,
 		Kind:        m.OrderKind,
 		Name:        m.OrderName,
-		From:        m.From,
+		BaseOffset:  m.From,
 		Lease:       min(time.Duration(m.LeaseMs)*time.Millisecond, protocol.MaxLease),
 		Instance:    m.Instance,
 		Incarnation: m.Incarnation,
--- a/order/command.go
+++ b/order/command.go
@@ -92,7 +92,7 @@
 	}
 	claim := protocol.Claim{
 		Upstream: cmd.Upstream.Name, Kind: cmd.Kind, Name: cmd.Name,
-		From: cmd.From, Lease: lease,
+		BaseOffset: cmd.From, Lease: lease,
 		Instance: s.cfg.Self.Instance, Incarnation: s.cfg.Self.Incarnation,
 		Operator: cmd.Operator,
 	}
@@ -108,9 +108,9 @@
 	for {
 		var refusal error
 		var silent time.Time
-		err := s.reader.atEnd(ctx, func(l *protocol.Ledger) {
+		err := s.reader.atEnd(ctx, func(l *protocol.ClaimTable) {
 			refusal = outdated(l, cmd)
-			silent = l.SilentAt(cmd.Upstream.Name)
+			silent = l.LeasesExpireAt(cmd.Upstream.Name)
 		})
 		if err != nil {
 			return s.logDown(err)
@@ -129,11 +129,11 @@
 }
 
 // outdated reports whether the ledger already shows that the claim would be rejected.
-func outdated(l *protocol.Ledger, cmd Command) error {
+func outdated(l *protocol.ClaimTable, cmd Command) error {
 	if cmd.From >= l.Next() {
 		return conflict("offset %d is beyond the end of the stream", cmd.From)
 	}
-	if !l.Knows(cmd.From) {
+	if !l.CompleteSince(cmd.From) {
 		return conflict("the log no longer holds what followed offset %d", cmd.From)
 	}
 	if latest, ok := l.Latest(cmd.Upstream.Name); ok && latest.Offset > cmd.From {
@@ -173,7 +173,7 @@
 // record appends the result, which lets others go on before the lease ends. It is
 // tried a few times; the lease bounds what a missing result costs.
 func (s *Service) record(ctx context.Context, claim protocol.Claim, offset uint64, ran verdict.Ran, confirmed bool) {
-	entry, err := resultEntry(claim.ID, protocol.Result{Claim: offset, Upstream: claim.Upstream, Ran: uint8(ran), Confirmed: confirmed})
+	entry, err := resultEntry(claim.ID, protocol.Result{ClaimOffset: offset, Upstream: claim.Upstream, Ran: uint8(ran), Confirmed: confirmed})
 	for attempt := 0; err == nil && attempt < recordAttempts; attempt++ {
 		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), logTimeout)
 		_, appendErr := s.cfg.Log.Append(callCtx, stream, entry)
--- a/order/protocol/model_test.go
+++ b/order/protocol/model_test.go
@@ -10,16 +10,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// breakage switches one safeguard off.
-type breakage uint8
+// mutation disables one safeguard of the protocol.
+type mutation uint8
 
 const (
-	intact breakage = iota
-	leaseNotWaitedOut
-	leaseFromReading
-	leaseNotChecked
-	ownMemoryWins
-	resultBeforeSend
+	noMutation mutation = iota
+	skipLeaseWait
+	startLeaseAtRead
+	skipLeaseCheck
+	sendWithoutReading
+	resultBeforeOrder
 )
 
 type phase uint8
@@ -30,24 +30,26 @@
 	claimed
 	rejected
 	sent
-	gaveUp
+	abandoned
 )
 
-// holder is one operator's order on one instance. pos is how far it has read; seen
-// is when it read each record.
+// holder is one operator's order on one instance.
 type holder struct {
 	phase phase
-	pos   uint8
-	from  uint8
-	// begun is when its lease began, on the model's clock.
-	begun uint8
-	// offset of its claim in the log.
-	offset uint8
-	seen   [maxLog]uint8
+	// readCount is the number of log records that it has read.
+	readCount  uint8
+	baseOffset uint8
+	// leaseStart is the tick at which its lease starts.
+	leaseStart uint8
+	// claimOffset is the log offset of its claim.
+	claimOffset uint8
+	// readAt has, for each claim of another holder, the tick at which it was read.
+	readAt [maxRecords]uint8
 }
 
-// maxLog is a claim and a result, or two when a safeguard is off, of each holder.
-const maxLog = 9
+// maxRecords is enough for three holders: each appends a claim and a result, or two
+// results under resultBeforeOrder.
+const maxRecords = 9
 
 // record is a claim or a result of a holder.
 type record struct {
@@ -55,185 +57,190 @@
 	result bool
 }
 
-// records is a list that can be compared.
-type records struct {
-	n    uint8
-	list [maxLog]record
+// recordList is a list that is comparable with ==, as a slice is not.
+type recordList struct {
+	length uint8
+	items  [maxRecords]record
 }
 
-func (l *records) add(r record) {
-	l.list[l.n] = r
-	l.n++
+func (l *recordList) add(r record) {
+	l.items[l.length] = r
+	l.length++
 }
 
-func (l *records) remove(i int) {
-	copy(l.list[i:], l.list[i+1:l.n])
-	l.n--
-	l.list[l.n] = record{}
+func (l *recordList) remove(i int) {
+	copy(l.items[i:], l.items[i+1:l.length])
+	l.length--
+	l.items[l.length] = record{}
 }
 
-// world is one state of the model; equal worlds are the same state.
-type world struct {
-	now         uint8
-	log, flying records
-	holders     [3]holder
-	// arrived are the tokens of the orders that the upstream took, in order.
-	arrived [3]uint8
-	took    uint8
+// modelState is one state of the model. It is a map key: equal values are the same
+// state.
+type modelState struct {
+	now           uint8
+	log, inFlight recordList
+	holders       [3]holder
+	// delivered holds the tokens of the orders that the upstream accepted, in order of
+	// arrival.
+	delivered      [3]uint8
+	deliveredCount uint8
 }
 
-type setup struct {
-	holders  int
-	checks   bool
-	ticks    uint8
-	breakage breakage
+type modelConfig struct {
+	holders       int
+	checksFencing bool
+	maxTicks      uint8
+	mutation      mutation
 }
 
-// The model's clock ticks in units in which the lease is 2; with its margin it ends within 3.
+// leaseTicks is the length of a lease in ticks of the model's clock.
 const leaseTicks = 2
 
-// unit makes a lease of two units plus its margin end within three units.
-const unit = 10 * time.Second
+// tickDuration is chosen so that a lease of two ticks and its margin end within three.
+const tickDuration = 10 * time.Second
 
-func at(tick uint8) time.Time { return time.Unix(0, 0).Add(time.Duration(tick) * unit) }
+func tickTime(tick uint8) time.Time { return time.Unix(0, 0).Add(time.Duration(tick) * tickDuration) }
 
-// ledger replays what a holder has read.
-func (w *world) ledger(h holder) *Ledger {
-	l := NewLedger()
-	for i := range h.pos {
-		r := w.log.list[i]
+// claimTable replays the records that a holder has read.
+func (m *modelState) claimTable(h holder) *ClaimTable {
+	table := NewClaimTable()
+	for i := range h.readCount {
+		r := m.log.items[i]
 		if r.result {
-			l.ApplyResult(uint64(i)+1, Result{Claim: uint64(w.holders[r.holder].offset), Upstream: "u"})
+			table.ApplyResult(uint64(i)+1, Result{ClaimOffset: uint64(m.holders[r.holder].claimOffset), Upstream: "u"})
 			continue
 		}
-		claim := Claim{ID: ClaimID{r.holder}, Upstream: "u", From: uint64(w.holders[r.holder].from), Lease: leaseTicks * unit}
-		l.ApplyClaim(uint64(i)+1, claim, at(h.seen[i]))
+		claim := Claim{ID: ClaimID{r.holder}, Upstream: "u", BaseOffset: uint64(m.holders[r.holder].baseOffset), Lease: leaseTicks * tickDuration}
+		table.ApplyClaim(uint64(i)+1, claim, tickTime(h.readAt[i]))
 	}
-	return l
+	return table
 }
 
-func (s setup) successors(w world) []world {
-	var out []world
-	step := func(change func(*world)) {
-		next := w
+func (c modelConfig) successors(m modelState) []modelState {
+	var out []modelState
+	step := func(change func(*modelState)) {
+		next := m
 		change(&next)
 		out = append(out, next)
 	}
-	if w.now < s.ticks {
-		step(func(w *world) { w.now++ })
+	if m.now < c.maxTicks {
+		step(func(m *modelState) { m.now++ })
 	}
-	for i, r := range w.flying.list[:w.flying.n] {
-		step(func(w *world) { w.land(i, r) })
+	for i, r := range m.inFlight.items[:m.inFlight.length] {
+		step(func(m *modelState) { m.commitAppend(i, r) })
 	}
-	for i := range s.holders {
-		s.holderSteps(w, i, step)
+	for i := range c.holders {
+		c.holderSteps(m, i, step)
 	}
 	return out
 }
 
-func (w *world) land(i int, r record) {
-	w.flying.remove(i)
-	w.log.add(r)
+// commitAppend moves record i from the appends in flight to the end of the log.
+func (m *modelState) commitAppend(i int, r record) {
+	m.inFlight.remove(i)
+	m.log.add(r)
 	if !r.result {
-		w.holders[r.holder].offset = w.log.n
+		m.holders[r.holder].claimOffset = m.log.length
 	}
 }
 
-func (s setup) holderSteps(w world, i int, step func(func(*world))) {
-	h := w.holders[i]
-	if h.pos < w.log.n {
-		step(func(w *world) { s.read(w, i) })
+func (c modelConfig) holderSteps(m modelState, i int, step func(func(*modelState))) {
+	h := m.holders[i]
+	if h.readCount < m.log.length {
+		step(func(m *modelState) { c.read(m, i) })
 	}
 	switch h.phase {
 	case idle:
-		if h.pos == w.log.n && s.mayClaim(w, h) {
-			step(func(w *world) { s.claim(w, i) })
+		if h.readCount == m.log.length && c.mayClaim(m, h) {
+			step(func(m *modelState) { c.claim(m, i) })
 		}
 	case claimed:
-		if NewLease(at(h.begun), leaseTicks*unit).MaySend(at(w.now)) || s.breakage == leaseNotChecked {
-			step(func(w *world) { s.send(w, i) })
+		if NewLease(tickTime(h.leaseStart), leaseTicks*tickDuration).MaySend(tickTime(m.now)) || c.mutation == skipLeaseCheck {
+			step(func(m *modelState) { c.send(m, i) })
 		}
-		step(func(w *world) { w.end(i, gaveUp) })
+		step(func(m *modelState) { m.finish(i, abandoned) })
 	}
 }
 
-func (s setup) mayClaim(w world, h holder) bool {
-	waited := !w.ledger(h).SilentAt("u").After(at(w.now))
-	return s.checks || waited || s.breakage == leaseNotWaitedOut
+func (c modelConfig) mayClaim(m modelState, h holder) bool {
+	leasesExpired := !m.claimTable(h).LeasesExpireAt("u").After(tickTime(m.now))
+	return c.checksFencing || leasesExpired || c.mutation == skipLeaseWait
 }
 
-func (s setup) claim(w *world, i int) {
-	h := &w.holders[i]
+func (c modelConfig) claim(m *modelState, i int) {
+	h := &m.holders[i]
 	h.phase = appending
-	h.from = w.log.n
-	h.begun = w.now
-	w.flying.add(record{uint8(i), false})
-	if s.breakage == ownMemoryWins {
+	h.baseOffset = m.log.length
+	h.leaseStart = m.now
+	m.inFlight.add(record{uint8(i), false})
+	if c.mutation == sendWithoutReading {
 		h.phase = claimed
 	}
 }
 
-// read moves a holder over one record.
-func (s setup) read(w *world, i int) {
-	h := &w.holders[i]
-	r := w.log.list[h.pos]
+// read applies the next log record at holder i.
+func (c modelConfig) read(m *modelState, i int) {
+	h := &m.holders[i]
+	r := m.log.items[h.readCount]
 	if !r.result && int(r.holder) != i {
-		h.seen[h.pos] = w.now
+		h.readAt[h.readCount] = m.now
 	}
-	h.pos++
+	h.readCount++
 	if r.result || int(r.holder) != i || h.phase != appending {
 		return
 	}
-	if s.breakage == leaseFromReading {
-		h.begun = w.now
+	if c.mutation == startLeaseAtRead {
+		h.leaseStart = m.now
 	}
 	before := *h
-	before.pos--
-	claim := Claim{ID: ClaimID{r.holder}, Upstream: "u", From: uint64(h.from), Lease: leaseTicks * unit}
-	if s.breakage == resultBeforeSend {
-		w.flying.add(record{uint8(i), true})
+	before.readCount--
+	claim := Claim{ID: ClaimID{r.holder}, Upstream: "u", BaseOffset: uint64(h.baseOffset), Lease: leaseTicks * tickDuration}
+	if c.mutation == resultBeforeOrder {
+		m.inFlight.add(record{uint8(i), true})
 	}
-	if w.ledger(before).ApplyClaim(uint64(h.pos), claim, at(w.now)) == Accepted {
+	if m.claimTable(before).ApplyClaim(uint64(h.readCount), claim, tickTime(m.now)) == Accepted {
 		h.phase = claimed
 		return
 	}
-	w.end(i, rejected)
+	m.finish(i, rejected)
 }
 
-// send reaches the upstream at once; a pause lies before it.
-func (s setup) send(w *world, i int) {
-	h := w.holders[i]
-	if stale := slices.Max(w.arrived[:]) > h.offset; !s.checks || !stale {
-		w.arrived[w.took] = h.offset
-		w.took++
+// send delivers holder i's order to the upstream at once. Delays are modelled as pauses
+// of the holder before it sends.
+func (c modelConfig) send(m *modelState, i int) {
+	h := m.holders[i]
+	if stale := slices.Max(m.delivered[:]) > h.claimOffset; !c.checksFencing || !stale {
+		m.delivered[m.deliveredCount] = h.claimOffset
+		m.deliveredCount++
 	}
-	w.end(i, sent)
+	m.finish(i, sent)
 }
 
-// end records a holder's result.
-func (w *world) end(i int, p phase) {
-	w.holders[i].phase = p
-	w.flying.add(record{uint8(i), true})
+// finish ends holder i in phase p and appends its result.
+func (m *modelState) finish(i int, p phase) {
+	m.holders[i].phase = p
+	m.inFlight.add(record{uint8(i), true})
 }
 
-// check reports an order that arrived after a newer one.
-func (w world) check() error {
-	if !slices.IsSorted(w.arrived[:w.took]) {
-		return fmt.Errorf("orders arrived as %v: a late one undid a newer one", w.arrived[:w.took])
+// checkOrder returns an error if a stale order arrived after a newer one.
+func (m modelState) checkOrder() error {
+	if !slices.IsSorted(m.delivered[:m.deliveredCount]) {
+		return fmt.Errorf("orders arrived with tokens %v: a stale order overwrote a newer one", m.delivered[:m.deliveredCount])
 	}
 	return nil
 }
 
-func explore(s setup) (visited int, err error) {
-	seen := map[world]bool{{}: true}
-	queue := []world{{}}
+// explore visits all reachable states breadth first, up to the first violation.
+func explore(c modelConfig) (visited int, err error) {
+	seen := map[modelState]bool{{}: true}
+	queue := []modelState{{}}
 	for len(queue) > 0 {
-		w := queue[0]
+		m := queue[0]
 		queue = queue[1:]
-		if err := w.check(); err != nil {
+		if err := m.checkOrder(); err != nil {
 			return len(seen), err
 		}
-		for _, next := range s.successors(w) {
+		for _, next := range c.successors(m) {
 			if !seen[next] {
 				seen[next] = true
 				queue = append(queue, next)
@@ -243,52 +250,55 @@
 	return len(seen), nil
 }
 
-// Operators race for one upstream, their appends land late, their instances lag and
-// are paused at any point. Were a late order to arrive after a newer one, the
-// upstream would serve the wrong model while both operators believe otherwise.
-func TestNoLateOrderUndoesANewerOne(t *testing.T) {
-	for name, s := range map[string]setup{
-		"upstream checks tokens": {holders: 2, ticks: 6, checks: true},
-		"upstream does not":      {holders: 2, ticks: 6},
+// Operators order the same upstream concurrently; their appends are delayed, and their
+// instances lag and are paused at any point. If a stale order arrived after a newer one,
+// the upstream would serve the wrong model while both operators believe that their own
+// order is in effect.
+func TestStaleOrderNeverOverwritesNewer(t *testing.T) {
+	for name, c := range map[string]modelConfig{
+		"upstream checks tokens":         {holders: 2, maxTicks: 6, checksFencing: true},
+		"upstream does not check tokens": {holders: 2, maxTicks: 6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			visited, err := explore(s)
+			visited, err := explore(c)
 			t.Logf("%d states", visited)
 			assert.NilError(t, err)
 		})
 	}
 }
 
-// Each safeguard is switched off in turn; the check must notice.
+// Each safeguard is disabled in turn; the model must then find a violation, so that it
+// cannot pass because it explores too little.
 func TestEachSafeguardIsNeeded(t *testing.T) {
-	for name, b := range map[string]breakage{
-		"lease not waited out":               leaseNotWaitedOut,
-		"lease counted from reading":         leaseFromReading,
-		"lease not checked before sending":   leaseNotChecked,
-		"first in own memory wins":           ownMemoryWins,
-		"result recorded before the sending": resultBeforeSend,
+	for name, m := range map[string]mutation{
+		"claim does not wait for earlier leases": skipLeaseWait,
+		"lease starts when the claim is read":    startLeaseAtRead,
+		"lease not checked before sending":       skipLeaseCheck,
+		"claim not read back before sending":     sendWithoutReading,
+		"result appended before the order":       resultBeforeOrder,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			visited, err := explore(setup{holders: 2, ticks: 6, breakage: b})
-			assert.ErrorContains(t, err, "undid a newer one")
-			t.Logf("found after %d states: %v", visited, err)
+			visited, err := explore(modelConfig{holders: 2, maxTicks: 6, mutation: m})
+			assert.ErrorContains(t, err, "a stale order overwrote a newer one")
+			t.Logf("violation found after %d states: %v", visited, err)
 		})
 	}
 }
 
-// Three holders have too many orders of steps to visit all; random ones are tried.
-func TestRandomOrdersOfThreeHolders(t *testing.T) {
+// With three holders there are too many interleavings to visit all of them; the test
+// samples random ones.
+func TestRandomSchedulesOfThreeHolders(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 8))
 	steps := 0
-	for walk := range 6000 {
-		s := setup{holders: 3, ticks: 9, checks: walk%2 == 0}
-		w := world{}
-		for next := s.successors(w); len(next) > 0; next = s.successors(w) {
-			w = next[rng.IntN(len(next))]
+	for run := range 6000 {
+		c := modelConfig{holders: 3, maxTicks: 9, checksFencing: run%2 == 0}
+		m := modelState{}
+		for next := c.successors(m); len(next) > 0; next = c.successors(m) {
+			m = next[rng.IntN(len(next))]
 			steps++
-			assert.NilError(t, w.check())
+			assert.NilError(t, m.checkOrder())
 		}
 	}
 	t.Logf("%d steps", steps)
--- a/order/query.go
+++ b/order/query.go
@@ -18,7 +18,7 @@
 // View returns the state of an upstream's orders.
 func (s *Service) View(ctx context.Context, upstream string) (View, error) {
 	var view View
-	err := s.reader.atEnd(ctx, func(l *protocol.Ledger) {
+	err := s.reader.atEnd(ctx, func(l *protocol.ClaimTable) {
 		view.From = l.Next() - 1
 		if latest, ok := l.Latest(upstream); ok {
 			view.Latest = &latest
--- a/order/reader.go
+++ b/order/reader.go
@@ -20,7 +20,7 @@
 // decision is what was read about one of this instance's claims.
 type decision struct {
 	offset    uint64
-	judgement protocol.Judgement
+	judgement protocol.Status
 }
 
 // reader keeps the ledger and reads the stream to its end when asked. Orders are
@@ -32,7 +32,7 @@
 	// turn holds one token; who has it may use what follows. A mutex would not
 	// heed a caller's deadline while another reads.
 	turn   chan struct{}
-	ledger *protocol.Ledger
+	ledger *protocol.ClaimTable
 	// own are this instance's claims under way, nil until read.
 	own map[protocol.ClaimID]*decision
 }
@@ -43,7 +43,7 @@
 		clock:  clock,
 		logger: logger,
 		turn:   make(chan struct{}, 1),
-		ledger: protocol.NewLedger(),
+		ledger: protocol.NewClaimTable(),
 		own:    make(map[protocol.ClaimID]*decision),
 	}
 	r.turn <- struct{}{}
@@ -51,7 +51,7 @@
 }
 
 // atEnd reads the stream to its end and calls use with the ledger.
-func (r *reader) atEnd(ctx context.Context, use func(*protocol.Ledger)) error {
+func (r *reader) atEnd(ctx context.Context, use func(*protocol.ClaimTable)) error {
 	select {
 	case <-r.turn:
 	case <-ctx.Done():
@@ -73,7 +73,7 @@
 		if err != nil {
 			return err
 		}
-		r.ledger.Skip(page.First)
+		r.ledger.SkipTo(page.First)
 		for _, record := range page.Records {
 			r.apply(record)
 		}
@@ -92,7 +92,7 @@
 	case err != nil:
 		r.logger.Error("undecodable record", zap.String("event", "order_undecodable"),
 			zap.Uint64("offset", record.Offset), zap.Error(err))
-		r.ledger.Pass(record.Offset)
+		r.ledger.SkipRecord(record.Offset)
 	case claim != nil:
 		judgement := r.ledger.ApplyClaim(record.Offset, *claim, r.clock())
 		if _, own := r.own[claim.ID]; own {
@@ -105,7 +105,7 @@
 
 // expect notes that a claim of this instance may come.
 func (r *reader) expect(ctx context.Context, id protocol.ClaimID) error {
-	return r.atEnd(ctx, func(*protocol.Ledger) { r.own[id] = nil })
+	return r.atEnd(ctx, func(*protocol.ClaimTable) { r.own[id] = nil })
 }
 
 // forget ends expect.
@@ -119,6 +119,6 @@
 // claim does not stand in the stream.
 func (r *reader) decided(ctx context.Context, id protocol.ClaimID) (*decision, error) {
 	var d *decision
-	err := r.atEnd(ctx, func(*protocol.Ledger) { d = r.own[id] })
+	err := r.atEnd(ctx, func(*protocol.ClaimTable) { d = r.own[id] })
 	return d, err
 }
