--- a/order/codec.go
+++ b/order/codec.go
@@ -37,24 +37,24 @@
 	return port.Entry{ID: "result-" + hex.EncodeToString(id[:]), Data: data}, err
 }
 
-// decode returns the claim or the result of a record.
-func decode(data []byte) (*protocol.Claim, *protocol.Result, error) {
+// decodeRecord returns the claim or the result that a record holds; the other is nil.
+func decodeRecord(data []byte) (*protocol.Claim, *protocol.Result, error) {
 	m := new(orderv1.Record)
 	if err := proto.Unmarshal(data, m); err != nil {
 		return nil, nil, err
 	}
 	switch kind := m.Kind.(type) {
 	case *orderv1.Record_Claim:
-		return claimOf(kind.Claim), nil, nil
+		return claimFromProto(kind.Claim), nil, nil
 	case *orderv1.Record_Result:
 		r := kind.Result
 		return nil, &protocol.Result{ClaimOffset: r.ClaimOffset, Upstream: r.Upstream, Ran: uint8(r.Ran), Confirmed: r.Confirmed}, nil
 	default:
-		return nil, nil, fmt.Errorf("order: record of unknown kind")
+		return nil, nil, fmt.Errorf("order: unknown record kind")
 	}
 }
 
-func claimOf(m *orderv1.Claim) *protocol.Claim {
+func claimFromProto(m *orderv1.Claim) *protocol.Claim {
 	c := &protocol.Claim{
 		Upstream:    m.Upstream,
 		Kind:        m.OrderKind,
--- a/order/command.go
+++ b/order/command.go
@@ -13,32 +13,32 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// logRetryAfter is advised while the log fails.
-const logRetryAfter = 5 * time.Second
+// logUnavailableRetryAfter is the retry delay returned while the log is unavailable.
+const logUnavailableRetryAfter = 5 * time.Second
 
-// Command is an operator's order to one upstream.
+// Command is an operator's order for one upstream.
 type Command struct {
 	Upstream object.Upstream
-	// Kind and Name are those of port.Order.
+	// Kind and Name have the values of the same fields of port.Order.
 	Kind string
 	Name string
-	// From is the offset of the View that the operator acted from.
-	From uint64
-	// Operator's name, for display.
+	// BaseOffset is the Offset of the View on which the operator based the order.
+	BaseOffset uint64
+	// Operator is the operator's name, for display.
 	Operator string
 }
 
-// Outcome is an order that the upstream took.
+// Outcome describes an order that the upstream accepted.
 type Outcome struct {
-	// Fence is the order's fencing token: its claim's offset.
+	// Fence is the order's fencing token, the log offset of its claim.
 	Fence uint64
-	// Confirmed tells that the upstream's own state shows the effect. It is false
-	// only for an upstream that checks tokens and does not tell what it has loaded.
+	// Confirmed is set if the upstream's own state shows the effect. It is false only
+	// for an upstream that checks tokens and does not report what it has loaded.
 	Confirmed bool
 }
 
-// Execute claims, sends and checks one order. It fails with a verdict; an order that
-// was refused with "not run" was not sent and will not be.
+// Execute claims and sends one order and verifies its effect. Every error is a
+// *verdict.Verdict; an order refused with "not run" was not sent and will not be.
 func (s *Service) Execute(ctx context.Context, cmd Command) (Outcome, error) {
 	outcome, err := s.execute(ctx, cmd)
 	fields := []zap.Field{
@@ -58,30 +58,30 @@
 }
 
 func (s *Service) execute(ctx context.Context, cmd Command) (Outcome, error) {
-	if err := s.waitForEarlier(ctx, cmd); err != nil {
+	if err := s.waitForEarlierLeases(ctx, cmd); err != nil {
 		return Outcome{}, err
 	}
 	claim := s.newClaim(cmd)
-	if err := s.reader.expect(ctx, claim.ID); err != nil {
-		return Outcome{}, s.logDown(err)
+	if err := s.reader.register(ctx, claim.ID); err != nil {
+		return Outcome{}, s.logUnavailable(err)
 	}
-	defer s.reader.forget(claim.ID)
+	defer s.reader.unregister(claim.ID)
 
-	// The lease counts from before the append: others count it from when they read
-	// the claim, which is later.
+	// The lease starts before the append. Other instances start it when they read the
+	// claim, which is later.
 	lease := protocol.NewLease(s.cfg.Clock(), claim.Lease)
-	decided, err := s.claim(ctx, claim)
+	decision, err := s.submitClaim(ctx, claim)
 	if err != nil {
 		return Outcome{}, err
 	}
-	if decided.judgement != protocol.Accepted {
-		s.record(ctx, claim, decided.offset, verdict.NotRun, false)
-		return Outcome{}, conflict("another order was claimed first")
+	if decision.status != protocol.Accepted {
+		s.recordResult(ctx, claim, decision.offset, verdict.NotRun, false)
+		return Outcome{}, conflictError("another order for the upstream was claimed first")
 	}
-	outcome := Outcome{Fence: decided.offset}
+	outcome := Outcome{Fence: decision.offset}
 	ran, confirmed, err := s.send(ctx, cmd, outcome.Fence, lease)
 	outcome.Confirmed = confirmed
-	s.record(ctx, claim, decided.offset, ran, confirmed)
+	s.recordResult(ctx, claim, decision.offset, ran, confirmed)
 	return outcome, err
 }
 
@@ -92,7 +92,7 @@
 	}
 	claim := protocol.Claim{
 		Upstream: cmd.Upstream.Name, Kind: cmd.Kind, Name: cmd.Name,
-		BaseOffset: cmd.From, Lease: lease,
+		BaseOffset: cmd.BaseOffset, Lease: lease,
 		Instance: s.cfg.Self.Instance, Incarnation: s.cfg.Self.Incarnation,
 		Operator: cmd.Operator,
 	}
@@ -101,100 +101,103 @@
 	return claim
 }
 
-// waitForEarlier refuses a command made from an old state. For an upstream that does
-// not check tokens it also waits until no earlier holder can send any more; without
-// that a paused holder's order could arrive after this one and undo it.
-func (s *Service) waitForEarlier(ctx context.Context, cmd Command) error {
+// waitForEarlierLeases refuses a command that is based on an outdated state. For an
+// upstream that does not check tokens it also waits until no earlier holder can send;
+// otherwise a paused holder's order could arrive after this one and overwrite it.
+func (s *Service) waitForEarlierLeases(ctx context.Context, cmd Command) error {
 	for {
-		var refusal error
-		var silent time.Time
-		err := s.reader.atEnd(ctx, func(l *protocol.ClaimTable) {
-			refusal = outdated(l, cmd)
-			silent = l.LeasesExpireAt(cmd.Upstream.Name)
+		var conflict error
+		var leasesExpireAt time.Time
+		err := s.reader.withLatest(ctx, func(table *protocol.ClaimTable) {
+			conflict = checkBaseOffset(table, cmd)
+			leasesExpireAt = table.LeasesExpireAt(cmd.Upstream.Name)
 		})
 		if err != nil {
-			return s.logDown(err)
+			return s.logUnavailable(err)
 		}
-		wait := silent.Sub(s.cfg.Clock())
-		if refusal != nil || cmd.Upstream.ChecksFencing || wait <= 0 {
-			return refusal
+		wait := leasesExpireAt.Sub(s.cfg.Clock())
+		if conflict != nil || cmd.Upstream.ChecksFencing || wait <= 0 {
+			return conflict
 		}
 		if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < wait {
-			return verdict.Refuse(verdict.ReasonOrderConflict, wait, "an earlier order's lease runs for another %v", wait)
+			return verdict.Refuse(verdict.ReasonOrderConflict, wait, "the lease of an earlier order expires in %v", wait)
 		}
-		if !pause(ctx, wait) {
-			return verdict.Refuse(verdict.ReasonCancelled, 0, "cancelled while an earlier order's lease ran")
+		if !sleep(ctx, wait) {
+			return verdict.Refuse(verdict.ReasonCancelled, 0, "cancelled while waiting for the lease of an earlier order to expire")
 		}
 	}
 }
 
-// outdated reports whether the ledger already shows that the claim would be rejected.
-func outdated(l *protocol.ClaimTable, cmd Command) error {
-	if cmd.From >= l.Next() {
-		return conflict("offset %d is beyond the end of the stream", cmd.From)
+// checkBaseOffset returns an error if the table already shows that a claim for the
+// command would be rejected.
+func checkBaseOffset(table *protocol.ClaimTable, cmd Command) error {
+	if cmd.BaseOffset >= table.Next() {
+		return conflictError("offset %d is beyond the end of the stream", cmd.BaseOffset)
 	}
-	if !l.CompleteSince(cmd.From) {
-		return conflict("the log no longer holds what followed offset %d", cmd.From)
+	if !table.CompleteSince(cmd.BaseOffset) {
+		return conflictError("the log has dropped records after offset %d", cmd.BaseOffset)
 	}
-	if latest, ok := l.Latest(cmd.Upstream.Name); ok && latest.Offset > cmd.From {
-		return conflict("%s of %s was claimed by %q at offset %d", latest.Claim.Kind, latest.Claim.Name, latest.Claim.Operator, latest.Offset)
+	if latest, ok := table.Latest(cmd.Upstream.Name); ok && latest.Offset > cmd.BaseOffset {
+		return conflictError("%s of %s was claimed by %q at offset %d", latest.Claim.Kind, latest.Claim.Name, latest.Claim.Operator, latest.Offset)
 	}
 	return nil
 }
 
-func conflict(format string, args ...any) *verdict.Verdict {
+func conflictError(format string, args ...any) *verdict.Verdict {
 	return verdict.Refuse(verdict.ReasonOrderConflict, 0, format, args...)
 }
 
-// claim appends a claim once and reads what the log decided. A claim whose append
-// answer was lost and that is not found may still turn up; nobody sends under it, so
-// it costs others its lease and the next operator a fresh view.
-func (s *Service) claim(ctx context.Context, claim protocol.Claim) (*decision, error) {
+// submitClaim appends a claim once and reads from the log whether it was accepted. If
+// the response to the append was lost and the claim is not in the log, it may still
+// appear there later. No order is sent under it, so that it only makes others wait for
+// its lease and the next operator fetch a new view.
+func (s *Service) submitClaim(ctx context.Context, claim protocol.Claim) (*decision, error) {
 	entry, err := claimEntry(claim)
 	if err != nil {
 		return nil, verdict.Refuse(verdict.ReasonInternal, 0, "%v", err)
 	}
-	callCtx, cancel := context.WithTimeout(ctx, logTimeout)
-	_, appendErr := s.cfg.Log.Append(callCtx, stream, entry)
+	callCtx, cancel := context.WithTimeout(ctx, logCallTimeout)
+	_, appendErr := s.cfg.Log.Append(callCtx, streamName, entry)
 	cancel()
 	if appendErr != nil && verdict.From(appendErr).Ran == verdict.NotRun {
-		return nil, s.logDown(appendErr)
+		return nil, s.logUnavailable(appendErr)
 	}
-	decided, err := s.reader.decided(ctx, claim.ID)
+	decision, err := s.reader.decision(ctx, claim.ID)
 	if err != nil {
-		return nil, s.logDown(err)
+		return nil, s.logUnavailable(err)
 	}
-	if decided == nil {
-		return nil, s.logDown(appendErr)
+	if decision == nil {
+		return nil, s.logUnavailable(appendErr)
 	}
-	return decided, nil
+	return decision, nil
 }
 
-// record appends the result, which lets others go on before the lease ends. It is
-// tried a few times; the lease bounds what a missing result costs.
-func (s *Service) record(ctx context.Context, claim protocol.Claim, offset uint64, ran verdict.Ran, confirmed bool) {
+// recordResult appends the result, so that others need not wait for the end of the
+// lease. It makes a few attempts; if all fail, others wait until the lease expires.
+func (s *Service) recordResult(ctx context.Context, claim protocol.Claim, offset uint64, ran verdict.Ran, confirmed bool) {
 	entry, err := resultEntry(claim.ID, protocol.Result{ClaimOffset: offset, Upstream: claim.Upstream, Ran: uint8(ran), Confirmed: confirmed})
-	for attempt := 0; err == nil && attempt < recordAttempts; attempt++ {
-		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), logTimeout)
-		_, appendErr := s.cfg.Log.Append(callCtx, stream, entry)
+	for attempt := 0; err == nil && attempt < recordResultAttempts; attempt++ {
+		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), logCallTimeout)
+		_, appendErr := s.cfg.Log.Append(callCtx, streamName, entry)
 		cancel()
 		if appendErr == nil {
 			return
 		}
-		pause(context.WithoutCancel(ctx), recordPause)
+		sleep(context.WithoutCancel(ctx), recordResultRetryDelay)
 	}
-	s.cfg.Logger.Warn("result not recorded; others wait for the lease", zap.String("event", "order_not_recorded"),
+	s.cfg.Logger.Warn("order result not recorded; others wait until its lease expires", zap.String("event", "order_not_recorded"),
 		zap.String("upstream", claim.Upstream), zap.Uint64("fence", offset))
 }
 
 const (
-	// recordAttempts and recordPause bound the tries to record a result.
-	recordAttempts = 3
-	recordPause    = 200 * time.Millisecond
+	// recordResultAttempts is the most attempts to append a result, with
+	// recordResultRetryDelay after each.
+	recordResultAttempts   = 3
+	recordResultRetryDelay = 200 * time.Millisecond
 )
 
-// pause waits for d and reports whether ctx lasted.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false if ctx is done first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -205,7 +208,7 @@
 	}
 }
 
-// portOrder is the order as the upstream gets it.
+// portOrder returns the order in the form in which it is sent to the upstream.
 func portOrder(cmd Command, fence uint64) port.Order {
 	return port.Order{Kind: cmd.Kind, Name: cmd.Name, Fence: fence}
 }
--- a/order/config.go
+++ b/order/config.go
@@ -1,6 +1,6 @@
-// Package order gives orders to upstreams (load a model, an adapter or a version,
-// change role) so that a late order cannot undo a newer one. Who may send is decided
-// by package order/protocol over the log stream "orders".
+// Package order sends orders to upstreams (load a model, an adapter or a version, change
+// role) in such a way that a stale order cannot overwrite a newer one. Package
+// order/protocol decides who may send, from the records of the log stream "orders".
 package order
 
 import (
@@ -16,52 +16,53 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// stream is the log stream of claims and results.
-const stream = "orders"
+// streamName is the log stream that holds claims and results.
+const streamName = "orders"
 
 // Defaults of Config.
 const (
-	// DefaultLease is enough for an engine to change its role. A dead holder keeps an
-	// upstream that does not check tokens from others for as long.
+	// DefaultLease is long enough for an engine to change its role. A failed holder
+	// blocks an upstream that does not check tokens for the same time.
 	DefaultLease = time.Minute
-	// DefaultLoadLease is enough to load a model: engines answer such an order when
-	// the weights are there, and 200 GB at 1 GB/s take over three minutes.
+	// DefaultLoadLease is long enough to load a model: engines respond to such an order
+	// once the weights are loaded, and 200 GB at 1 GB/s take over three minutes.
 	DefaultLoadLease = 10 * time.Minute
-	// DefaultReadBack is how long the upstream's state is asked for the order's
-	// effect. Load reports lag by seconds.
+	// DefaultReadBack is how long the upstream's state is polled for the order's effect.
+	// Load reports lag by seconds.
 	DefaultReadBack = 30 * time.Second
 )
 
-// Config is what a Service needs.
+// Config configures a Service. Log and Engines are required.
 type Config struct {
-	// Self is this run of this instance.
+	// Self identifies this instance and its incarnation.
 	Self request.Holder
 	Log  port.Log
 	// Engines dials upstreams.
 	Engines port.EngineDialer
 	Logger  *zap.Logger
 	Metrics *observe.Metrics
-	// Clock must be monotonic, as time.Now is, its default.
+	// Clock must return monotonic times. The default is time.Now.
 	Clock func() time.Time
-	// Lease and LoadLease are the leases of claims to change a role and to load
-	// something, at most protocol.MaxLease.
+	// Lease is the lease of claims to change a role, LoadLease that of claims to load a
+	// model or adapter. Each is at most protocol.MaxLease.
 	Lease     time.Duration
 	LoadLease time.Duration
-	// ReadBack bounds the wait for the order's effect.
+	// ReadBack bounds the wait for the order's effect to show in the upstream's state.
 	ReadBack time.Duration
 }
 
-// Service gives orders on one instance.
+// Service sends orders to upstreams on behalf of one instance.
 type Service struct {
 	cfg    Config
 	scope  tally.Scope
 	reader *reader
 }
 
-// New checks the configuration and returns a Service. It needs no Run.
+// New validates the configuration and returns a Service. The Service has no background
+// work to start or stop.
 func New(cfg Config) (*Service, error) {
 	if cfg.Log == nil || cfg.Engines == nil {
-		return nil, fmt.Errorf("order: log and engines are needed")
+		return nil, fmt.Errorf("order: Config.Log and Config.Engines are required")
 	}
 	setDefault(&cfg.Lease, DefaultLease)
 	setDefault(&cfg.LoadLease, DefaultLoadLease)
--- a/order/fakes_test.go
+++ b/order/fakes_test.go
@@ -9,30 +9,31 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// fakeEngine is one upstream. Only Order and Load are called.
+// fakeEngine is an upstream that implements only Order and Load.
 type fakeEngine struct {
 	port.Engine
-	mu     sync.Mutex
-	checks bool
-	fence  uint64
-	role   string
-	orders int
-	// loseAnswer breaks the connection after an order; ignore takes it without effect.
-	loseAnswer, ignore bool
+	mu            sync.Mutex
+	checksFencing bool
+	fence         uint64
+	role          string
+	orders        int
+	// loseResponse breaks the connection after each order; ignoreOrders accepts orders
+	// without effect.
+	loseResponse, ignoreOrders bool
 }
 
 func (e *fakeEngine) Order(_ context.Context, o port.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders++
-	if e.checks && o.Fence < e.fence {
+	if e.checksFencing && o.Fence < e.fence {
 		return verdict.Refuse(verdict.ReasonUpstreamRefused, 0, "token %d is older than %d", o.Fence, e.fence)
 	}
 	e.fence = o.Fence
-	if !e.ignore {
+	if !e.ignoreOrders {
 		e.role = o.Name
 	}
-	if e.loseAnswer {
+	if e.loseResponse {
 		return memlog.ErrBroken
 	}
 	return nil
--- a/order/http.go
+++ b/order/http.go
@@ -9,7 +9,7 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// UpstreamFinder returns an upstream of the object set in force by its name.
+// UpstreamFinder looks up an upstream of the current object set by name.
 type UpstreamFinder func(name string) (object.Upstream, bool)
 
 // CommandBody is the body of POST /orders.
@@ -18,20 +18,20 @@
 	// Kind is "load_model", "load_adapter" or "set_role".
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// From is the offset of the view that the operator acts from.
+	// From is the offset of the view on which the operator bases the order.
 	From     *uint64 `json:"from"`
 	Operator string  `json:"operator"`
 	// WaitMS bounds the wait for an earlier order's lease; 0 means 30 s.
 	WaitMS int64 `json:"wait_ms,omitempty"`
 }
 
-// OutcomeBody answers POST /orders.
+// OutcomeBody is the body of a successful response to POST /orders.
 type OutcomeBody struct {
 	Fence     uint64 `json:"fence"`
 	Confirmed bool   `json:"confirmed"`
 }
 
-// ViewBody answers GET /orders/{upstream}.
+// ViewBody is the body of a successful response to GET /orders/{upstream}.
 type ViewBody struct {
 	From   uint64     `json:"from"`
 	Latest *ClaimBody `json:"latest,omitempty"`
@@ -44,12 +44,13 @@
 	Name     string `json:"name"`
 	Operator string `json:"operator"`
 	Instance string `json:"instance"`
-	// Ran is empty while the order is under way or its holder has died.
+	// Ran is empty while no result is recorded: the order is in progress, or its holder
+	// has failed.
 	Ran       string `json:"ran,omitempty"`
 	Confirmed bool   `json:"confirmed"`
 }
 
-// ErrorBody is the body of every answer that is not a success.
+// ErrorBody is the body of every error response.
 type ErrorBody struct {
 	Code         verdict.Reason `json:"code"`
 	Ran          string         `json:"ran"`
@@ -57,8 +58,9 @@
 	RetryAfterMS int64          `json:"retry_after_ms,omitempty"`
 }
 
-// statusOf maps reasons to HTTP; a reason that is not named is the upstream's.
-func statusOf(reason verdict.Reason) int {
+// httpStatus maps a reason to an HTTP status. Reasons that are not listed come from the
+// upstream and map to 502.
+func httpStatus(reason verdict.Reason) int {
 	switch reason {
 	case verdict.ReasonBadRequest:
 		return http.StatusBadRequest
@@ -74,7 +76,7 @@
 }
 
 func writeVerdict(w http.ResponseWriter, v *verdict.Verdict) {
-	writeJSON(w, statusOf(v.Reason), ErrorBody{
+	writeJSON(w, httpStatus(v.Reason), ErrorBody{
 		Code: v.Reason, Ran: v.Ran.String(), Message: v.Detail, RetryAfterMS: v.RetryAfter.Round(time.Millisecond).Milliseconds(),
 	})
 }
--- a/order/http_query.go
+++ b/order/http_query.go
@@ -6,8 +6,8 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// AddQueries adds GET /orders/{upstream} to the operators' endpoints: what an
-// operator acts from.
+// AddQueries registers GET /orders/{upstream} with mux, an endpoint for operators. It
+// returns the view on which an order is based.
 func (s *Service) AddQueries(mux *http.ServeMux) {
 	mux.HandleFunc("GET /orders/{upstream}", func(w http.ResponseWriter, r *http.Request) {
 		view, err := s.View(r.Context(), r.PathValue("upstream"))
@@ -20,7 +20,7 @@
 }
 
 func viewBody(view View) ViewBody {
-	body := ViewBody{From: view.From}
+	body := ViewBody{From: view.Offset}
 	if view.Latest == nil {
 		return body
 	}
--- a/order/query.go
+++ b/order/query.go
@@ -7,31 +7,32 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// View is what an operator acts from.
+// View is the state of an upstream's orders on which an operator bases a Command.
 type View struct {
-	// From is the offset to name in a Command.
-	From uint64
-	// Latest is the last accepted claim of the upstream, nil when none is retained.
+	// Offset is the offset of the last record read, for Command.BaseOffset.
+	Offset uint64
+	// Latest is the upstream's last claim that was not rejected, nil if none is
+	// retained.
 	Latest *protocol.Entry
 }
 
-// View returns the state of an upstream's orders.
+// View reads the log to its end and returns the state of an upstream's orders.
 func (s *Service) View(ctx context.Context, upstream string) (View, error) {
 	var view View
-	err := s.reader.atEnd(ctx, func(l *protocol.ClaimTable) {
-		view.From = l.Next() - 1
-		if latest, ok := l.Latest(upstream); ok {
+	err := s.reader.withLatest(ctx, func(table *protocol.ClaimTable) {
+		view.Offset = table.Next() - 1
+		if latest, ok := table.Latest(upstream); ok {
 			view.Latest = &latest
 		}
 	})
 	if err != nil {
-		return view, s.logDown(err)
+		return view, s.logUnavailable(err)
 	}
 	return view, nil
 }
 
-func (s *Service) logDown(err error) *verdict.Verdict {
-	v := verdict.Refuse(verdict.ReasonLogUnavailable, logRetryAfter, "the log cannot be reached")
+func (s *Service) logUnavailable(err error) *verdict.Verdict {
+	v := verdict.Refuse(verdict.ReasonLogUnavailable, logUnavailableRetryAfter, "the log cannot be reached")
 	v.Cause = err
 	return v
 }
--- a/order/reader.go
+++ b/order/reader.go
@@ -11,114 +11,116 @@
 )
 
 const (
-	// readMax is the most records of one read.
-	readMax = 500
-	// logTimeout bounds one call of the log.
-	logTimeout = 2 * time.Second
+	// maxReadRecords is the most records that one read returns.
+	maxReadRecords = 500
+	// logCallTimeout bounds one call to the log.
+	logCallTimeout = 2 * time.Second
 )
 
-// decision is what was read about one of this instance's claims.
+// decision is the status of one of this instance's claims, as read from the log.
 type decision struct {
-	offset    uint64
-	judgement protocol.Status
+	offset uint64
+	status protocol.Status
 }
 
-// reader keeps the ledger and reads the stream to its end when asked. Orders are
+// reader maintains the claim table and reads the stream to its end on demand. Orders are
 // rare, so that nothing follows the stream in between.
 type reader struct {
 	log    port.Log
 	clock  func() time.Time
 	logger *zap.Logger
-	// turn holds one token; who has it may use what follows. A mutex would not
-	// heed a caller's deadline while another reads.
-	turn   chan struct{}
-	ledger *protocol.ClaimTable
-	// own are this instance's claims under way, nil until read.
-	own map[protocol.ClaimID]*decision
+	// sem is a semaphore of one that guards the fields below. A mutex would not observe
+	// a caller's deadline while another caller reads.
+	sem   chan struct{}
+	table *protocol.ClaimTable
+	// pending holds this instance's claims in progress. The decision is nil until the
+	// claim has been read.
+	pending map[protocol.ClaimID]*decision
 }
 
 func newReader(log port.Log, clock func() time.Time, logger *zap.Logger) *reader {
 	r := &reader{
-		log:    log,
-		clock:  clock,
-		logger: logger,
-		turn:   make(chan struct{}, 1),
-		ledger: protocol.NewClaimTable(),
-		own:    make(map[protocol.ClaimID]*decision),
+		log:     log,
+		clock:   clock,
+		logger:  logger,
+		sem:     make(chan struct{}, 1),
+		table:   protocol.NewClaimTable(),
+		pending: make(map[protocol.ClaimID]*decision),
 	}
-	r.turn <- struct{}{}
+	r.sem <- struct{}{}
 	return r
 }
 
-// atEnd reads the stream to its end and calls use with the ledger.
-func (r *reader) atEnd(ctx context.Context, use func(*protocol.ClaimTable)) error {
+// withLatest reads the stream to its end and calls use with the claim table, while no
+// other caller uses it.
+func (r *reader) withLatest(ctx context.Context, use func(*protocol.ClaimTable)) error {
 	select {
-	case <-r.turn:
+	case <-r.sem:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { r.turn <- struct{}{} }()
+	defer func() { r.sem <- struct{}{} }()
 	if err := r.readToEnd(ctx); err != nil {
 		return err
 	}
-	use(r.ledger)
+	use(r.table)
 	return nil
 }
 
 func (r *reader) readToEnd(ctx context.Context) error {
 	for {
-		callCtx, cancel := context.WithTimeout(ctx, logTimeout)
-		page, err := r.log.Read(callCtx, stream, r.ledger.Next(), readMax, 0)
+		callCtx, cancel := context.WithTimeout(ctx, logCallTimeout)
+		page, err := r.log.Read(callCtx, streamName, r.table.Next(), maxReadRecords, 0)
 		cancel()
 		if err != nil {
 			return err
 		}
-		r.ledger.SkipTo(page.First)
+		r.table.SkipTo(page.First)
 		for _, record := range page.Records {
 			r.apply(record)
 		}
-		if r.ledger.Next() >= page.Next {
+		if r.table.Next() >= page.Next {
 			return nil
 		}
 	}
 }
 
 func (r *reader) apply(record port.Record) {
-	if record.Offset < r.ledger.Next() {
+	if record.Offset < r.table.Next() {
 		return
 	}
-	claim, result, err := decode(record.Data)
+	claim, result, err := decodeRecord(record.Data)
 	switch {
 	case err != nil:
-		r.logger.Error("undecodable record", zap.String("event", "order_undecodable"),
+		r.logger.Error("undecodable order record skipped", zap.String("event", "order_undecodable"),
 			zap.Uint64("offset", record.Offset), zap.Error(err))
-		r.ledger.SkipRecord(record.Offset)
+		r.table.SkipRecord(record.Offset)
 	case claim != nil:
-		judgement := r.ledger.ApplyClaim(record.Offset, *claim, r.clock())
-		if _, own := r.own[claim.ID]; own {
-			r.own[claim.ID] = &decision{offset: record.Offset, judgement: judgement}
+		status := r.table.ApplyClaim(record.Offset, *claim, r.clock())
+		if _, pending := r.pending[claim.ID]; pending {
+			r.pending[claim.ID] = &decision{offset: record.Offset, status: status}
 		}
 	default:
-		r.ledger.ApplyResult(record.Offset, *result)
+		r.table.ApplyResult(record.Offset, *result)
 	}
 }
 
-// expect notes that a claim of this instance may come.
-func (r *reader) expect(ctx context.Context, id protocol.ClaimID) error {
-	return r.atEnd(ctx, func(*protocol.ClaimTable) { r.own[id] = nil })
+// register adds to pending a claim that this instance is about to append.
+func (r *reader) register(ctx context.Context, id protocol.ClaimID) error {
+	return r.withLatest(ctx, func(*protocol.ClaimTable) { r.pending[id] = nil })
 }
 
-// forget ends expect.
-func (r *reader) forget(id protocol.ClaimID) {
-	<-r.turn
-	delete(r.own, id)
-	r.turn <- struct{}{}
+// unregister removes a claim from pending.
+func (r *reader) unregister(id protocol.ClaimID) {
+	<-r.sem
+	delete(r.pending, id)
+	r.sem <- struct{}{}
 }
 
-// decided reads to the end and returns what was decided about a claim, nil if the
-// claim does not stand in the stream.
-func (r *reader) decided(ctx context.Context, id protocol.ClaimID) (*decision, error) {
+// decision reads the stream to its end and returns the decision about a registered
+// claim, or nil if the claim is not in the stream.
+func (r *reader) decision(ctx context.Context, id protocol.ClaimID) (*decision, error) {
 	var d *decision
-	err := r.atEnd(ctx, func(*protocol.ClaimTable) { d = r.own[id] })
+	err := r.withLatest(ctx, func(*protocol.ClaimTable) { d = r.pending[id] })
 	return d, err
 }
--- a/order/send.go
+++ b/order/send.go
@@ -10,24 +10,24 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// readBackPause is the time between two looks at an upstream's state.
-const readBackPause = 500 * time.Millisecond
+// readBackInterval is the delay between two polls of an upstream's state.
+const readBackInterval = 500 * time.Millisecond
 
-// send gives the order to the upstream within the lease and reads the upstream's
-// state back.
+// send sends the order to the upstream within the lease and reads back the upstream's
+// state.
 func (s *Service) send(ctx context.Context, cmd Command, fence uint64, lease protocol.Lease) (verdict.Ran, bool, error) {
 	engine := s.cfg.Engines(cmd.Upstream.Address)
-	// An instance that was paused after its claim wakes up here. Its successor has
-	// waited for the lease and may have given another order since.
+	// This instance may have been paused since its claim. Its successor has then waited
+	// for the lease to expire and may have sent another order since.
 	now := s.cfg.Clock()
 	if !lease.MaySend(now) {
-		return verdict.NotRun, false, verdict.Refuse(verdict.ReasonLeaseOver, logRetryAfter, "the claim's lease ended before the order was sent")
+		return verdict.NotRun, false, verdict.Refuse(verdict.ReasonLeaseOver, logUnavailableRetryAfter, "the lease expired before the order was sent")
 	}
 	if ctx.Err() != nil {
 		return verdict.NotRun, false, verdict.Refuse(verdict.ReasonCancelled, 0, "cancelled before the order was sent")
 	}
-	// From here on the operator's departure does not stop the command: an order whose
-	// effect nobody looked at would leave the next operator with "may have run".
+	// From here on the command continues even if the operator disconnects: an order
+	// whose effect is not read back would leave the next operator with "may have run".
 	ctx = context.WithoutCancel(ctx)
 	sendCtx, cancel := context.WithTimeout(ctx, lease.End().Sub(now))
 	err := engine.Order(sendCtx, portOrder(cmd, fence))
@@ -35,81 +35,81 @@
 	if err != nil && verdict.From(err).Ran == verdict.NotRun {
 		return verdict.NotRun, false, verdict.From(err)
 	}
-	state := s.readBack(ctx, engine, cmd)
-	return s.judgeSent(cmd, err, state)
+	observed := s.readBack(ctx, engine, cmd)
+	return s.resolveOutcome(cmd, err, observed)
 }
 
-// effect is what an upstream's state says about an order.
+// effect is what an upstream's state shows of an order.
 type effect uint8
 
 const (
-	// effectUntold means that the upstream does not tell, or could not be asked.
-	effectUntold effect = iota
-	effectMissing
+	// effectUnknown means that the upstream does not report it or could not be queried.
+	effectUnknown effect = iota
+	effectNotShown
 	effectShown
 )
 
-// judgeSent combines the upstream's answer with its state.
-func (s *Service) judgeSent(cmd Command, answer error, state effect) (verdict.Ran, bool, error) {
+// resolveOutcome combines the upstream's response to the order with its observed state.
+func (s *Service) resolveOutcome(cmd Command, sendErr error, observed effect) (verdict.Ran, bool, error) {
 	switch {
-	case state == effectShown:
-		// Also when the answer was lost.
+	case observed == effectShown:
+		// This includes orders whose response was lost.
 		return verdict.HasRun, true, nil
-	case answer != nil:
-		return verdict.MayHaveRun, false, verdict.Fail(verdict.MayHaveRun, verdict.ReasonOrderUnconfirmed, answer,
-			"the order's answer was lost and the upstream does not show its effect")
-	case state == effectUntold && cmd.Upstream.ChecksFencing:
+	case sendErr != nil:
+		return verdict.MayHaveRun, false, verdict.Fail(verdict.MayHaveRun, verdict.ReasonOrderUnconfirmed, sendErr,
+			"the response to the order was lost and the upstream's state does not show its effect")
+	case observed == effectUnknown && cmd.Upstream.ChecksFencing:
 		return verdict.HasRun, false, nil
 	default:
-		// An upstream that does not check tokens may have been given a late order
-		// since; its word that it took this one is not enough.
+		// An upstream that does not check tokens may have received a stale order since,
+		// so that its acceptance of this one is not sufficient.
 		return verdict.HasRun, false, verdict.Fail(verdict.HasRun, verdict.ReasonOrderUnconfirmed, nil,
-			"the upstream took the order and does not show its effect")
+			"the upstream accepted the order but its state does not show the effect")
 	}
 }
 
-// readBack asks the upstream for its state until it shows the order's effect or
-// Config.ReadBack has passed.
+// readBack polls the upstream's state until it shows the order's effect, does not report
+// it at all, or Config.ReadBack has passed.
 func (s *Service) readBack(ctx context.Context, engine port.Engine, cmd Command) effect {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.ReadBack)
 	defer cancel()
-	last := effectUntold
+	last := effectUnknown
 	for {
 		load, err := engine.Load(ctx)
 		if err == nil {
-			last = effectOf(load, cmd)
+			last = observedEffect(load, cmd)
 		}
-		if last == effectShown || (err == nil && last == effectUntold) {
+		if last == effectShown || (err == nil && last == effectUnknown) {
 			return last
 		}
-		if !pause(ctx, readBackPause) {
+		if !sleep(ctx, readBackInterval) {
 			return last
 		}
 	}
 }
 
-// Kinds of orders, as in port.Order.
+// Kinds of orders; the values are those of port.Order.Kind.
 const (
 	kindLoadModel   = "load_model"
 	kindLoadAdapter = "load_adapter"
 	kindSetRole     = "set_role"
 )
 
-var kinds = []string{kindLoadModel, kindLoadAdapter, kindSetRole}
+var orderKinds = []string{kindLoadModel, kindLoadAdapter, kindSetRole}
 
-func effectOf(load port.Load, cmd Command) effect {
+func observedEffect(load port.Load, cmd Command) effect {
 	if cmd.Kind == kindSetRole {
-		return shown(load.Role == cmd.Name)
+		return effectIf(load.Role == cmd.Name)
 	}
 	if load.Loaded == nil {
-		return effectUntold
+		return effectUnknown
 	}
-	return shown(slices.Contains(load.Loaded, cmd.Name))
+	return effectIf(slices.Contains(load.Loaded, cmd.Name))
 }
 
-func shown(is bool) effect {
-	if is {
+func effectIf(shown bool) effect {
+	if shown {
 		return effectShown
 	}
-	return effectMissing
+	return effectNotShown
 }
--- a/order/service_test.go
+++ b/order/service_test.go
@@ -19,31 +19,31 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// site is one log and one upstream with two instances that give it orders.
-type site struct {
+// fixture has one log, one upstream and two instances that send it orders.
+type fixture struct {
 	log    *memlog.Log
 	engine *fakeEngine
 	a, b   *Service
-	// pauseA is how long instance a is paused between its claim and its order.
-	pauseA time.Duration
+	// pauseBeforeSend is how long instance a is paused between claiming and sending.
+	pauseBeforeSend time.Duration
 }
 
-// atSite runs a test in a synctest bubble.
-func atSite(t *testing.T, checks bool, test func(t *testing.T, s *site)) {
+// withFixture runs test with a new fixture in a synctest bubble.
+func withFixture(t *testing.T, checksFencing bool, test func(t *testing.T, s *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &site{log: memlog.New(), engine: &fakeEngine{checks: checks}}
-		s.a = s.start(t, "a", func() { time.Sleep(s.pauseA) })
+		s := &fixture{log: memlog.New(), engine: &fakeEngine{checksFencing: checksFencing}}
+		s.a = s.start(t, "a", func() { time.Sleep(s.pauseBeforeSend) })
 		s.b = s.start(t, "b", func() {})
 		test(t, s)
 	})
 }
 
-func (s *site) start(t *testing.T, name string, paused func()) *Service {
+func (s *fixture) start(t *testing.T, name string, beforeSend func()) *Service {
 	service, err := New(Config{
 		Self: request.Holder{Instance: name, Incarnation: 1},
 		Log:  s.log,
 		Engines: func(string) port.Engine {
-			paused()
+			beforeSend()
 			return s.engine
 		},
 	})
@@ -51,17 +51,17 @@
 	return service
 }
 
-// command orders the site's upstream to take a role, from the current view.
-func (s *site) command(t *testing.T, at *Service, role string) Command {
+// command returns an order to change the upstream's role, based on the current view.
+func (s *fixture) command(t *testing.T, at *Service, role string) Command {
 	t.Helper()
 	view, err := at.View(t.Context(), "engine-1")
 	assert.NilError(t, err)
-	upstream := object.Upstream{Name: "engine-1", Address: "127.0.0.1:1", ChecksFencing: s.engine.checks}
-	return Command{Upstream: upstream, Kind: kindSetRole, Name: role, From: view.From, Operator: role + "-operator"}
+	upstream := object.Upstream{Name: "engine-1", Address: "127.0.0.1:1", ChecksFencing: s.engine.checksFencing}
+	return Command{Upstream: upstream, Kind: kindSetRole, Name: role, BaseOffset: view.Offset, Operator: role + "-operator"}
 }
 
-// background executes a command and returns once it waits for something.
-func background(t *testing.T, at *Service, cmd Command) <-chan error {
+// executeAsync starts a command in the background and returns once it blocks or ends.
+func executeAsync(t *testing.T, at *Service, cmd Command) <-chan error {
 	done := make(chan error, 1)
 	go func() {
 		_, err := at.Execute(t.Context(), cmd)
@@ -71,7 +71,7 @@
 	return done
 }
 
-func failed(t *testing.T, err error, reason verdict.Reason, ran verdict.Ran) *verdict.Verdict {
+func assertVerdict(t *testing.T, err error, reason verdict.Reason, ran verdict.Ran) *verdict.Verdict {
 	t.Helper()
 	v := verdict.From(err)
 	assert.Assert(t, v != nil)
@@ -80,97 +80,97 @@
 	return v
 }
 
-// Two operators look at the same state and order different roles at once. One is
-// told that the other was first; the upstream has the role of the one who won.
-func TestOperatorsRace(t *testing.T) {
-	atSite(t, false, func(t *testing.T, s *site) {
+// Two operators order different roles from the same view at the same time. One of them
+// must get a conflict, and the upstream must have the role that the other ordered.
+func TestConcurrentOrdersConflict(t *testing.T) {
+	withFixture(t, false, func(t *testing.T, s *fixture) {
 		first, second := s.command(t, s.a, "prefill"), s.command(t, s.b, "decode")
-		s.log.SetSlow(time.Millisecond) // both appends are on their way at once
-		errs := [2]<-chan error{background(t, s.a, first), background(t, s.b, second)}
-		one, two := <-errs[0], <-errs[1]
-		if one == nil {
-			one, two = two, one
+		s.log.SetSlow(time.Millisecond) // both appends are in flight at the same time
+		errs := [2]<-chan error{executeAsync(t, s.a, first), executeAsync(t, s.b, second)}
+		lost, won := <-errs[0], <-errs[1]
+		if lost == nil {
+			lost, won = won, lost
 		}
-		failed(t, one, verdict.ReasonOrderConflict, verdict.NotRun)
-		assert.NilError(t, two)
+		assertVerdict(t, lost, verdict.ReasonOrderConflict, verdict.NotRun)
+		assert.NilError(t, won)
 		assert.Equal(t, s.engine.orders, 1)
-		// The loser looks again and may order then.
+		// The operator with the conflict may order again from a new view.
 		_, err := s.b.Execute(t.Context(), s.command(t, s.b, "decode"))
 		assert.NilError(t, err)
 		assert.Equal(t, s.engine.role, "decode")
 	})
 }
 
-// An instance is paused between its claim and its order, and comes back after
-// another instance gave a newer order. The upstream does not check tokens; the late
-// order must not be sent, or it would undo the newer one.
-func TestPausedHolderComesBackLate(t *testing.T) {
-	atSite(t, false, func(t *testing.T, s *site) {
-		s.pauseA = 2 * DefaultLease
-		late := background(t, s.a, s.command(t, s.a, "prefill"))
+// An instance is paused between claiming and sending, and resumes after another instance
+// has sent a newer order. The upstream does not check tokens, so that the late order
+// must not be sent: it would overwrite the newer one.
+func TestPausedHolderDoesNotSendAfterItsLease(t *testing.T) {
+	withFixture(t, false, func(t *testing.T, s *fixture) {
+		s.pauseBeforeSend = 2 * DefaultLease
+		late := executeAsync(t, s.a, s.command(t, s.a, "prefill"))
 		newer := s.command(t, s.b, "decode")
-		hasty, cancel := context.WithTimeout(t.Context(), time.Second)
+		shortCtx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err := s.b.Execute(hasty, newer)
-		v := failed(t, err, verdict.ReasonOrderConflict, verdict.NotRun)
+		_, err := s.b.Execute(shortCtx, newer)
+		v := assertVerdict(t, err, verdict.ReasonOrderConflict, verdict.NotRun)
 		assert.Assert(t, v.RetryAfter > DefaultLease-time.Second)
 		_, err = s.b.Execute(t.Context(), newer)
 		assert.NilError(t, err)
 		assert.Equal(t, len(late), 0)
-		failed(t, <-late, verdict.ReasonLeaseOver, verdict.NotRun)
+		assertVerdict(t, <-late, verdict.ReasonLeaseOver, verdict.NotRun)
 		assert.Equal(t, s.engine.role, "decode")
 		assert.Equal(t, s.engine.orders, 1)
 	})
 }
 
-// The same with an upstream that checks tokens and a pause shorter than the lease:
-// nobody waits, and the upstream refuses the late order.
-func TestLateOrderIsRefusedByItsToken(t *testing.T) {
-	atSite(t, true, func(t *testing.T, s *site) {
-		s.pauseA = DefaultLease / 2
-		late := background(t, s.a, s.command(t, s.a, "prefill"))
-		began := time.Now()
+// The instance is paused as above, but for less than its lease, and the upstream checks
+// tokens. The newer order must not wait, and the upstream refuses the late one.
+func TestUpstreamRefusesStaleToken(t *testing.T) {
+	withFixture(t, true, func(t *testing.T, s *fixture) {
+		s.pauseBeforeSend = DefaultLease / 2
+		late := executeAsync(t, s.a, s.command(t, s.a, "prefill"))
+		start := time.Now()
 		outcome, err := s.b.Execute(t.Context(), s.command(t, s.b, "decode"))
 		assert.NilError(t, err)
-		assert.Equal(t, time.Since(began), time.Duration(0))
+		assert.Equal(t, time.Since(start), time.Duration(0))
 		assert.Equal(t, outcome.Fence, uint64(2))
-		failed(t, <-late, verdict.ReasonUpstreamRefused, verdict.NotRun)
+		assertVerdict(t, <-late, verdict.ReasonUpstreamRefused, verdict.NotRun)
 		assert.Equal(t, s.engine.role, "decode")
 	})
 }
 
-// The answer to an order is lost. Whether it took effect is read back from the
-// upstream; what cannot be seen is reported as "may have run".
-func TestOrderAnswerIsLost(t *testing.T) {
-	atSite(t, false, func(t *testing.T, s *site) {
-		s.engine.loseAnswer = true
+// The response to an order is lost. The effect is read back from the upstream; an order
+// whose effect does not show is reported as "may have run".
+func TestOrderResponseLost(t *testing.T) {
+	withFixture(t, false, func(t *testing.T, s *fixture) {
+		s.engine.loseResponse = true
 		outcome, err := s.a.Execute(t.Context(), s.command(t, s.a, "prefill"))
 		assert.NilError(t, err)
 		assert.Assert(t, outcome.Confirmed)
-		s.engine.ignore = true
+		s.engine.ignoreOrders = true
 		_, err = s.a.Execute(t.Context(), s.command(t, s.a, "decode"))
-		failed(t, err, verdict.ReasonOrderUnconfirmed, verdict.MayHaveRun)
+		assertVerdict(t, err, verdict.ReasonOrderUnconfirmed, verdict.MayHaveRun)
 	})
 }
 
-// An upstream that does not check tokens takes an order and does not act on it. The
-// operator must hear of it.
+// An upstream that does not check tokens accepts an order and ignores it. The operator
+// must get an error.
 func TestOrderWithoutEffect(t *testing.T) {
-	atSite(t, false, func(t *testing.T, s *site) {
-		s.engine.ignore = true
+	withFixture(t, false, func(t *testing.T, s *fixture) {
+		s.engine.ignoreOrders = true
 		_, err := s.a.Execute(t.Context(), s.command(t, s.a, "prefill"))
-		failed(t, err, verdict.ReasonOrderUnconfirmed, verdict.HasRun)
+		assertVerdict(t, err, verdict.ReasonOrderUnconfirmed, verdict.HasRun)
 	})
 }
 
-// The log is down. No order may go out without a token, and the operator is told
-// that it did not.
-func TestLogIsDown(t *testing.T) {
-	atSite(t, true, func(t *testing.T, s *site) {
+// The log is unavailable. No order may be sent without a token, and the operator must
+// get "not run".
+func TestLogUnavailable(t *testing.T) {
+	withFixture(t, true, func(t *testing.T, s *fixture) {
 		cmd := s.command(t, s.a, "prefill")
 		s.log.SetDown(true)
 		_, err := s.a.Execute(t.Context(), cmd)
-		v := failed(t, err, verdict.ReasonLogUnavailable, verdict.NotRun)
+		v := assertVerdict(t, err, verdict.ReasonLogUnavailable, verdict.NotRun)
 		assert.Assert(t, v.RetryAfter > 0)
 		assert.Equal(t, s.engine.orders, 0)
 		s.log.SetDown(false)
@@ -179,9 +179,10 @@
 	})
 }
 
-// The log's answer to the claim is lost, after or before the claim took effect.
-func TestClaimAnswerIsLost(t *testing.T) {
-	atSite(t, true, func(t *testing.T, s *site) {
+// The log's response to the append of a claim is lost, in one case after the claim was
+// written and in the other with the request.
+func TestClaimAppendResponseLost(t *testing.T) {
+	withFixture(t, true, func(t *testing.T, s *fixture) {
 		cmd := s.command(t, s.a, "prefill")
 		s.log.Fail(memlog.LoseAnswer)
 		outcome, err := s.a.Execute(t.Context(), cmd)
@@ -190,45 +191,46 @@
 		cmd = s.command(t, s.a, "decode")
 		s.log.Fail(memlog.LoseRequest)
 		_, err = s.a.Execute(t.Context(), cmd)
-		failed(t, err, verdict.ReasonLogUnavailable, verdict.NotRun)
+		assertVerdict(t, err, verdict.ReasonLogUnavailable, verdict.NotRun)
 		assert.Equal(t, s.engine.role, "prefill")
 	})
 }
 
-// An operator acts from a view of days ago. The log has dropped what was claimed
-// since, so that an instance that started later cannot tell whether the view is
-// current; a newer order could be undone.
-func TestViewOlderThanTheLog(t *testing.T) {
-	atSite(t, true, func(t *testing.T, s *site) {
-		old := s.command(t, s.a, "prefill")
+// An operator uses a view that is days old. The log has dropped the claims made since,
+// so that an instance that started later cannot determine whether the view is current.
+// Accepting the order could overwrite a newer one.
+func TestViewOlderThanRetainedLog(t *testing.T) {
+	withFixture(t, true, func(t *testing.T, s *fixture) {
+		staleCmd := s.command(t, s.a, "prefill")
 		_, err := s.a.Execute(t.Context(), s.command(t, s.a, "decode"))
 		assert.NilError(t, err)
-		s.log.Truncate(stream, 3)
+		s.log.Truncate(streamName, 3)
 		fresh := s.start(t, "c", func() {})
-		_, err = fresh.Execute(t.Context(), old)
-		failed(t, err, verdict.ReasonOrderConflict, verdict.NotRun)
+		_, err = fresh.Execute(t.Context(), staleCmd)
+		assertVerdict(t, err, verdict.ReasonOrderConflict, verdict.NotRun)
 		_, err = fresh.Execute(t.Context(), s.command(t, fresh, "prefill"))
 		assert.NilError(t, err)
 	})
 }
 
-// The endpoints that operators use: view, order, and an order from the old view.
+// The operators' endpoints return a view, execute an order and refuse an order that is
+// based on the old view or malformed.
 func TestEndpoints(t *testing.T) {
-	atSite(t, true, func(t *testing.T, s *site) {
+	withFixture(t, true, func(t *testing.T, s *fixture) {
 		mux := http.NewServeMux()
 		s.a.AddQueries(mux)
 		s.a.AddCommands(mux, func(name string) (object.Upstream, bool) {
 			return object.Upstream{Name: name, ChecksFencing: true}, name == "engine-1"
 		})
 		send := func(method, path, body string) (int, string) {
-			answer := httptest.NewRecorder()
-			mux.ServeHTTP(answer, httptest.NewRequest(method, path, strings.NewReader(body)))
-			return answer.Code, strings.TrimSpace(answer.Body.String())
+			response := httptest.NewRecorder()
+			mux.ServeHTTP(response, httptest.NewRequest(method, path, strings.NewReader(body)))
+			return response.Code, strings.TrimSpace(response.Body.String())
 		}
 		for _, c := range []struct {
 			method, path, body string
 			status             int
-			answer             string
+			want               string
 		}{
 			{"GET", "/orders/engine-1", "", 200, `{"from":0}`},
 			{"POST", "/orders", `{"upstream":"engine-1","kind":"set_role","name":"decode","from":0,"operator":"o"}`, 200, `{"fence":1,"confirmed":true}`},
@@ -237,19 +239,20 @@
 			{"POST", "/orders", `{"upstream":"engine-1","kind":"set_role","name":"prefill"}`, 400, `"code":"bad_request"`},
 			{"GET", "/orders/engine-1", "", 200, `{"from":2,"latest":{"fence":1,"kind":"set_role","name":"decode","operator":"o","instance":"a","ran":"ran","confirmed":true}}`},
 		} {
-			status, answer := send(c.method, c.path, c.body)
-			assert.Equal(t, status, c.status, answer)
-			assert.Assert(t, strings.Contains(answer, c.answer), answer)
+			status, body := send(c.method, c.path, c.body)
+			assert.Equal(t, status, c.status, body)
+			assert.Assert(t, strings.Contains(body, c.want), body)
 		}
 	})
 }
 
-// An instance waits for a lease by its own clock from when it read the claim; one
-// whose clock stood still while its machine was suspended must not send.
-func TestLeaseHeedsTheWallClock(t *testing.T) {
-	begun := time.Now()
-	lease := protocol.NewLease(begun, time.Minute)
-	assert.Assert(t, lease.MaySend(begun.Add(59*time.Second)))
-	assert.Assert(t, !lease.MaySend(begun.Add(time.Minute)))
-	assert.Assert(t, !lease.MaySend(begun.Round(0).Add(time.Minute)))
+// The monotonic clock stops while a machine is suspended, while other instances' wait for
+// the lease goes on. A holder that resumes must not send once the lease has expired by
+// the wall clock.
+func TestLeaseChecksWallClock(t *testing.T) {
+	start := time.Now()
+	lease := protocol.NewLease(start, time.Minute)
+	assert.Assert(t, lease.MaySend(start.Add(59*time.Second)))
+	assert.Assert(t, !lease.MaySend(start.Add(time.Minute)))
+	assert.Assert(t, !lease.MaySend(start.Round(0).Add(time.Minute)))
 }
