--- a/object/apply.go
+++ b/object/apply.go
@@ -1,15 +1,15 @@
 package object
 
-// Edit turns one set into another. It is small when few objects differ.
+// Edit is the difference between two sets. It is small when few objects differ.
 type Edit struct {
-	// Put holds objects that are added or replaced, whole.
+	// Put holds the objects to add or replace, each with all of its fields.
 	Put Set `json:"put"`
-	// Remove names objects that are gone.
+	// Remove identifies the objects to remove.
 	Remove []Ref `json:"remove"`
 }
 
-// EditBetween returns the edit that turns old into new, up to the order of the
-// objects, which means nothing.
+// EditBetween returns the edit that turns old into new. It does not preserve the order
+// of the objects, which has no meaning.
 func EditBetween(old, new Set) Edit {
 	edit := Edit{Remove: []Ref{}}
 	put := make(map[Ref]bool)
@@ -24,14 +24,14 @@
 	return edit
 }
 
-// Apply returns the edited set: replaced objects keep their place, added ones
-// follow at the end.
+// Apply returns base with the edit applied. Replaced objects keep their position; added
+// ones are appended.
 func (e Edit) Apply(base Set) Set {
-	gone := make(map[Ref]bool)
+	removed := make(map[Ref]bool)
 	for _, ref := range e.Remove {
-		gone[ref] = true
+		removed[ref] = true
 	}
-	kept := base.filter(func(r Ref) bool { return !gone[r] })
+	kept := base.filter(func(r Ref) bool { return !removed[r] })
 	return Set{
 		Organisations: merge(kept.Organisations, e.Put.Organisations, Organisation.name),
 		Keys:          merge(kept.Keys, e.Put.Keys, Key.name),
@@ -49,7 +49,7 @@
 func (l Limit) name() string        { return l.Name }
 func (r Route) name() string        { return r.Name }
 
-// filter returns the objects that keep wants, in new lists.
+// filter returns a set of the objects for which keep returns true, in new lists.
 func (s Set) filter(keep func(Ref) bool) Set {
 	return Set{
 		Organisations: filterList(s.Organisations, TypeOrganisation, Organisation.name, keep),
@@ -71,20 +71,21 @@
 	return out
 }
 
-// merge replaces objects of a list by those of the same name and appends the rest.
+// merge replaces the objects of list by those of the same name in put and appends the
+// rest of put. It modifies list.
 func merge[T any](list, put []T, nameOf func(T) string) []T {
-	at := make(map[string]int, len(put))
+	indexOf := make(map[string]int, len(put))
 	for i, item := range put {
-		at[nameOf(item)] = i
+		indexOf[nameOf(item)] = i
 	}
 	for i, item := range list {
-		if j, ok := at[nameOf(item)]; ok {
+		if j, ok := indexOf[nameOf(item)]; ok {
 			list[i] = put[j]
-			delete(at, nameOf(item))
+			delete(indexOf, nameOf(item))
 		}
 	}
 	for i, item := range put {
-		if j, ok := at[nameOf(item)]; ok && j == i {
+		if j, ok := indexOf[nameOf(item)]; ok && j == i {
 			list = append(list, item)
 		}
 	}
--- a/object/bench_test.go
+++ b/object/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// fleetSet has the users' later size: 12000 organisations with two keys each, 23
-// model services and 600 upstreams.
+// fleetSet returns a set of the size that the users expect later: 12000 organisations
+// with two keys each, 23 model services and 600 upstreams.
 func fleetSet() Set {
 	var s Set
 	s.Limits = []Limit{{Name: "standard", TokensPerSecond: 100, Burst: 100000}}
--- a/object/check.go
+++ b/object/check.go
@@ -5,59 +5,57 @@
 	"strings"
 )
 
-// Bounds of rates and bursts.
 const (
-	// maxTokens bounds rates and bursts. The rate limiter counts in thousandths of
-	// a token in 64 bits; this leaves it room for a thousand times more.
+	// maxTokens bounds rates, bursts and costs. The rate limiter counts thousandths of
+	// a token in 64 bits; this bound leaves a margin of a factor of 1000.
 	maxTokens = 1_000_000_000_000
-	// maxNameLength is the longest name; names become metric tags and path segments.
+	// maxNameLength bounds names, which become metric tags and path segments.
 	maxNameLength = 63
 )
 
 const allowedName = "1 to 63 letters, digits, '.', '_' or '-', the first a letter or digit"
 
-// Check checks the whole set as one and returns every fault in a fixed order. A
-// set without faults can be published and indexed.
+// Check validates the whole set and returns all faults in a fixed order. A set without
+// faults can be published and indexed.
 //
-// References run from keys to organisations, from organisations to limits and
-// services, and from upstreams and routes to services. Objects of no type can reach their
-// own type this way, so that names cannot form a cycle; a test holds the types
-// to it.
+// Keys refer to organisations, organisations to limits and services, and upstreams and
+// routes to services. No type can reach itself through references, so that references
+// cannot form a cycle; a test enforces this for the types.
 func Check(set Set) []Fault {
 	c := newChecker(set)
-	c.names()
-	c.references()
-	c.limits()
-	c.services()
-	c.upstreams()
-	c.keys()
-	c.routes()
+	c.checkNames()
+	c.checkReferences()
+	c.checkLimits()
+	c.checkServices()
+	c.checkUpstreams()
+	c.checkKeys()
+	c.checkRoutes()
 	sortFaults(c.faults)
 	return c.faults
 }
 
 type checker struct {
-	// set has its defaults filled in; given is the set as it was written.
-	set    Set
-	given  Set
-	named  map[Ref]bool
-	faults []Fault
+	// set has defaults filled in; raw is the set as written.
+	set     Set
+	raw     Set
+	defined map[Ref]bool
+	faults  []Fault
 }
 
 func newChecker(set Set) *checker {
-	return &checker{set: set.WithDefaults(), given: set, named: make(map[Ref]bool, set.Len())}
+	return &checker{set: set.WithDefaults(), raw: set, defined: make(map[Ref]bool, set.Len())}
 }
 
 func (c *checker) add(f Fault) { c.faults = append(c.faults, f) }
 
-// names checks the form and uniqueness of every object's name.
-func (c *checker) names() {
-	for _, ref := range refs(c.set) {
-		c.name(ref)
+// checkNames checks the form and uniqueness of every object's name.
+func (c *checker) checkNames() {
+	for _, ref := range listRefs(c.set) {
+		c.checkName(ref)
 	}
 }
 
-func (c *checker) name(ref Ref) {
+func (c *checker) checkName(ref Ref) {
 	if ref.Name == "" {
 		c.add(Fault{Kind: FaultMissing, Object: ref, Field: "name", Allowed: allowedName})
 		return
@@ -65,19 +63,19 @@
 	if !validName(ref.Name) {
 		c.add(Fault{Kind: FaultBadName, Object: ref, Field: "name", Given: ref.Name, Allowed: allowedName})
 	}
-	if c.named[ref] {
+	if c.defined[ref] {
 		c.add(Fault{Kind: FaultDuplicate, Object: ref, Other: ref, Field: "name", Given: ref.Name, Allowed: "each name once"})
 	}
-	c.named[ref] = true
+	c.defined[ref] = true
 }
 
-// Len is the number of objects of the set.
+// Len returns the number of objects in the set.
 func (s Set) Len() int {
 	return len(s.Organisations) + len(s.Keys) + len(s.Services) + len(s.Upstreams) + len(s.Limits) + len(s.Routes)
 }
 
-// refs lists the names of all objects of a set.
-func refs(set Set) []Ref {
+// listRefs returns references to all objects of a set.
+func listRefs(set Set) []Ref {
 	out := make([]Ref, 0, set.Len())
 	for _, o := range set.Organisations {
 		out = append(out, Ref{TypeOrganisation, o.Name})
@@ -100,14 +98,14 @@
 	return out
 }
 
-// reference is a field of one object that names another.
+// reference is a field of one object that refers to another by name.
 type reference struct {
 	from  Ref
 	field string
 	to    Ref
 }
 
-// listReferences returns every reference of a set.
+// listReferences returns all references between objects of a set.
 func listReferences(set Set) []reference {
 	out := make([]reference, 0, set.Len())
 	for _, o := range set.Organisations {
@@ -131,26 +129,27 @@
 	return out
 }
 
-// references checks that every name that is referred to exists.
-func (c *checker) references() {
-	listed := make(map[reference]bool)
+// checkReferences checks that every reference is set and resolves, and that lists of
+// references have no duplicates.
+func (c *checker) checkReferences() {
+	seen := make(map[reference]bool)
 	for _, r := range listReferences(c.set) {
 		switch {
 		case r.to.Name == "":
-			c.add(Fault{Kind: FaultMissing, Object: r.from, Field: r.field, Allowed: fmt.Sprintf("the name of a %s", r.to.Type)})
-		case !c.named[r.to]:
+			c.add(Fault{Kind: FaultMissing, Object: r.from, Field: r.field, Allowed: fmt.Sprintf("the name of an existing %s", r.to.Type)})
+		case !c.defined[r.to]:
 			c.add(Fault{Kind: FaultDangling, Object: r.from, Other: r.to, Field: r.field, Given: r.to.Name,
-				Allowed: fmt.Sprintf("the name of a %s of the set", r.to.Type)})
+				Allowed: fmt.Sprintf("the name of an existing %s", r.to.Type)})
 		case r.field != "services" && r.field != "targets":
-		case listed[r]:
+		case seen[r]:
 			c.add(Fault{Kind: FaultDuplicate, Object: r.from, Other: r.to, Field: r.field, Given: r.to.Name, Allowed: "each service once"})
 		default:
-			listed[r] = true
+			seen[r] = true
 		}
 	}
 }
 
-// validName tells whether a name can stand in paths, logs and metric tags.
+// validName reports whether a name is safe in paths, logs and metric tags.
 func validName(name string) bool {
 	if len(name) > maxNameLength {
 		return false
--- a/object/check_keys.go
+++ b/object/check_keys.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// emptyKeyHash is the hash of no key at all. Published, it would let callers in
-// that send an empty bearer token.
+// emptyKeyHash is the hash of the empty string. If it were published, callers with an
+// empty bearer token would be authenticated.
 var emptyKeyHash = HashKey("")
 
-// keys checks every key's hash and that no two keys share one. A shared hash
-// would let one caller act for either of two organisations.
-func (c *checker) keys() {
-	hashes := make(map[string]Ref, len(c.set.Keys))
+// checkKeys checks the hash of every key and that hashes are unique. With a shared hash
+// a caller could be attributed to either of two organisations.
+func (c *checker) checkKeys() {
+	seen := make(map[string]Ref, len(c.set.Keys))
 	for _, k := range c.set.Keys {
 		ref := Ref{TypeKey, k.Name}
 		if !validHash(k.Hash) {
-			// The value itself is left out: it may be the key, put here by mistake.
+			// The value is omitted: it may be the key itself, entered here by mistake.
 			c.add(Fault{Kind: FaultBadValue, Object: ref, Field: "hash", Given: fmt.Sprintf("%d characters", len(k.Hash)),
 				Allowed: "the SHA-256 of the key as 64 lower-case hexadecimal digits"})
 			continue
@@ -22,10 +22,10 @@
 			c.add(Fault{Kind: FaultBadValue, Object: ref, Field: "hash", Given: "the hash of an empty key", Allowed: "the hash of a key"})
 			continue
 		}
-		if other, taken := hashes[k.Hash]; taken {
+		if other, taken := seen[k.Hash]; taken {
 			c.add(Fault{Kind: FaultDuplicate, Object: ref, Other: other, Field: "hash", Allowed: "each hash in one key"})
 			continue
 		}
-		hashes[k.Hash] = ref
+		seen[k.Hash] = ref
 	}
 }
--- a/object/check_routes.go
+++ b/object/check_routes.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// routes checks every route, and that no two claim the same host and prefix: which
-// of them held would depend on the order of the text.
-func (c *checker) routes() {
-	claimed := make(map[routeKey]Ref)
+// checkRoutes checks every route, and that no two have the same host and prefix. Which of
+// the two applied would depend on their order in the set.
+func (c *checker) checkRoutes() {
+	seen := make(map[routeKey]Ref)
 	for _, r := range c.set.Routes {
 		ref := Ref{TypeRoute, r.Name}
-		c.routeForm(ref, r)
-		c.targets(ref, r)
-		if other, taken := claimed[r.key()]; taken {
+		c.checkRouteFields(ref, r)
+		c.checkTargets(ref, r)
+		if other, taken := seen[r.key()]; taken {
 			c.add(Fault{Kind: FaultDuplicate, Object: ref, Other: other, Field: "path_prefix", Given: r.Host + r.PathPrefix,
 				Allowed: "each host and prefix in one route"})
 			continue
 		}
-		claimed[r.key()] = ref
+		seen[r.key()] = ref
 	}
 }
 
-func (c *checker) routeForm(ref Ref, r Route) {
+func (c *checker) checkRouteFields(ref Ref, r Route) {
 	if r.Host == "" {
 		c.add(Fault{Kind: FaultMissing, Object: ref, Field: "host", Allowed: "a host name"})
 	}
@@ -31,27 +31,28 @@
 	}
 	switch r.Kind {
 	case RouteIdempotent, RouteAtMostOnce:
-		c.routeNotApplicable(ref, "resumable", r.Resumable, r.Kind)
+		c.checkRouteFieldUnset(ref, "resumable", r.Resumable, r.Kind)
 	case RouteStreaming:
 	default:
 		c.add(Fault{Kind: FaultBadValue, Object: ref, Field: "kind", Given: string(r.Kind), Allowed: "idempotent, at_most_once, streaming"})
 	}
-	c.notNegative(ref, "timeout_ms", int64(r.TimeoutMS))
-	c.notNegative(ref, "objective_ms", int64(r.ObjectiveMS))
-	c.notNegative(ref, "event_gap_ms", int64(r.EventGapMS))
-	c.notNegative(ref, "priority", int64(r.Priority))
-	c.notNegative(ref, "max_attempts", int64(r.MaxAttempts))
+	c.checkNotNegative(ref, "timeout_ms", int64(r.TimeoutMS))
+	c.checkNotNegative(ref, "objective_ms", int64(r.ObjectiveMS))
+	c.checkNotNegative(ref, "event_gap_ms", int64(r.EventGapMS))
+	c.checkNotNegative(ref, "priority", int64(r.Priority))
+	c.checkNotNegative(ref, "max_attempts", int64(r.MaxAttempts))
 }
 
-func (c *checker) routeNotApplicable(ref Ref, field string, set bool, kind RouteKind) {
+func (c *checker) checkRouteFieldUnset(ref Ref, field string, set bool, kind RouteKind) {
 	if set {
-		c.add(Fault{Kind: FaultNotApplicable, Object: ref, Field: field, Allowed: "nothing for kind " + string(kind)})
+		c.add(Fault{Kind: FaultNotApplicable, Object: ref, Field: field, Allowed: "no value for kind " + string(kind)})
 	}
 }
 
-// targets checks a route's split. A split whose weights are all zero would send
-// everything to one service or nothing anywhere, and both surprise.
-func (c *checker) targets(ref Ref, r Route) {
+// checkTargets checks the targets of a route and their weights. If all weights were zero,
+// the route would send either all requests to one service or none to any, neither of
+// which an operator expects.
+func (c *checker) checkTargets(ref Ref, r Route) {
 	if len(r.Targets) == 0 {
 		c.add(Fault{Kind: FaultMissing, Object: ref, Field: "targets", Allowed: "at least one service"})
 		return
--- a/object/check_upstreams.go
+++ b/object/check_upstreams.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// upstreams checks every upstream and that no two have one address. Two names
-// for one engine would count its slots and memory twice.
-func (c *checker) upstreams() {
+// checkUpstreams checks every upstream, and that addresses are unique. With two names for
+// one engine its slots and memory would be counted twice.
+func (c *checker) checkUpstreams() {
 	kinds := make(map[string]Kind)
 	for _, s := range c.set.Services {
 		kinds[s.Name] = s.Kind
@@ -17,21 +17,21 @@
 	addresses := make(map[netip.AddrPort]Ref)
 	for i, u := range c.set.Upstreams {
 		ref := Ref{TypeUpstream, u.Name}
-		c.role(ref, u, kinds)
-		c.address(ref, u, addresses)
-		c.upstreamNumbers(ref, c.given.Upstreams[i])
+		c.checkRole(ref, u, kinds)
+		c.checkAddress(ref, u, addresses)
+		c.checkUpstreamNumbers(ref, c.raw.Upstreams[i])
 		if u.DataCentre == "" {
 			c.add(Fault{Kind: FaultMissing, Object: ref, Field: "data_centre", Allowed: "the name of a data centre"})
 		}
 	}
 }
 
-func (c *checker) role(ref Ref, u Upstream, kinds map[string]Kind) {
+func (c *checker) checkRole(ref Ref, u Upstream, kinds map[string]Kind) {
 	kind, known := kinds[u.Service]
 	if !known {
 		kind = ""
 	}
-	allowed := rolesOf(kind)
+	allowed := requiredRoles(kind)
 	if allowed == nil {
 		allowed = []Role{RolePrefill, RoleDecode, RolePlain}
 	}
@@ -53,7 +53,7 @@
 	return strings.Join(names, ", ")
 }
 
-func (c *checker) address(ref Ref, u Upstream, seen map[netip.AddrPort]Ref) {
+func (c *checker) checkAddress(ref Ref, u Upstream, seen map[netip.AddrPort]Ref) {
 	address, err := netip.ParseAddrPort(u.Address)
 	if err != nil || address.Port() == 0 || address.Addr().IsUnspecified() {
 		c.add(Fault{Kind: FaultBadValue, Object: ref, Field: "address", Given: fmt.Sprintf("%q", u.Address),
@@ -68,11 +68,11 @@
 	seen[address] = ref
 }
 
-func (c *checker) upstreamNumbers(ref Ref, u Upstream) {
+func (c *checker) checkUpstreamNumbers(ref Ref, u Upstream) {
 	if u.Slots < 1 {
 		c.add(outOfRange(ref, "slots", int64(u.Slots), "1 or more"))
 	}
-	c.notNegative(ref, "pieces", int64(u.Pieces))
-	c.notNegative(ref, "piece_tokens", int64(u.PieceTokens))
-	c.notNegative(ref, "link_bytes_per_second", u.LinkBytesPerSecond)
+	c.checkNotNegative(ref, "pieces", int64(u.Pieces))
+	c.checkNotNegative(ref, "piece_tokens", int64(u.PieceTokens))
+	c.checkNotNegative(ref, "link_bytes_per_second", u.LinkBytesPerSecond)
 }
--- a/object/defaults.go
+++ b/object/defaults.go
@@ -1,28 +1,28 @@
 package object
 
-// Defaults of fields that are zero in a published set. They are filled in when a
-// set is indexed, not when it is published, so that the published text stays the
-// operators' own.
+// Defaults for fields that are zero in a published set. They are filled in when a set
+// is indexed, not when it is published, so that the published set remains as the
+// operators wrote it.
 const (
 	// DefaultMaxPromptTokens covers prompts of tens of thousands of tokens.
 	DefaultMaxPromptTokens = 32768
-	// DefaultMaxOutputTokens bounds an answer.
+	// DefaultMaxOutputTokens bounds the output of a request.
 	DefaultMaxOutputTokens = 4096
-	// DefaultFirstByteMS is the users' target for the first token, 1.7 s.
+	// DefaultFirstByteMS is the users' target for the time to first token, 1.7 s.
 	DefaultFirstByteMS = 1700
-	// DefaultDeferrableWaitMS is how long a request that can wait may queue.
+	// DefaultDeferrableWaitMS bounds the time in the queue of a deferrable request.
 	DefaultDeferrableWaitMS = 120_000
 	// DefaultMaxBodyBytes bounds a request body, 1 MiB.
 	DefaultMaxBodyBytes = 1 << 20
 	// DefaultCallCost is the token charge of a plain call.
 	DefaultCallCost = 1
-	// DefaultPieceTokens is the size of a piece of engine memory, as the users
-	// state it: about two thousand tokens.
+	// DefaultPieceTokens is the size of a piece of engine memory. The users state it as
+	// about two thousand tokens.
 	DefaultPieceTokens = 2048
 )
 
-// WithDefaults returns a deep copy of the set in which every zero field that has
-// a default carries it.
+// WithDefaults returns a copy of the set, made by clone, in which zero fields are
+// replaced by their defaults.
 func (s Set) WithDefaults() Set {
 	out := s.clone()
 	for i := range out.Services {
@@ -55,7 +55,8 @@
 	}
 }
 
-// clone copies the set so deeply that nothing of the copy is shared.
+// clone returns a copy of the set with lists of its own. The values behind
+// Organisation.Priority and Service.Pool are shared with the original.
 func (s Set) clone() Set {
 	out := Set{
 		Organisations: append([]Organisation(nil), s.Organisations...),
@@ -78,8 +79,8 @@
 	return out
 }
 
-// Append returns a set with the objects of both, in order. It is how a set that
-// is kept in several files becomes one.
+// Append returns a set with the objects of s followed by those of other. It combines the
+// parts of a set that is kept in several files.
 func (s Set) Append(other Set) Set {
 	return Set{
 		Organisations: append(s.Organisations, other.Organisations...),
--- a/object/diff.go
+++ b/object/diff.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// ChangeKind tells what happened to an object between two sets.
+// ChangeKind is the way in which an object differs between two sets.
 type ChangeKind string
 
 // Kinds of changes.
@@ -18,22 +18,23 @@
 	Changed ChangeKind = "changed"
 )
 
-// Change is one object that differs between two sets.
+// Change describes one object that differs between two sets.
 type Change struct {
 	Kind   ChangeKind    `json:"kind"`
 	Object Ref           `json:"object"`
 	Fields []FieldChange `json:"fields,omitempty"`
 }
 
-// FieldChange is one field that differs; an absent side is empty.
+// FieldChange describes one field that differs. Old and New are JSON values, empty if the
+// field is absent.
 type FieldChange struct {
 	Field string `json:"field"`
 	Old   string `json:"old"`
 	New   string `json:"new"`
 }
 
-// Diff lists what differs from an old set to a new one, sorted by object. The
-// order of objects within a set does not count.
+// Diff returns the changes from old to new, sorted by object. It ignores the order of
+// objects within a set.
 func Diff(old, new Set) []Change {
 	before, after := fieldsByRef(old), fieldsByRef(new)
 	var out []Change
@@ -62,16 +63,16 @@
 
 func fieldsByRef(set Set) map[Ref]fields {
 	out := make(map[Ref]fields)
-	collect(out, TypeOrganisation, set.Organisations, Organisation.name)
-	collect(out, TypeKey, set.Keys, Key.name)
-	collect(out, TypeService, set.Services, Service.name)
-	collect(out, TypeUpstream, set.Upstreams, Upstream.name)
-	collect(out, TypeLimit, set.Limits, Limit.name)
-	collect(out, TypeRoute, set.Routes, Route.name)
+	addFields(out, TypeOrganisation, set.Organisations, Organisation.name)
+	addFields(out, TypeKey, set.Keys, Key.name)
+	addFields(out, TypeService, set.Services, Service.name)
+	addFields(out, TypeUpstream, set.Upstreams, Upstream.name)
+	addFields(out, TypeLimit, set.Limits, Limit.name)
+	addFields(out, TypeRoute, set.Routes, Route.name)
 	return out
 }
 
-func collect[T any](out map[Ref]fields, t Type, objects []T, nameOf func(T) string) {
+func addFields[T any](out map[Ref]fields, t Type, objects []T, nameOf func(T) string) {
 	for _, o := range objects {
 		var f fields
 		text, err := json.Marshal(o)
@@ -79,8 +80,8 @@
 			err = json.Unmarshal(text, &f)
 		}
 		if err != nil {
-			// Objects hold strings, numbers and lists of them only.
-			panic(fmt.Sprintf("%s cannot be encoded: %v", t, err))
+			// Objects consist of types that JSON can represent.
+			panic(fmt.Sprintf("object: encoding a %s: %v", t, err))
 		}
 		out[Ref{t, nameOf(o)}] = f
 	}
--- a/object/fault.go
+++ b/object/fault.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Type names a kind of object, or a file that objects were read from.
+// Type is the type of an object, or TypeFile for a file that objects are read from.
 type Type string
 
 // Types of objects.
@@ -18,11 +18,11 @@
 	TypeUpstream     Type = "upstream"
 	TypeLimit        Type = "limit"
 	TypeRoute        Type = "route"
-	// TypeFile is used by faults found while a file is parsed.
+	// TypeFile is the type of references to a file, in faults found while parsing it.
 	TypeFile Type = "file"
 )
 
-// Ref names one object. The zero value names none.
+// Ref identifies one object. The zero value refers to none.
 type Ref struct {
 	Type Type   `json:"type"`
 	Name string `json:"name"`
@@ -36,55 +36,55 @@
 	return fmt.Sprintf("%s %q", r.Type, r.Name)
 }
 
-// FaultKind is the enumerated cause of a fault. Its text is part of the output
-// for scripts and does not change once released.
+// FaultKind is the cause of a fault. Its values are part of the machine-readable output
+// and do not change once released.
 type FaultKind string
 
 // Kinds of faults.
 const (
-	// FaultSyntax is text that is not JSON.
+	// FaultSyntax is invalid JSON.
 	FaultSyntax FaultKind = "syntax"
-	// FaultUnknownField is a field that no object has.
+	// FaultUnknownField is a field that is not defined where it occurs.
 	FaultUnknownField FaultKind = "unknown_field"
 	// FaultWrongType is a value of the wrong JSON type.
 	FaultWrongType FaultKind = "wrong_type"
-	// FaultMissing is an empty field that must be set.
+	// FaultMissing is a required field that is empty.
 	FaultMissing FaultKind = "missing"
-	// FaultBadName is a name with characters that paths or logs cannot carry.
+	// FaultBadName is a name that is not safe in paths, logs or metric tags.
 	FaultBadName FaultKind = "bad_name"
-	// FaultDuplicate is a name, field or value given twice where it must be unique.
+	// FaultDuplicate is a name, field or value that must be unique and is not.
 	FaultDuplicate FaultKind = "duplicate"
-	// FaultDangling is a reference to an object that the set does not have.
+	// FaultDangling is a reference to an object that is not in the set.
 	FaultDangling FaultKind = "dangling"
 	// FaultOutOfRange is a number outside its bounds.
 	FaultOutOfRange FaultKind = "out_of_range"
-	// FaultBurstTooSmall is a limit under which a request that its service
-	// accepts can never be admitted.
+	// FaultBurstTooSmall is a limit that can never admit some request that a service
+	// accepts.
 	FaultBurstTooSmall FaultKind = "burst_too_small"
-	// FaultBadValue is a value outside an enumeration or of the wrong form.
+	// FaultBadValue is a value that is not in its enumeration or has the wrong format.
 	FaultBadValue FaultKind = "bad_value"
-	// FaultNotApplicable is a field that the kind of the object does not use.
+	// FaultNotApplicable is a field that does not apply to the kind of the object.
 	FaultNotApplicable FaultKind = "not_applicable"
-	// FaultShadowed is a rule that can never apply, since an earlier one always does.
+	// FaultShadowed is a rule that can never apply because an earlier one always does.
 	FaultShadowed FaultKind = "shadowed"
-	// FaultNoUpstream is a service that lacks upstreams of a role it needs.
+	// FaultNoUpstream is a service without an upstream of a required role.
 	FaultNoUpstream FaultKind = "no_upstream"
 )
 
-// Fault is one thing wrong with a set.
+// Fault is a validation error of a set.
 type Fault struct {
 	Kind FaultKind `json:"kind"`
-	// Object has the fault; Other is the second object involved, if any.
+	// Object is the object with the fault; Other is a second object involved, if any.
 	Object Ref    `json:"object"`
 	Other  Ref    `json:"other,omitzero"`
 	Field  string `json:"field,omitempty"`
-	// Given is the value found. It is never a key or a part of one.
+	// Given is the value found. It never contains a key or a part of one.
 	Given string `json:"given,omitempty"`
-	// Allowed says what would have been right.
+	// Allowed describes the valid values.
 	Allowed string `json:"allowed,omitempty"`
 }
 
-// String returns one line for people.
+// String returns a one-line description for operators.
 func (f Fault) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %s", f.Object, f.Kind)
@@ -103,8 +103,8 @@
 	return b.String()
 }
 
-// sortFaults orders faults by object, so that the same set always yields the
-// same report.
+// sortFaults sorts faults by object and then by their other fields, so that the same set
+// always yields the same report.
 func sortFaults(faults []Fault) {
 	slices.SortFunc(faults, func(a, b Fault) int {
 		return cmp.Or(
--- a/object/hash.go
+++ b/object/hash.go
@@ -8,15 +8,15 @@
 // hashLength is the length of a hexadecimal SHA-256.
 const hashLength = 2 * sha256.Size
 
-// HashKey returns the lower-case hexadecimal SHA-256 of a key, the only form in
-// which a key is published or kept. A plain hash is enough because keys are
-// random: there is no dictionary to try.
+// HashKey returns the lower-case hexadecimal SHA-256 of a key, the only form in which a
+// key is published or stored. An unsalted hash is sufficient because keys are random,
+// which rules out dictionary attacks.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// validHash tells whether s has the form of HashKey's result.
+// validHash reports whether s has the format of a result of HashKey.
 func validHash(s string) bool {
 	if len(s) != hashLength {
 		return false
--- a/object/marshal.go
+++ b/object/marshal.go
@@ -2,19 +2,19 @@
 
 import "encoding/json"
 
-// MarshalJSON writes lists without objects as empty arrays. Go's null for them
-// would be refused by Parse and by the schema when the text is read again.
+// MarshalJSON encodes nil lists as empty arrays. Parse and the schema reject null, the
+// default encoding of nil slices.
 func (s Set) MarshalJSON() ([]byte, error) {
-	type plain Set
-	notNull(&s.Organisations)
-	notNull(&s.Keys)
-	notNull(&s.Services)
-	notNull(&s.Upstreams)
-	notNull(&s.Limits)
-	return json.Marshal(plain(s))
+	type withoutMethods Set
+	nilToEmpty(&s.Organisations)
+	nilToEmpty(&s.Keys)
+	nilToEmpty(&s.Services)
+	nilToEmpty(&s.Upstreams)
+	nilToEmpty(&s.Limits)
+	return json.Marshal(withoutMethods(s))
 }
 
-func notNull[T any](list *[]T) {
+func nilToEmpty[T any](list *[]T) {
 	if *list == nil {
 		*list = []T{}
 	}
--- a/object/object_test.go
+++ b/object/object_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func load(t testing.TB, file string) Set {
+func loadSet(t testing.TB, file string) Set {
 	t.Helper()
 	data, err := os.ReadFile(file)
 	assert.NilError(t, err)
@@ -21,20 +21,20 @@
 	return set
 }
 
-func TestGoodSetsHaveNoFaults(t *testing.T) {
+func TestValidSetsHaveNoFaults(t *testing.T) {
 	for _, file := range []string{"testdata/good.json", "../examples/objects.json"} {
-		assert.DeepEqual(t, Check(load(t, file)), []Fault(nil))
+		assert.DeepEqual(t, Check(loadSet(t, file)), []Fault(nil))
 	}
 }
 
-// An operator edits a large set in several places and makes six mistakes. With a
-// check that stops at the first, each costs another attempt while callers wait.
-func TestSixFaultsAreNamedInOneRun(t *testing.T) {
-	faults := Check(load(t, "testdata/six_faults.json"))
+// An operator makes six mistakes while editing a large set. If the check stopped at the
+// first, each mistake would cost another attempt while callers wait.
+func TestAllFaultsAreReportedTogether(t *testing.T) {
+	faults := Check(loadSet(t, "testdata/six_faults.json"))
 	want := []Fault{
 		{Kind: FaultDuplicate, Object: Ref{TypeKey, "osijek-zoo-1"}, Other: Ref{TypeKey, "zagreb-zoo-1"}, Field: "hash", Allowed: "each hash in one key"},
 		{Kind: FaultOutOfRange, Object: Ref{TypeLimit, "member"}, Field: "tokens_per_second", Given: "0", Allowed: "1 to 1000000000000"},
-		{Kind: FaultDangling, Object: Ref{TypeOrganisation, "zagreb-zoo"}, Other: Ref{TypeLimit, "membr"}, Field: "limit", Given: "membr", Allowed: "the name of a limit of the set"},
+		{Kind: FaultDangling, Object: Ref{TypeOrganisation, "zagreb-zoo"}, Other: Ref{TypeLimit, "membr"}, Field: "limit", Given: "membr", Allowed: "the name of an existing limit"},
 		{Kind: FaultDuplicate, Object: Ref{TypeOrganisation, "savez"}, Other: Ref{TypeOrganisation, "savez"}, Field: "name", Given: "savez", Allowed: "each name once"},
 		{Kind: FaultDuplicate, Object: Ref{TypeService, "arhiv"}, Other: Ref{TypeService, "pisar"}, Field: "models", Given: "pisar-7b", Allowed: "each model in one service"},
 		{Kind: FaultBadValue, Object: Ref{TypeUpstream, "arhiv-decode-1"}, Field: "address", Given: `"arhiv.example:8000"`, Allowed: "IP:port, such as 10.0.0.1:8000 or [fd00::1]:8000"},
@@ -43,13 +43,13 @@
 	assert.DeepEqual(t, faults, want)
 }
 
-// Each row breaks the good set in one way that would mislead the fleet: a limit
-// that refuses for ever, a booking that runs twice, an engine counted twice, a key
+// Each case introduces one fault into a valid set. Unnoticed, such faults lead to requests
+// that are always refused, a booking that runs twice, an engine counted twice or a key
 // that acts for two organisations.
 func TestEachFaultIsFound(t *testing.T) {
-	rows := []struct {
+	cases := []struct {
 		name   string
-		breaks func(*Set)
+		modify func(*Set)
 		kind   FaultKind
 		object Ref
 		field  string
@@ -81,14 +81,14 @@
 		{"method", func(s *Set) { s.Services[1].Calls[0].Method = "get" }, FaultBadValue, Ref{TypeService, "dezurstva"}, "calls[0].method"},
 		{"name", func(s *Set) { s.Limits = append(s.Limits, Limit{Name: "a/b", TokensPerSecond: 1, Burst: 1}) }, FaultBadName, Ref{TypeLimit, "a/b"}, "name"},
 	}
-	good := load(t, "testdata/good.json")
-	for _, row := range rows {
-		t.Run(row.name, func(t *testing.T) {
+	good := loadSet(t, "testdata/good.json")
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
 			set := good.clone()
-			row.breaks(&set)
+			c.modify(&set)
 			faults := Check(set)
 			found := slices.ContainsFunc(faults, func(f Fault) bool {
-				return f.Kind == row.kind && f.Object == row.object && f.Field == row.field
+				return f.Kind == c.kind && f.Object == c.object && f.Field == c.field
 			})
 			assert.Assert(t, found, "%v", faults)
 			for _, f := range faults {
@@ -98,18 +98,18 @@
 	}
 }
 
-// An operator prints the set in force, edits it and publishes it. A text that the
-// program writes and then refuses to read would stop that.
-func TestEmptySetIsReadAgain(t *testing.T) {
+// Operators print the current set, edit it and publish it, so that Parse must accept the
+// output of MarshalJSON.
+func TestEmptySetRoundTrips(t *testing.T) {
 	text, err := json.Marshal(Set{})
 	assert.NilError(t, err)
 	_, faults := Parse("f", text)
 	assert.Equal(t, len(faults), 0, "%s", text)
 }
 
-// A misspelt or doubled field is ignored by an ordinary decoder: the operator
-// believes that a key is withdrawn or a list complete, and it is not.
-func TestParseRefusesWhatItWouldIgnore(t *testing.T) {
+// encoding/json ignores misspelt fields and all but the last of duplicate ones. The
+// operator would believe that a key is withdrawn or a list complete when it is not.
+func TestParseRejectsInexactFields(t *testing.T) {
 	text := `{"keys":[{"name":"a","Hash":"x","withdrawn":"yes"}],"keys":[],"limits":[{"burst":1.5}],"limit":null}`
 	_, faults := Parse("f.json", []byte(text))
 	file := Ref{TypeFile, "f.json"}
@@ -118,7 +118,7 @@
 		{Kind: FaultUnknownField, Object: file, Field: "keys[0].Hash", Given: "Hash", Allowed: "name, organisation, hash, withdrawn"},
 		{Kind: FaultWrongType, Object: file, Field: "keys[0].withdrawn", Given: "a string", Allowed: "true or false"},
 		{Kind: FaultUnknownField, Object: file, Field: "limit", Given: "limit", Allowed: "organisations, keys, services, upstreams, limits, routes"},
-		{Kind: FaultWrongType, Object: file, Field: "limits[0].burst", Given: "the number 1.5", Allowed: "a whole number"},
+		{Kind: FaultWrongType, Object: file, Field: "limits[0].burst", Given: "the number 1.5", Allowed: "an integer"},
 	}
 	assert.DeepEqual(t, faults, want)
 
@@ -128,11 +128,11 @@
 	assert.Assert(t, strings.HasPrefix(faults[0].Given, "line 2:"), faults[0].Given)
 }
 
-// Names cannot form a cycle while no type of object can reach itself through
-// references. A field that changes this needs a check for cycles with it.
+// References cannot form a cycle as long as no type can reach itself through them. A field
+// that changes this requires a check for cycles.
 func TestReferencesBetweenTypesAreAcyclic(t *testing.T) {
 	next := make(map[Type][]Type)
-	for _, r := range listReferences(load(t, "testdata/good.json")) {
+	for _, r := range listReferences(loadSet(t, "testdata/good.json")) {
 		next[r.from.Type] = append(next[r.from.Type], r.to.Type)
 	}
 	next[TypeOrganisation] = append(next[TypeOrganisation], TypeService)
@@ -147,8 +147,8 @@
 	}
 }
 
-func TestIndexFindsWhatTheSetHolds(t *testing.T) {
-	set := load(t, "testdata/good.json")
+func TestIndexLookups(t *testing.T) {
+	set := loadSet(t, "testdata/good.json")
 	set.Keys[1].Withdrawn = true
 	x := NewIndex(set, 7)
 	assert.Equal(t, x.Version(), uint64(7))
@@ -161,11 +161,11 @@
 	limit, ok := x.Limit("savez")
 	assert.Assert(t, ok && limit.Burst == 60000)
 	set.Keys[0].Name = "changed"
-	assert.Equal(t, key.Name, "zagreb-zoo-1", "an index never changes")
+	assert.Equal(t, key.Name, "zagreb-zoo-1", "an index is immutable")
 }
 
-// The schema and the types are written by hand; an editor that follows an old
-// schema marks a right set wrong or a wrong one right.
+// The schema and the types are both written by hand. With an outdated schema, editors
+// would reject valid sets or accept invalid ones.
 func TestSchemaMatchesTypes(t *testing.T) {
 	type schema struct {
 		Type       string             `json:"type"`
@@ -197,7 +197,7 @@
 		case reflect.Slice:
 			match(s.Items, typ.Elem(), path+"[]")
 		case reflect.Struct:
-			assert.Assert(t, s.Extra != nil && !*s.Extra, "%s takes unknown fields", path)
+			assert.Assert(t, s.Extra != nil && !*s.Extra, "%s allows unknown fields", path)
 			assert.Equal(t, len(s.Properties), typ.NumField(), path)
 			for i := range typ.NumField() {
 				f := typ.Field(i)
@@ -210,23 +210,23 @@
 	match(&root, reflect.TypeFor[Set](), "set")
 }
 
-// Changes travel as edits; one that lost or kept an object too many would put
-// another set in force than the operator published.
-func TestEditMakesTheNewSet(t *testing.T) {
-	good := load(t, "testdata/good.json")
+// Changes are published as edits. If an edit lost an object or failed to remove one, the
+// fleet would apply another set than the operator published.
+func TestEditProducesTheNewSet(t *testing.T) {
+	good := loadSet(t, "testdata/good.json")
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		some := func() Set {
+		randomSubset := func() Set {
 			set := good.filter(func(Ref) bool { return r.IntN(3) > 0 }).clone()
 			for i := range set.Upstreams {
 				set.Upstreams[i].Slots = 1 + r.IntN(2)
 			}
 			return set
 		}
-		old, new := some(), some()
-		made := EditBetween(old, new).Apply(old)
-		assert.Equal(t, len(Diff(made, new)), 0, "seed %d", seed)
-		assert.Equal(t, len(refs(made)), len(refs(new)), "seed %d", seed)
+		old, new := randomSubset(), randomSubset()
+		edited := EditBetween(old, new).Apply(old)
+		assert.Equal(t, len(Diff(edited, new)), 0, "seed %d", seed)
+		assert.Equal(t, len(listRefs(edited)), len(listRefs(new)), "seed %d", seed)
 	}
 }
 
@@ -244,12 +244,12 @@
 		}
 		text, err := json.Marshal(set)
 		assert.NilError(t, err)
-		again, faults := Parse("again", text)
+		reparsed, faults := Parse("again", text)
 		assert.Equal(t, len(faults), 0, "%v", faults)
 		if len(Check(set)) > 0 {
 			return
 		}
-		x := NewIndex(again, 1)
+		x := NewIndex(reparsed, 1)
 		for _, k := range set.Keys {
 			_, organisation, ok := x.KeyByHash(k.Hash)
 			assert.Assert(t, ok && organisation.Name == k.Organisation)
--- a/object/parse.go
+++ b/object/parse.go
@@ -10,37 +10,37 @@
 	"strings"
 )
 
-// Parse reads a set from the JSON text of one file. Every fault of the text is
-// reported in one run; the set is usable only when there are none. Fields are
-// matched exactly: the standard decoder takes "Hash" for "hash", ignores unknown
-// fields and lets the second of two equal fields win, and each of these would
-// silently publish something other than what the operator wrote.
+// Parse decodes a set from the JSON text of one file. It reports all faults of the text
+// at once; the set is usable only if there are none. Field names are matched exactly and
+// may occur once: encoding/json accepts "Hash" for "hash", ignores unknown fields and
+// keeps the last of duplicate fields, each of which would silently publish something
+// other than what the operator wrote.
 func Parse(file string, data []byte) (Set, []Fault) {
 	var set Set
 	p := parser{file: file}
 	if err := validJSON(data); err != nil {
-		p.fault(FaultSyntax, "", position(data, err), "one JSON object")
+		p.addFault(FaultSyntax, "", describeSyntaxError(data, err), "one JSON object")
 		return Set{}, p.faults
 	}
-	p.value(data, reflect.TypeFor[Set](), "")
+	p.checkValue(data, reflect.TypeFor[Set](), "")
 	if len(p.faults) > 0 {
 		sortFaults(p.faults)
 		return Set{}, p.faults
 	}
 	if err := json.Unmarshal(data, &set); err != nil {
-		p.fault(FaultSyntax, "", err.Error(), "one JSON object")
+		p.addFault(FaultSyntax, "", err.Error(), "one JSON object")
 		return Set{}, p.faults
 	}
 	return set, nil
 }
 
-// parser compares JSON text with the type it is meant for.
+// parser checks JSON text against the Go type into which it is decoded.
 type parser struct {
 	file   string
 	faults []Fault
 }
 
-func (p *parser) fault(kind FaultKind, field, given, allowed string) {
+func (p *parser) addFault(kind FaultKind, field, given, allowed string) {
 	p.faults = append(p.faults, Fault{
 		Kind:    kind,
 		Object:  Ref{Type: TypeFile, Name: p.file},
@@ -50,21 +50,21 @@
 	})
 }
 
-func (p *parser) value(raw json.RawMessage, t reflect.Type, path string) {
+func (p *parser) checkValue(raw json.RawMessage, t reflect.Type, path string) {
 	switch t.Kind() {
 	case reflect.Struct:
-		p.object(raw, t, path)
+		p.checkObject(raw, t, path)
 	case reflect.Slice:
-		p.array(raw, t, path)
+		p.checkArray(raw, t, path)
 	case reflect.Pointer:
-		p.value(raw, t.Elem(), path)
+		p.checkValue(raw, t.Elem(), path)
 	default:
-		p.scalar(raw, t, path)
+		p.checkScalar(raw, t, path)
 	}
 }
 
-func (p *parser) object(raw json.RawMessage, t reflect.Type, path string) {
-	if !p.startsWith(raw, '{', path, "an object") {
+func (p *parser) checkObject(raw json.RawMessage, t reflect.Type, path string) {
+	if !p.checkStart(raw, '{', path, "an object") {
 		return
 	}
 	fields := fieldTypes(t)
@@ -84,18 +84,18 @@
 		fieldType, known := fields[name]
 		switch {
 		case !known:
-			p.fault(FaultUnknownField, join(path, name), name, strings.Join(fieldNames(t), ", "))
+			p.addFault(FaultUnknownField, joinPath(path, name), name, strings.Join(fieldNames(t), ", "))
 		case seen[name]:
-			p.fault(FaultDuplicate, join(path, name), name, "each field once")
+			p.addFault(FaultDuplicate, joinPath(path, name), name, "each field once")
 		default:
 			seen[name] = true
-			p.value(member, fieldType, join(path, name))
+			p.checkValue(member, fieldType, joinPath(path, name))
 		}
 	}
 }
 
-func (p *parser) array(raw json.RawMessage, t reflect.Type, path string) {
-	if !p.startsWith(raw, '[', path, "an array") {
+func (p *parser) checkArray(raw json.RawMessage, t reflect.Type, path string) {
+	if !p.checkStart(raw, '[', path, "an array") {
 		return
 	}
 	var elements []json.RawMessage
@@ -103,29 +103,29 @@
 		return
 	}
 	for i, element := range elements {
-		p.value(element, t.Elem(), fmt.Sprintf("%s[%d]", path, i))
+		p.checkValue(element, t.Elem(), fmt.Sprintf("%s[%d]", path, i))
 	}
 }
 
-func (p *parser) scalar(raw json.RawMessage, t reflect.Type, path string) {
+func (p *parser) checkScalar(raw json.RawMessage, t reflect.Type, path string) {
 	target := reflect.New(t)
 	isNull := bytes.Equal(bytes.TrimSpace(raw), []byte("null"))
 	if !isNull && json.Unmarshal(raw, target.Interface()) == nil {
 		return
 	}
-	p.fault(FaultWrongType, path, jsonType(raw), scalarName(t))
+	p.addFault(FaultWrongType, path, jsonType(raw), expectedType(t))
 }
 
-func (p *parser) startsWith(raw json.RawMessage, first byte, path, allowed string) bool {
+func (p *parser) checkStart(raw json.RawMessage, first byte, path, allowed string) bool {
 	text := bytes.TrimSpace(raw)
 	if len(text) > 0 && text[0] == first {
 		return true
 	}
-	p.fault(FaultWrongType, path, jsonType(raw), allowed)
+	p.addFault(FaultWrongType, path, jsonType(raw), allowed)
 	return false
 }
 
-// fieldTypes maps the JSON names of a struct's fields to their types.
+// fieldTypes returns the types of a struct's fields by JSON name.
 func fieldTypes(t reflect.Type) map[string]reflect.Type {
 	out := make(map[string]reflect.Type, t.NumField())
 	for i := range t.NumField() {
@@ -134,7 +134,7 @@
 	return out
 }
 
-// fieldNames lists the JSON names of a struct's fields in order.
+// fieldNames returns the JSON names of a struct's fields in order.
 func fieldNames(t reflect.Type) []string {
 	out := make([]string, 0, t.NumField())
 	for i := range t.NumField() {
@@ -148,8 +148,8 @@
 	return name
 }
 
-// jsonType describes a value without repeating it: a key that stands in the
-// wrong field must not end up in a report.
+// jsonType describes a value by its JSON type and does not repeat strings: a key entered
+// in the wrong field must not appear in a report.
 func jsonType(raw json.RawMessage) string {
 	text := bytes.TrimSpace(raw)
 	switch {
@@ -170,20 +170,20 @@
 	}
 }
 
-func scalarName(t reflect.Type) string {
+func expectedType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
 		return "a string"
 	case reflect.Bool:
 		return "true or false"
 	case reflect.Uint64:
-		return "a whole number, not negative"
+		return "a non-negative integer"
 	default:
-		return "a whole number"
+		return "an integer"
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
@@ -198,13 +198,14 @@
 		return err
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("more text after the object")
+		return errors.New("unexpected text after the object")
 	}
 	return nil
 }
 
-// position adds the line of a syntax error to its message.
-func position(data []byte, err error) string {
+// describeSyntaxError returns the message of an error, preceded by the line number if
+// it is a syntax error.
+func describeSyntaxError(data []byte, err error) string {
 	var syntax *json.SyntaxError
 	if !errors.As(err, &syntax) {
 		return err.Error()
--- a/object/route_test.go
+++ b/object/route_test.go
@@ -14,12 +14,12 @@
 	}
 }
 
-func aRoute(name, prefix string) Route {
+func newRoute(name, prefix string) Route {
 	return Route{Name: name, Host: "h.example", PathPrefix: prefix, Kind: RouteIdempotent, Targets: []Target{{"s", 1}}}
 }
 
-func TestLongestPrefixHolds(t *testing.T) {
-	x := NewIndex(routeSet(aRoute("all", "/"), aRoute("a", "/a/"), aRoute("ab", "/a/b/")), 1)
+func TestLongestPrefixWins(t *testing.T) {
+	x := NewIndex(routeSet(newRoute("all", "/"), newRoute("a", "/a/"), newRoute("ab", "/a/b/")), 1)
 	for path, want := range map[string]string{"/": "all", "/a": "all", "/a/": "a", "/a/b": "a", "/a/b/": "ab", "/a/b/c/d": "ab", "/a//b/": "a", "/ab/x": "all"} {
 		r, ok := x.Route("H.example", path)
 		assert.Assert(t, ok)
@@ -29,14 +29,15 @@
 	assert.Assert(t, !ok)
 }
 
-// Operators write a set with several faults in its routes. Told one at a time they
-// would publish as often; told without the other object they would look for it.
-func TestFaultsOfRoutesAreNamedInOneRun(t *testing.T) {
-	bad := aRoute("bad", "a")
+// A set has several faults in its routes. If they were reported one at a time, the
+// operator would need as many attempts; a report without the other object involved would
+// make the operator search for it.
+func TestRouteFaultsAreReportedTogether(t *testing.T) {
+	bad := newRoute("bad", "a")
 	bad.Host, bad.Kind, bad.Targets = "", "other", []Target{{"s", 0}, {"gone", -1}}
-	twice, same := aRoute("twice", "/a/"), aRoute("same", "/a/")
+	twice, same := newRoute("twice", "/a/"), newRoute("same", "/a/")
 	same.Host = "H.EXAMPLE"
-	once := aRoute("once", "/o/")
+	once := newRoute("once", "/o/")
 	once.Kind, once.Resumable, once.Targets = RouteAtMostOnce, true, nil
 	var got []string
 	for _, f := range Check(routeSet(bad, twice, same, once)) {
@@ -49,7 +50,7 @@
 	})
 }
 
-// A split sends requests by weight: a target of weight 0 must get none.
+// Requests are distributed by weight; a target of weight 0 must get none.
 func TestPickFollowsWeights(t *testing.T) {
 	r := Route{Targets: []Target{{"s", 3}, {"never", 0}, {"p", 1}}}
 	count := map[string]int{}
@@ -60,10 +61,10 @@
 	assert.Equal(t, (&Route{Targets: []Target{{"s", 0}}}).Pick(7), "s")
 }
 
-func TestRoutesTravelAsEdits(t *testing.T) {
-	old := routeSet(aRoute("a", "/a/"), aRoute("b", "/b/"))
-	changed := aRoute("b", "/c/")
-	edited := routeSet(changed, aRoute("d", "/d/"))
+func TestEditChangesRoutes(t *testing.T) {
+	old := routeSet(newRoute("a", "/a/"), newRoute("b", "/b/"))
+	changed := newRoute("b", "/c/")
+	edited := routeSet(changed, newRoute("d", "/d/"))
 	assert.DeepEqual(t, EditBetween(old, edited).Apply(old).Routes, edited.Routes)
 	assert.Equal(t, len(Diff(old, edited)), 3)
 }
