--- a/order/codec.go
+++ b/order/codec.go
@@ -18,7 +18,7 @@
 		Upstream:    c.Upstream,
 		OrderKind:   c.Kind,
 		OrderName:   c.Name,
-		From:        c.From,
+		From:        c.BaseOffset,
 		LeaseMs:     uint32(c.Lease.Milliseconds()),
 		Instance:    c.Instance,
 		Incarnation: c.Incarnation,
@@ -29,7 +29,7 @@
 
 func resultEntry(id protocol.ClaimID, r protocol.Result) (port.Entry, error) {
 	data, err := proto.Marshal(&orderv1.Record{Kind: &orderv1.Record_Result{Result: &orderv1.Result{
-		ClaimOffset: r.Claim,
+		ClaimOffset: r.ClaimOffset,
 		Upstream:    r.Upstream,
 		Ran:         uint32(r.Ran),
 		Confirmed:   r.Confirmed,
@@ -37,29 +37,29 @@
 	return port.Entry{ID: "result-" + hex.EncodeToString(id[:]), Data: data}, err
 }
 
-// decode returns the claim or the result of a record.
-func decode(data []byte) (*protocol.Claim, *protocol.Result, error) {
+// decodeRecord returns the claim or the result that a record holds; the other is nil.
+func decodeRecord(data []byte) (*protocol.Claim, *protocol.Result, error) {
 	m := new(orderv1.Record)
 	if err := proto.Unmarshal(data, m); err != nil {
 		return nil, nil, err
 	}
 	switch kind := m.Kind.(type) {
 	case *orderv1.Record_Claim:
-		return claimOf(kind.Claim), nil, nil
+		return claimFromProto(kind.Claim), nil, nil
 	case *orderv1.Record_Result:
 		r := kind.Result
-		return nil, &protocol.Result{Claim: r.ClaimOffset, Upstream: r.Upstream, Ran: uint8(r.Ran), Confirmed: r.Confirmed}, nil
+		return nil, &protocol.Result{ClaimOffset: r.ClaimOffset, Upstream: r.Upstream, Ran: uint8(r.Ran), Confirmed: r.Confirmed}, nil
 	default:
-		return nil, nil, fmt.Errorf("order: record of unknown kind")
+		return nil, nil, fmt.Errorf("order: unknown record kind")
 	}
 }
 
-func claimOf(m *orderv1.Claim) *protocol.Claim {
+func claimFromProto(m *orderv1.Claim) *protocol.Claim {
 	c := &protocol.Claim{
 		Upstream:    m.Upstream,
 		Kind:        m.OrderKind,
 		Name:        m.OrderName,
-		From:        m.From,
+		BaseOffset:  m.From,
 		Lease:       min(time.Duration(m.LeaseMs)*time.Millisecond, protocol.MaxLease),
 		Instance:    m.Instance,
 		Incarnation: m.Incarnation,
