--- a/caller/server.go
+++ b/caller/server.go
@@ -123,7 +123,7 @@
 		return
 	}
 	v := x.verdict(err)
-	s.Metrics.Refused("caller", v)
+	s.Metrics.CountRefusal("caller", v)
 	x.log.Info("refused", append(fields, zap.String("reason", string(v.Reason)),
 		zap.String("ran", v.Ran.String()), zap.Duration("retry_after", v.RetryAfter),
 		zap.String("detail", v.Detail), zap.Error(v.Cause))...)
--- a/cmd/cairnworksd/routed.go
+++ b/cmd/cairnworksd/routed.go
@@ -45,7 +45,7 @@
 	out := observe.NewAsyncWriter(os.Stdout)
 	defer out.Close()
 	log, atomic := observe.NewLogger(out, level)
-	i, err := routed.New(s, platform.Outside(s), log)
+	i, err := routed.New(s, platform.NewDependencies(s), log)
 	if err != nil {
 		log.Error("not started", zap.Error(err))
 		return err
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -135,9 +135,9 @@
 		}
 	}
 	d := g.quotas.Take(ctx, c.Organisation, a.charge, quotaWait(a.route))
-	g.Metrics.QuotaWait(d.Waited)
+	g.Metrics.RecordQuotaWait(d.Waited)
 	if d.Admitted {
-		g.Metrics.Quota("admitted")
+		g.Metrics.CountQuotaDecision("admitted")
 		return nil
 	}
 	tokens := a.charge
@@ -146,10 +146,10 @@
 	case ctx.Err() != nil:
 		return verdict.Refuse(verdict.ReasonCancelled, 0, "the caller disconnected")
 	case d.Unanswered:
-		g.Metrics.Quota("unanswered")
+		g.Metrics.CountQuotaDecision("unanswered")
 		return verdict.Refuse(verdict.ReasonRateHomeUnavailable, d.Retry, "%s", d)
 	}
-	g.Metrics.Quota("refused")
+	g.Metrics.CountQuotaDecision("refused")
 	retry := max(min(d.Retry, time.Until(c.Deadline)), minQuotaRetry)
 	return verdict.Refuse(verdict.ReasonRateLimited, retry, "the organisation's quota is exhausted: %d tokens requested, %s", tokens, d)
 }
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -20,7 +20,7 @@
 
 // refuse responds to a request for which there is no upstream answer to forward.
 func (g *Gateway) refuse(w http.ResponseWriter, c *Call, v *verdict.Verdict) {
-	g.Metrics.Refused("gateway", v)
+	g.Metrics.CountRefusal("gateway", v)
 	g.logRefusal(c, v)
 	if v.Reason == verdict.ReasonCancelled {
 		// The caller has disconnected.
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -114,7 +114,7 @@
 		g.refuse(w, call, v)
 		return
 	}
-	g.Metrics.Took("admission", a.service.Name, time.Since(arrived))
+	g.Metrics.RecordStageDuration("admission", a.service.Name, time.Since(arrived))
 	ctx, cancel := context.WithDeadline(r.Context(), call.Deadline)
 	defer cancel()
 	g.serve(ctx, w, a)
--- a/gateway/model.go
+++ b/gateway/model.go
@@ -71,7 +71,7 @@
 		}
 		run.maxRan = max(run.maxRan, v.Ran)
 		if run.sends > before && run.mayRetry(ctx, out, v) {
-			g.Metrics.Retried(a.service.Name, v.Reason)
+			g.Metrics.CountRetry(a.service.Name, v.Reason)
 			g.log.Info("retried", zap.String("request", a.call.ID), zap.String("reason", string(v.Reason)),
 				zap.Int("sent", run.sends), zap.String("after_event", out.lastID))
 			continue
@@ -110,7 +110,7 @@
 	}
 	placed := time.Now()
 	waited := placed.Sub(r.admitted.call.Arrived)
-	g.Metrics.Took("placement", r.admitted.service.Name, waited)
+	g.Metrics.RecordStageDuration("placement", r.admitted.service.Name, waited)
 	g.log.Info("placed", zap.String("request", r.admitted.call.ID), zap.String("upstream", target.entry.ID), zap.Int("tokens", r.claimedTokens),
 		zap.Duration("waited", waited), zap.Float64("pool_free", r.dispatcher.decode.freeShare()), zap.Uint64("list", g.state.Directory.Version()))
 	defer func() { r.dispatcher.release(target.entry, r.claimedTokens) }()
@@ -131,7 +131,7 @@
 	}
 	started := time.Now()
 	v = out.copy(answer)
-	g.Metrics.Took("decode", r.admitted.service.Name, time.Since(started))
+	g.Metrics.RecordStageDuration("decode", r.admitted.service.Name, time.Since(started))
 	if v == nil && answer.Status == http.StatusOK {
 		g.crashes.recordSuccess(r.admitted.call)
 		r.dispatcher.recordCompletion(r.admitted.call, out.events*r.dispatcher.settings().EventTokens, r.claimedTokens, time.Since(placed))
@@ -153,7 +153,7 @@
 		Source: source, Reservation: target.reservation, LastEventID: after, Priority: r.admitted.call.priority,
 	})
 	if err == nil {
-		g.Metrics.Took("transfer", r.admitted.service.Name, time.Since(started))
+		g.Metrics.RecordStageDuration("transfer", r.admitted.service.Name, time.Since(started))
 		g.outliers.recordSuccess(target.entry)
 		return answer, nil
 	}
@@ -348,7 +348,7 @@
 		return "", verdict.From(err)
 	}
 	r.dispatcher.recordPrefill(tokens, time.Since(started), alone)
-	r.gateway.Metrics.Took("prefill", r.admitted.service.Name, time.Since(started))
+	r.gateway.Metrics.RecordStageDuration("prefill", r.admitted.service.Name, time.Since(started))
 	r.gateway.outliers.recordSuccess(entry)
 	return handle, nil
 }
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -196,7 +196,7 @@
 	if v != nil {
 		reason = v.Reason
 	}
-	r.gateway.Metrics.Retried(r.admitted.service.Name, reason)
+	r.gateway.Metrics.CountRetry(r.admitted.service.Name, reason)
 	r.gateway.log.Info("retried", zap.String("request", r.admitted.call.ID), zap.String("reason", string(reason)), zap.Int("sent", r.sends))
 	return true
 }
@@ -373,7 +373,7 @@
 		g.log.Info("answer broken off", zap.String("request", a.call.ID), zap.Int("status", status), zap.Duration("took", took), zap.Error(err))
 		return
 	}
-	g.Metrics.Took("answer", a.service.Name, took)
-	g.Metrics.Answered(a.service.Name, status)
+	g.Metrics.RecordStageDuration("answer", a.service.Name, took)
+	g.Metrics.CountAnswer(a.service.Name, status)
 	g.log.Info("answered", zap.String("request", a.call.ID), zap.String("upstream", a.upstream), zap.Int("status", status), zap.Duration("took", took))
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -111,7 +111,7 @@
 		return
 	}
 	s.started, s.status = true, answer.Status
-	s.gateway.Metrics.Took("first_byte", s.admitted.service.Name, time.Since(s.admitted.call.Arrived))
+	s.gateway.Metrics.RecordStageDuration("first_byte", s.admitted.service.Name, time.Since(s.admitted.call.Arrived))
 	copyHeader(s.w.Header(), answer)
 	if answer.Length >= 0 && !s.admitted.route.Resumable {
 		s.w.Header().Set("Content-Length", strconv.FormatInt(answer.Length, 10))
--- a/instance/routed/routed.go
+++ b/instance/routed/routed.go
@@ -302,7 +302,7 @@
 			i.quotas.Sweep(i.exchange.Knows)
 			i.gateway.Sweep()
 			i.tellHubs()
-			i.metrics.Beliefs(i.beliefs())
+			i.metrics.SetInstanceState(i.beliefs())
 		}
 	}
 }
@@ -319,13 +319,13 @@
 	}
 }
 
-func (i *Instance) beliefs() observe.Beliefs {
+func (i *Instance) beliefs() observe.InstanceState {
 	instances, _ := i.fleetSize().Instances()
-	b := observe.Beliefs{
-		Ready: i.notReady() == "", Upstreams: i.state.Directory.Len(), Instances: instances, Hubs: len(i.exchange.Hubs()), Hub: i.exchange.IsHub(),
+	b := observe.InstanceState{
+		Ready: i.notReady() == "", Upstreams: i.state.Directory.Len(), Instances: instances, Hubs: len(i.exchange.Hubs()), IsHub: i.exchange.IsHub(),
 	}
 	if index := i.state.Index(); index != nil {
-		b.Version, b.Age = index.Version(), i.state.Age()
+		b.ConfigurationVersion, b.ConfigurationAge = index.Version(), i.state.Age()
 	}
 	return b
 }
--- a/instance/routed/routed_test.go
+++ b/instance/routed/routed_test.go
@@ -145,7 +145,7 @@
 // run starts the instance.
 func (f *fleet) run(t *testing.T) {
 	t.Helper()
-	i, err := routed.New(f.settings, platform.Outside(f.settings), zap.NewNop())
+	i, err := routed.New(f.settings, platform.NewDependencies(f.settings), zap.NewNop())
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	f.stop = cancel
--- a/instance/routed/storecalls.go
+++ b/instance/routed/storecalls.go
@@ -58,5 +58,5 @@
 	case err != nil:
 		result = "failed"
 	}
-	l.metrics.StoreCall(topic.String(), call, result, time.Since(begun))
+	l.metrics.RecordStoreCall(topic.String(), call, result, time.Since(begun))
 }
--- a/observe/metrics.go
+++ b/observe/metrics.go
@@ -61,8 +61,8 @@
 // Close stops reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
 
-// Refused counts a refusal or failure by reason, verdict and stage.
-func (m *Metrics) Refused(stage string, v *verdict.Verdict) {
+// CountRefusal counts a refusal or failure by reason, verdict and stage.
+func (m *Metrics) CountRefusal(stage string, v *verdict.Verdict) {
 	m.mu.Lock()
 	m.refusals[Refusal{stage, v.Reason, v.Ran.String()}]++
 	m.mu.Unlock()
@@ -90,36 +90,36 @@
 // same machine, a millisecond, to the longest that callers wait.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)
 
-// Took records how long a stage of a request took.
-func (m *Metrics) Took(stage, service string, d time.Duration) {
+// RecordStageDuration records how long a stage of a request took.
+func (m *Metrics) RecordStageDuration(stage, service string, d time.Duration) {
 	m.Scope.Tagged(map[string]string{"stage": stage, "service": service}).Histogram("stage_seconds", latencyBuckets).RecordDuration(d)
 }
 
-// Answered counts an answer of an upstream that was handed on, by its status.
-func (m *Metrics) Answered(service string, status int) {
+// CountAnswer counts an answer of an upstream that was handed on, by its status.
+func (m *Metrics) CountAnswer(service string, status int) {
 	m.Scope.Tagged(map[string]string{"service": service, "status": strconv.Itoa(status)}).Counter("answers").Inc(1)
 }
 
-// Quota counts a decision on an organisation's quota: "admitted", "refused", or "waited"
+// CountQuotaDecision counts a decision on an organisation's quota: "admitted", "refused", or "waited"
 // for others' word on what was spent before.
-func (m *Metrics) Quota(decision string) {
+func (m *Metrics) CountQuotaDecision(decision string) {
 	m.Scope.Tagged(map[string]string{"decision": decision}).Counter("quota").Inc(1)
 }
 
-// StoreCall records a call of the platform's store.
-func (m *Metrics) StoreCall(topic, call, result string, d time.Duration) {
+// RecordStoreCall records a call of the platform's store.
+func (m *Metrics) RecordStoreCall(topic, call, result string, d time.Duration) {
 	scope := m.Scope.Tagged(map[string]string{"topic": topic, "call": call, "result": result})
 	scope.Counter("store_calls").Inc(1)
 	scope.Histogram("store_seconds", latencyBuckets).RecordDuration(d)
 }
 
-// QuotaWait records how long a request waited for tokens.
-func (m *Metrics) QuotaWait(d time.Duration) {
+// RecordQuotaWait records how long a request waited for tokens.
+func (m *Metrics) RecordQuotaWait(d time.Duration) {
 	m.Scope.Histogram("quota_wait_seconds", latencyBuckets).RecordDuration(d)
 }
 
-// Beliefs sets what an instance believes now.
-func (m *Metrics) Beliefs(b Beliefs) {
+// SetInstanceState sets what an instance believes now.
+func (m *Metrics) SetInstanceState(b InstanceState) {
 	flag := func(set bool) float64 {
 		if set {
 			return 1
@@ -127,30 +127,30 @@
 		return 0
 	}
 	m.Scope.Gauge("ready").Update(flag(b.Ready))
-	m.Scope.Gauge("configuration_version").Update(float64(b.Version))
-	m.Scope.Gauge("configuration_age_seconds").Update(b.Age.Seconds())
+	m.Scope.Gauge("configuration_version").Update(float64(b.ConfigurationVersion))
+	m.Scope.Gauge("configuration_age_seconds").Update(b.ConfigurationAge.Seconds())
 	m.Scope.Gauge("upstreams").Update(float64(b.Upstreams))
 	m.Scope.Gauge("instances").Update(float64(b.Instances))
 	m.Scope.Gauge("hubs").Update(float64(b.Hubs))
-	m.Scope.Gauge("hub").Update(flag(b.Hub))
+	m.Scope.Gauge("hub").Update(flag(b.IsHub))
 }
 
-// Beliefs are what an instance goes by.
-type Beliefs struct {
+// InstanceState are what an instance goes by.
+type InstanceState struct {
 	Ready bool
-	// Version of the configuration in force, and the age of the proof that no newer
+	// ConfigurationVersion of the configuration in force, and the age of the proof that no newer
 	// one exists.
-	Version uint64
-	Age     time.Duration
+	ConfigurationVersion uint64
+	ConfigurationAge     time.Duration
 	// Upstreams and Instances that are known. No instances are while it is not known who is in
 	// the fleet.
 	Upstreams, Instances int
 	// Hubs are those that this instance reports to; Hub tells that it is one.
-	Hubs int
-	Hub  bool
+	Hubs  int
+	IsHub bool
 }
 
-// Retried counts a retry by the reason of the failed attempt.
-func (m *Metrics) Retried(service string, reason verdict.Reason) {
+// CountRetry counts a retry by the reason of the failed attempt.
+func (m *Metrics) CountRetry(service string, reason verdict.Reason) {
 	m.Scope.Tagged(map[string]string{"service": service, "reason": string(reason)}).Counter("retries").Inc(1)
 }
--- a/observe/metrics_test.go
+++ b/observe/metrics_test.go
@@ -13,9 +13,9 @@
 	m := NewMetrics()
 	defer m.Close()
 	limited := verdict.Refuse(verdict.ReasonRateLimited, time.Second, "later")
-	m.Refused("caller", verdict.Refuse(verdict.ReasonBadRequest, 0, "no"))
-	m.Refused("caller", limited)
-	m.Refused("caller", limited)
+	m.CountRefusal("caller", verdict.Refuse(verdict.ReasonBadRequest, 0, "no"))
+	m.CountRefusal("caller", limited)
+	m.CountRefusal("caller", limited)
 	assert.DeepEqual(t, m.Refusals(), []RefusalCount{
 		{Refusal{"caller", verdict.ReasonRateLimited, "not_run"}, 2},
 		{Refusal{"caller", verdict.ReasonBadRequest, "not_run"}, 1},
--- a/route/attempt.go
+++ b/route/attempt.go
@@ -136,7 +136,7 @@
 	err := a.streamTokens(ctx, engine)
 	if err != nil && ctx.Err() == nil && !errors.Is(err, errStalled) && a.answer.OutputTokens > before {
 		a.log.Info("resume", zap.Uint32("attempt", a.stream.Attempt), zap.Int("from", a.answer.OutputTokens), zap.Error(err))
-		a.Metrics.Retried(a.req.Service, verdict.From(err).Reason)
+		a.Metrics.CountRetry(a.req.Service, verdict.From(err).Reason)
 		err = resumeError(err, a.streamTokens(ctx, engine))
 	}
 	a.outcome.Decode = time.Since(a.started) - a.outcome.FirstToken
--- a/route/model.go
+++ b/route/model.go
@@ -102,7 +102,7 @@
 			zap.String("because", string(reason)))
 		return false
 	}
-	r.Metrics.Retried(r.req.Service, v.Reason)
+	r.Metrics.CountRetry(r.req.Service, v.Reason)
 	r.log.Info("retry", zap.Int("attempt", attempt), zap.String("reason", string(v.Reason)),
 		zap.String("detail", v.Detail), zap.Duration("backoff", wait))
 	select {
--- a/route/plain.go
+++ b/route/plain.go
@@ -160,7 +160,7 @@
 	if !ok {
 		return false
 	}
-	p.Metrics.Retried(req.Service, v.Reason)
+	p.Metrics.CountRetry(req.Service, v.Reason)
 	p.Log.Info("retry", zap.String("request", req.ID), zap.Int("attempt", attempt),
 		zap.String("reason", string(v.Reason)), zap.String("detail", v.Detail))
 	return sleepUntil(ctx, time.Now().Add(wait)) == nil
--- a/scheduler/actor.go
+++ b/scheduler/actor.go
@@ -163,7 +163,7 @@
 		a.endAttempt(now, msg.key, group.Outcome{Kind: group.OutcomeCancelled})
 	}
 	if refusal := a.checkQuarantine(now, msg.req.Fingerprint); refusal != nil {
-		a.metrics.Refused("scheduler", refusal)
+		a.metrics.CountRefusal("scheduler", refusal)
 		msg.replyTo <- reserveReply{refusal: refusal}
 		return
 	}
@@ -191,7 +191,7 @@
 		}
 		delete(a.pending, key)
 		if d.Refusal != nil {
-			a.metrics.Refused("scheduler", d.Refusal)
+			a.metrics.CountRefusal("scheduler", d.Refusal)
 			msg.replyTo <- reserveReply{refusal: d.Refusal}
 			continue
 		}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -116,15 +116,15 @@
 // with a gap of their own, so that the other faults of a seed stay as they were.
 var lateKinds = []kind{
 	{"writes late", 1, func(r *run, f fault) {
-		r.store.SetLate(lateBy)
+		r.store.SetUnansweredDelay(lateBy)
 		time.Sleep(f.For)
-		r.store.SetLate(0)
+		r.store.SetUnansweredDelay(0)
 	}},
 	{"orders late", 1, func(r *run, f fault) {
 		e := r.engine(f).engine
-		e.SetLate(lateBy)
+		e.SetUnansweredDelay(lateBy)
 		time.Sleep(f.For)
-		e.SetLate(0)
+		e.SetUnansweredDelay(0)
 	}},
 }
 
--- a/soak/ledger.go
+++ b/soak/ledger.go
@@ -163,7 +163,7 @@
 			continue
 		case r.Body != standin.Body(id) || r.Organisation != s.organisation:
 			add("nothing unasked", fmt.Sprintf("changed: body %q, organisation %q", r.Body, r.Organisation))
-		case r.Mixed:
+		case r.WrongPrompt:
 			add("its own prompt", "went on from another request's prompt")
 		}
 		if detail, late := l.checkLeaving(s, r); late {
--- a/soak/run.go
+++ b/soak/run.go
@@ -163,7 +163,7 @@
 
 func (r *run) startEngines() error {
 	all := standin.NewEngines(r.store, r.ledger.ran)
-	all.Ordered = r.ledger.ordered
+	all.OnOrder = r.ledger.ordered
 	start := func(n int, service, stage string) error {
 		for range n {
 			var p *proxy
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -99,7 +99,7 @@
 		{"a denial", ledgerOf(sent{kind: standin.Read, status: http.StatusNotFound}), "no proper request is denied"},
 		{"another organisation", ledgerOf(whole, standin.Run{Organisation: "other"}), "nothing unasked"},
 		{"nobody asked", unasked, "nothing unasked"},
-		{"another prompt", ledgerOf(whole, standin.Run{Mixed: true}), "its own prompt"},
+		{"another prompt", ledgerOf(whole, standin.Run{WrongPrompt: true}), "its own prompt"},
 		{"a withdrawn key", late, "withdrawn keys"},
 		{"just after an engine has said that it leaves", soon, ""},
 		{"long after an engine has said that it leaves", tooLate, "leaving engines"},
--- a/soak/stranger.go
+++ b/soak/stranger.go
@@ -78,6 +78,6 @@
 	if err != nil {
 		return err
 	}
-	store.List(i.name, value)
+	store.PutInstance(i.name, value)
 	return nil
 }
