--- a/observe/asyncwriter.go
+++ b/observe/asyncwriter.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// Figures of an asynchronous writer.
+// Parameters of AsyncWriter.
 const (
-	// asyncBuffer bounds the log lines that wait to be written, in bytes: some two
-	// thousand lines, a second of an instance that refuses everything.
-	asyncBuffer = 512 << 10
-	// asyncInterval is how long lines are gathered, as each write is a system call.
-	asyncInterval = 100 * time.Millisecond
+	// maxBufferedBytes limits the log lines that are buffered: about 2000 lines, the output of one
+	// second of an instance that refuses all requests.
+	maxBufferedBytes = 512 << 10
+	// flushInterval is how long lines are batched, since each write is a system call.
+	flushInterval = 100 * time.Millisecond
+	// closeTimeout limits how long Close waits for the buffer to be written.
+	closeTimeout = time.Second
 )
 
-// AsyncWriter writes lines from a goroutine of its own and never blocks the one that
-// logs. A reader that stops reading would otherwise stop every request at its next
-// line. Lines beyond the buffer are dropped; how many is told in the next line that
-// fits.
+// AsyncWriter writes lines from a separate goroutine, so that logging never blocks. Otherwise, a
+// consumer of the log that stops reading would block each request at its next log line. Lines that
+// do not fit in the buffer are dropped; their number is logged before the next line that fits.
 type AsyncWriter struct {
 	to io.Writer
 
@@ -31,17 +32,17 @@
 	done    chan struct{}
 }
 
-// NewAsyncWriter returns a writer that writes to another one. Close ends it.
+// NewAsyncWriter returns an AsyncWriter that writes to another writer. Close stops it.
 func NewAsyncWriter(to io.Writer) *AsyncWriter {
 	w := &AsyncWriter{to: to, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer. It takes whole lines.
+// Write implements io.Writer. Each call must pass complete lines.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if w.closed || len(w.pending)+len(line) > asyncBuffer {
+	if w.closed || len(w.pending)+len(line) > maxBufferedBytes {
 		w.dropped++
 		w.mu.Unlock()
 		return len(line), nil
@@ -59,7 +60,8 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer; lines are written soon in any case.
+// Sync implements zapcore.WriteSyncer. It does nothing, since lines are written within
+// flushInterval.
 func (w *AsyncWriter) Sync() error { return nil }
 
 func (w *AsyncWriter) run() {
@@ -79,11 +81,11 @@
 		if closed {
 			return
 		}
-		time.Sleep(asyncInterval)
+		time.Sleep(flushInterval)
 	}
 }
 
-// Close writes what waits, for at most a second, and ends the writer.
+// Close writes the buffered lines, waiting at most closeTimeout, and stops the writer.
 func (w *AsyncWriter) Close() {
 	w.mu.Lock()
 	w.closed = true
@@ -94,6 +96,6 @@
 	}
 	select {
 	case <-w.done:
-	case <-time.After(time.Second):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/observe/asyncwriter_test.go
+++ b/observe/asyncwriter_test.go
@@ -8,21 +8,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// stuck blocks each write until it is let go.
-type stuck struct {
-	go_ chan struct{}
-	out bytes.Buffer
+// blockedWriter blocks each write until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
+	out     bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.go_
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.unblock
 	return s.out.Write(p)
 }
 
-// Nobody reads standard output. A logger that waits for it stops every request at its
-// next line; what does not fit is dropped and counted.
-func TestLoggingDoesNotWaitForItsReader(t *testing.T) {
-	s := &stuck{go_: make(chan struct{})}
+// Guards against requests that block in the logger because nobody reads standard output. Lines that
+// do not fit in the buffer must be dropped and counted.
+func TestLoggingDoesNotBlockOnReader(t *testing.T) {
+	s := &blockedWriter{unblock: make(chan struct{})}
 	w := NewAsyncWriter(s)
 	line := []byte(strings.Repeat("x", 1000) + "\n")
 	for range 2000 {
@@ -30,8 +30,8 @@
 		assert.NilError(t, err)
 		assert.Equal(t, n, len(line))
 	}
-	close(s.go_)
-	for w.held() > 0 {
+	close(s.unblock)
+	for w.bufferedBytes() > 0 {
 	}
 	_, _ = w.Write([]byte("last\n"))
 	w.Close()
@@ -41,8 +41,8 @@
 	assert.NilError(t, err)
 }
 
-// held is how many bytes wait to be written.
-func (w *AsyncWriter) held() int {
+// bufferedBytes returns how many bytes wait to be written.
+func (w *AsyncWriter) bufferedBytes() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.pending)
--- a/observe/log.go
+++ b/observe/log.go
@@ -1,4 +1,4 @@
-// Package observe builds the loggers and the metrics of every program.
+// Package observe provides logging and metrics for all programs of this module.
 package observe
 
 import (
@@ -11,8 +11,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// NewLogger returns a logger that writes one line of key=value pairs an event to
-// w. The returned level can be changed while the program runs.
+// NewLogger returns a logger that writes one line of key=value pairs per event to w. The returned
+// level can be changed at run time.
 func NewLogger(w io.Writer, level zapcore.Level) (*zap.Logger, zap.AtomicLevel) {
 	atomic := zap.NewAtomicLevelAt(level)
 	cfg := zap.NewProductionEncoderConfig()
@@ -23,8 +23,8 @@
 	return zap.New(core), atomic
 }
 
-// DiscardSlog is the logger handed to libraries that speak slog only. Their
-// lines would break the one key=value line an event that operators parse.
+// DiscardSlog returns a logger for libraries that only support slog. Their output would break the
+// format of one line of key=value pairs per event, which operators parse.
 func DiscardSlog() *slog.Logger {
 	return slog.New(slog.DiscardHandler)
 }
--- a/observe/metrics.go
+++ b/observe/metrics.go
@@ -16,11 +16,11 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// reportInterval is how often counters are moved to the scrape page. One second
-// is far below any usual scrape interval, so that a scrape is never stale.
+// reportInterval is how often metrics are exported to the Prometheus registry. One second is far
+// below any usual scrape interval, so that scraped values are recent.
 const reportInterval = time.Second
 
-// Metrics counts what happens; Handler serves it to scrapers.
+// Metrics collects the metrics of a program. Handler serves them in the Prometheus format.
 type Metrics struct {
 	Scope   tally.Scope
 	Handler http.Handler
@@ -30,24 +30,24 @@
 	refusals map[Refusal]uint64
 }
 
-// Refusal is one kind of refusal or failure.
+// Refusal identifies refusals or failures of the same stage, reason and verdict.
 type Refusal struct {
 	Stage  string         `json:"stage"`
 	Reason verdict.Reason `json:"reason"`
-	// Ran is the verdict's wire form.
+	// Ran is the wire form of the verdict's Ran field.
 	Ran string `json:"ran"`
 }
 
-// RefusalCount is how often a kind of refusal was given since the start.
+// RefusalCount is the number of refusals of one kind since the program started.
 type RefusalCount struct {
 	Refusal
 	Count uint64 `json:"count"`
 }
 
-// NewMetrics returns a fresh metric registry for one program.
+// NewMetrics returns metrics with a new registry.
 func NewMetrics() *Metrics {
-	// A registry of its own: several instances share a process in embedded mode,
-	// and the library's default registry would mix their counters.
+	// The library's default registry is not used: in embedded mode, several instances share a
+	// process, and their metrics would be mixed.
 	registry := prometheus.NewRegistry()
 	reporter := tallyprom.NewReporter(tallyprom.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -58,7 +58,7 @@
 	return &Metrics{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer, refusals: make(map[Refusal]uint64)}
 }
 
-// Close stops reporting.
+// Close stops the export of metrics.
 func (m *Metrics) Close() error { return m.closer.Close() }
 
 // CountRefusal counts a refusal or failure by reason, verdict and stage.
@@ -71,7 +71,7 @@
 	}).Counter("refusals").Inc(1)
 }
 
-// Refusals returns the refusals given so far, the most frequent first.
+// Refusals returns the counts of refusals since the program started, in descending order.
 func (m *Metrics) Refusals() []RefusalCount {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,66 +86,66 @@
 	return counts
 }
 
-// latencyBuckets are the bounds of all latency histograms: from a connection on the
-// same machine, a millisecond, to the longest that callers wait.
+// latencyBuckets are the buckets of all latency histograms. They range from the time of a
+// connection on the same machine, 1 ms, to the longest time that callers wait.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)
 
-// RecordStageDuration records how long a stage of a request took.
+// RecordStageDuration records the duration of one stage of a request.
 func (m *Metrics) RecordStageDuration(stage, service string, d time.Duration) {
 	m.Scope.Tagged(map[string]string{"stage": stage, "service": service}).Histogram("stage_seconds", latencyBuckets).RecordDuration(d)
 }
 
-// CountAnswer counts an answer of an upstream that was handed on, by its status.
+// CountAnswer counts an upstream's answer that was forwarded to the caller, by status.
 func (m *Metrics) CountAnswer(service string, status int) {
 	m.Scope.Tagged(map[string]string{"service": service, "status": strconv.Itoa(status)}).Counter("answers").Inc(1)
 }
 
-// CountQuotaDecision counts a decision on an organisation's quota: "admitted", "refused", or "waited"
-// for others' word on what was spent before.
+// CountQuotaDecision counts a decision on an organisation's quota: "admitted", "refused", or
+// "unanswered" if no home of the quota answered.
 func (m *Metrics) CountQuotaDecision(decision string) {
 	m.Scope.Tagged(map[string]string{"decision": decision}).Counter("quota").Inc(1)
 }
 
-// RecordStoreCall records a call of the platform's store.
+// RecordStoreCall counts a call to the platform's store and records its duration.
 func (m *Metrics) RecordStoreCall(topic, call, result string, d time.Duration) {
 	scope := m.Scope.Tagged(map[string]string{"topic": topic, "call": call, "result": result})
 	scope.Counter("store_calls").Inc(1)
 	scope.Histogram("store_seconds", latencyBuckets).RecordDuration(d)
 }
 
-// RecordQuotaWait records how long a request waited for tokens.
+// RecordQuotaWait records how long a request waited for tokens of its quota.
 func (m *Metrics) RecordQuotaWait(d time.Duration) {
 	m.Scope.Histogram("quota_wait_seconds", latencyBuckets).RecordDuration(d)
 }
 
-// SetInstanceState sets what an instance believes now.
-func (m *Metrics) SetInstanceState(b InstanceState) {
-	flag := func(set bool) float64 {
-		if set {
+// SetInstanceState sets the gauges that describe the instance.
+func (m *Metrics) SetInstanceState(s InstanceState) {
+	boolValue := func(value bool) float64 {
+		if value {
 			return 1
 		}
 		return 0
 	}
-	m.Scope.Gauge("ready").Update(flag(b.Ready))
-	m.Scope.Gauge("configuration_version").Update(float64(b.ConfigurationVersion))
-	m.Scope.Gauge("configuration_age_seconds").Update(b.ConfigurationAge.Seconds())
-	m.Scope.Gauge("upstreams").Update(float64(b.Upstreams))
-	m.Scope.Gauge("instances").Update(float64(b.Instances))
-	m.Scope.Gauge("hubs").Update(float64(b.Hubs))
-	m.Scope.Gauge("hub").Update(flag(b.IsHub))
+	m.Scope.Gauge("ready").Update(boolValue(s.Ready))
+	m.Scope.Gauge("configuration_version").Update(float64(s.ConfigurationVersion))
+	m.Scope.Gauge("configuration_age_seconds").Update(s.ConfigurationAge.Seconds())
+	m.Scope.Gauge("upstreams").Update(float64(s.Upstreams))
+	m.Scope.Gauge("instances").Update(float64(s.Instances))
+	m.Scope.Gauge("hubs").Update(float64(s.Hubs))
+	m.Scope.Gauge("hub").Update(boolValue(s.IsHub))
 }
 
-// InstanceState are what an instance goes by.
+// InstanceState is an instance's current view of the system.
 type InstanceState struct {
 	Ready bool
-	// ConfigurationVersion of the configuration in force, and the age of the proof that no newer
-	// one exists.
+	// ConfigurationVersion is the version of the configuration in force. ConfigurationAge is the
+	// time since the instance last verified that no newer version exists.
 	ConfigurationVersion uint64
 	ConfigurationAge     time.Duration
-	// Upstreams and Instances that are known. No instances are while it is not known who is in
-	// the fleet.
+	// Upstreams and Instances are the numbers of known upstreams and instances. Instances is 0
+	// while the members of the fleet are not known.
 	Upstreams, Instances int
-	// Hubs are those that this instance reports to; Hub tells that it is one.
+	// Hubs is the number of hubs that this instance reports to. IsHub reports whether it is a hub.
 	Hubs  int
 	IsHub bool
 }
--- a/observe/stall.go
+++ b/observe/stall.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// stallLook is how often WatchStalls looks at the clock.
-	stallLook = 100 * time.Millisecond
-	// stallGap is the time between two looks from which the process counts as having stood still.
-	stallGap = 700 * time.Millisecond
+	// stallCheckInterval is how often WatchStalls reads the clock.
+	stallCheckInterval = 100 * time.Millisecond
+	// minStall is the shortest time between two reads of the clock that is logged as a stall.
+	minStall = 700 * time.Millisecond
 )
 
-// WatchStalls logs when the process did not run for a while, since it was suspended or starved,
-// until ctx ends. What others see of it then is no fault of theirs.
+// WatchStalls logs periods in which the process did not run because it was suspended or starved of
+// CPU time, until ctx is done. Failures that other processes observe at such a time are caused by
+// this process.
 func WatchStalls(ctx context.Context, now boottime.Clock, logger *zap.Logger) {
-	ticker := time.NewTicker(stallLook)
+	ticker := time.NewTicker(stallCheckInterval)
 	defer ticker.Stop()
 	last := now()
 	for {
@@ -29,7 +30,7 @@
 		case <-ticker.C:
 		}
 		at := now()
-		if gap := at - last; gap > stallGap {
+		if gap := at - last; gap > minStall {
 			logger.Warn("process stood still", zap.Duration("gap", gap))
 		}
 		last = at
--- a/observe/stall_test.go
+++ b/observe/stall_test.go
@@ -12,15 +12,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against failures beside a process that stood still which no line tells apart from others.
+// Guards against failures caused by a stalled process that the log does not distinguish from
+// others.
 func TestStallsAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, logs := observer.New(zap.InfoLevel)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		begun := time.Now()
+		start := time.Now()
 		var skipped atomic.Int64
-		now := func() time.Duration { return time.Since(begun) + time.Duration(skipped.Load()) }
+		now := func() time.Duration { return time.Since(start) + time.Duration(skipped.Load()) }
 		go WatchStalls(ctx, now, zap.New(core))
 		time.Sleep(time.Minute)
 		synctest.Wait()
@@ -29,6 +30,6 @@
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		assert.Equal(t, logs.Len(), 1)
-		assert.Equal(t, logs.All()[0].ContextMap()["gap"], 2*time.Second+stallLook)
+		assert.Equal(t, logs.All()[0].ContextMap()["gap"], 2*time.Second+stallCheckInterval)
 	})
 }
