--- a/observe/explain/explain.go
+++ b/observe/explain/explain.go
@@ -1,4 +1,5 @@
-// Package explain finds the lines of one request in the logs of several instances.
+// Package explain extracts the log lines of a request from the logs of several instances, and
+// counts failed requests by reason.
 package explain
 
 import (
@@ -12,25 +13,26 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Field is one key and value of a line, in the line's order.
+// Field is a key=value pair of a log line.
 type Field struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 }
 
-// Line is one log line of a request.
+// Line is a log line of a request.
 type Line struct {
-	// Source names the log that it stands in, Number its line there, from 1.
+	// Source is the name of the log, Number the line number, starting at 1.
 	Source string `json:"source"`
 	Number int    `json:"number"`
-	// Time is by the clock of the instance that wrote it. Instances' clocks differ, by
-	// milliseconds mostly and by seconds where one was set wrongly.
-	Time   time.Time `json:"time"`
-	Event  string    `json:"event"`
-	Fields []Field   `json:"fields"`
+	// Time is the time by the clock of the instance that wrote the line. The clocks of instances
+	// usually differ by milliseconds, and by seconds if one is set wrongly.
+	Time  time.Time `json:"time"`
+	Event string    `json:"event"`
+	// Fields are the remaining fields in the order of the line.
+	Fields []Field `json:"fields"`
 }
 
-// Field returns a value of the line, empty where it has none.
+// Field returns the value of a key, or an empty string if the line does not have the key.
 func (l Line) Field(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -40,45 +42,47 @@
 	return ""
 }
 
-// Story is what the logs tell of a request.
-type Story struct {
+// Timeline is the logged history of a request.
+type Timeline struct {
 	Request string `json:"request"`
 	Lines   []Line `json:"lines"`
-	// Deciding is the index of the line that names the outcome, -1 for none.
+	// Deciding is the index of the line that states the outcome, or -1 if there is none.
 	Deciding int `json:"deciding"`
-	// Unreadable counts the lines that were skipped.
+	// Unreadable is the number of lines that could not be parsed and were skipped.
 	Unreadable int `json:"unreadable"`
 }
 
-// deciding are the events that end a request, of which the last one holds.
-var deciding = map[string]bool{"answered": true, "refused": true, "answer broken off": true}
+// decidingEvents are the events that state the outcome of a request. If there are several, the last
+// one applies.
+var decidingEvents = map[string]bool{"answered": true, "refused": true, "answer broken off": true}
 
-// Reader gathers the lines of one request.
-type Reader struct{ story Story }
+// RequestReader collects the log lines of one request.
+type RequestReader struct{ timeline Timeline }
 
-// NewReader returns a reader for a request's id.
-func NewReader(request string) *Reader { return &Reader{Story{Request: request}} }
+// NewRequestReader returns a RequestReader for the request with the given id.
+func NewRequestReader(id string) *RequestReader { return &RequestReader{Timeline{Request: id}} }
 
-// maxLine is the longest line that is read, in bytes; the daemons write some hundred. A file
-// that is no log may have no line end at all, and would be held in memory whole.
-const maxLine = 64 << 10
+// maxLineBytes is the length of the longest line that is parsed. The daemons write lines of some
+// hundred bytes. A file that is not a log may not contain any line break, and would otherwise be
+// read into memory completely.
+const maxLineBytes = 64 << 10
 
-// Read takes in one log. Lines that cannot be read are counted and skipped: the end of
-// a log of a process that was killed is cut, and logs are pasted with others' lines.
-func (r *Reader) Read(source string, log io.Reader) error {
-	return readLines(log, func(number int, text []byte, cut bool) { r.take(source, number, text, cut) })
+// Read parses a log. Lines that cannot be parsed are counted and skipped: the log of a killed
+// process ends with an incomplete line, and pasted logs contain lines of other programs.
+func (r *RequestReader) Read(source string, log io.Reader) error {
+	return readLines(log, func(number int, text []byte, truncated bool) { r.addLine(source, number, text, truncated) })
 }
 
-// readLines hands on the lines of a log that are not empty.
-func readLines(log io.Reader, take func(number int, text []byte, cut bool)) error {
-	lines := bufio.NewReaderSize(log, maxLine)
+// readLines calls handle for each line of a log that is not empty.
+func readLines(log io.Reader, handle func(number int, text []byte, truncated bool)) error {
+	lines := bufio.NewReaderSize(log, maxLineBytes)
 	for number := 1; ; number++ {
-		text, cut, err := readLine(lines)
+		text, truncated, err := readLine(lines)
 		if err != nil && err != io.EOF {
 			return err
 		}
 		if len(text) > 0 {
-			take(number, text, cut)
+			handle(number, text, truncated)
 		}
 		if err == io.EOF {
 			return nil
@@ -86,8 +90,9 @@
 	}
 }
 
-// readLine returns the next line without its end, as far as it is kept.
-func readLine(from *bufio.Reader) (text []byte, cut bool, err error) {
+// readLine returns the next line without its line break. A line that is longer than maxLineBytes is
+// truncated.
+func readLine(from *bufio.Reader) (text []byte, truncated bool, err error) {
 	text, err = from.ReadSlice('\n')
 	if err != bufio.ErrBufferFull {
 		return bytes.TrimRight(text, "\r\n"), false, err
@@ -99,23 +104,23 @@
 	return text, true, err
 }
 
-// take takes in one line.
-func (r *Reader) take(source string, number int, text []byte, cut bool) {
+// addLine parses a line and adds it to the timeline if it belongs to the request.
+func (r *RequestReader) addLine(source string, number int, text []byte, truncated bool) {
 	line := Line{Source: source, Number: number}
 	request, ok := line.parse(text)
 	switch {
-	case cut || !ok:
-		r.story.Unreadable++
-	case request == r.story.Request:
-		r.story.Lines = append(r.story.Lines, line)
+	case truncated || !ok:
+		r.timeline.Unreadable++
+	case request == r.timeline.Request:
+		r.timeline.Lines = append(r.timeline.Lines, line)
 	}
 }
 
-// timeKey begins each line of the daemons' logs.
+// timeKey is the start of each line that the daemons log.
 var timeKey = []byte("ts=")
 
-// parse reads a line and returns the request that it is of. What a collector of logs has put
-// before it ends with the instance's name.
+// parse parses a line and returns the id of its request. A prefix that a log collector has added
+// must end with the name of the instance.
 func (l *Line) parse(text []byte) (request string, ok bool) {
 	at := bytes.Index(text, timeKey)
 	if at < 0 {
@@ -147,21 +152,21 @@
 	return request, ok && decoder.Err() == nil
 }
 
-// Story returns the request's lines in order of time. Lines of one log keep their
-// order, whatever their times say.
-func (r *Reader) Story() Story {
-	s := r.story
-	slices.SortStableFunc(s.Lines, func(a, b Line) int {
+// Timeline returns the request's lines in order of time. Lines of the same log keep their order,
+// regardless of their times.
+func (r *RequestReader) Timeline() Timeline {
+	t := r.timeline
+	slices.SortStableFunc(t.Lines, func(a, b Line) int {
 		if a.Source == b.Source {
 			return cmp.Compare(a.Number, b.Number)
 		}
 		return a.Time.Compare(b.Time)
 	})
-	s.Deciding = -1
-	for i, line := range s.Lines {
-		if deciding[line.Event] {
-			s.Deciding = i
+	t.Deciding = -1
+	for i, line := range t.Lines {
+		if decidingEvents[line.Event] {
+			t.Deciding = i
 		}
 	}
-	return s
+	return t
 }
--- a/observe/explain/explain_test.go
+++ b/observe/explain/explain_test.go
@@ -9,20 +9,20 @@
 	"gotest.tools/v3/assert"
 )
 
-const first = `ts=2026-01-02T03:04:05.100Z level=info msg=placed request=7 upstream=i-1 tokens=5
+const firstLog = `ts=2026-01-02T03:04:05.100Z level=info msg=placed request=7 upstream=i-1 tokens=5
 ts=2026-01-02T03:04:05.101Z level=info msg=answered request=8 status=200
 not a line of ours
 ts=2026-01-02T03:04:05.200Z level=info msg="attempt failed" request=7 upstream=i-1 reason=upstream_crashed error="reset \"by\" peer"
 ts=2026-01-02T03:04:05.150Z level=info msg=refused request=7 reason=upstream_crashed status=502
 ts=2026-01-0`
 
-// A caller complains of a request whose lines stand among others' in the logs of
-// several instances, one of which was killed while it wrote.
+// Guards against lines that are missed or out of order if the lines of a request are spread over
+// the logs of several instances, one of which was killed while writing.
 func TestLinesOfOneRequest(t *testing.T) {
-	r := NewReader("7")
-	assert.NilError(t, r.Read("a", strings.NewReader(first)))
+	r := NewRequestReader("7")
+	assert.NilError(t, r.Read("a", strings.NewReader(firstLog)))
 	assert.NilError(t, r.Read("b", strings.NewReader("ts=2026-01-02T03:04:05.050Z level=info msg=retried request=7 sent=1\n")))
-	s := r.Story()
+	s := r.Timeline()
 	var events []string
 	for _, line := range s.Lines {
 		events = append(events, line.Source+" "+line.Event)
@@ -35,25 +35,25 @@
 }
 
 func TestUnknownRequest(t *testing.T) {
-	r := NewReader("9")
-	assert.NilError(t, r.Read("a", strings.NewReader(first)))
-	assert.Equal(t, r.Story().Deciding, -1)
-	assert.Equal(t, len(r.Story().Lines), 0)
+	r := NewRequestReader("9")
+	assert.NilError(t, r.Read("a", strings.NewReader(firstLog)))
+	assert.Equal(t, r.Timeline().Deciding, -1)
+	assert.Equal(t, len(r.Timeline().Lines), 0)
 }
 
-// On-call engineers paste what they have: logs gathered with a time and the instance's name
-// before each line, beside lines of other programs, binary noise and a line without end. One
-// line that is no log line must not hide the request, which its caller is waiting to hear of.
-func TestLogsAsTheyArePasted(t *testing.T) {
+// Guards against unparsable lines that hide a request. Logs that engineers paste contain prefixes
+// of a log collector (the time and the instance's name), lines of other programs, binary data and
+// overlong lines.
+func TestPastedLogs(t *testing.T) {
 	log := "worth 0.566 = whole day 0.7\n" +
 		"\x00\xff\"= \"\n" +
-		strings.Repeat("x", 3*maxLine) + "\n" +
+		strings.Repeat("x", 3*maxLineBytes) + "\n" +
 		"  17.0173 edge-2 ts=2026-01-02T03:04:05.100Z level=info msg=placed request=7 upstream=i-1\n" +
 		"ts=2026-01-02T03:04:05.150Z level=info msg=\"cut off request=7\n" +
 		"  17.0300 edge-2 ts=2026-01-02T03:04:05.200Z level=info msg=answered request=7 status=200\n"
-	r := NewReader("7")
+	r := NewRequestReader("7")
 	assert.NilError(t, r.Read("pasted", strings.NewReader(log)))
-	s := r.Story()
+	s := r.Timeline()
 	assert.Equal(t, len(s.Lines), 2)
 	assert.Equal(t, s.Deciding, 1)
 	assert.Equal(t, s.Lines[0].Field("instance"), "edge-2")
@@ -61,10 +61,10 @@
 	assert.Equal(t, s.Unreadable, 4)
 }
 
-// Guards against a table that misses requests, or counts those that were served.
+// Guards against a table that misses failed requests or counts successful ones.
 func TestFailuresAreCountedByReason(t *testing.T) {
 	f := NewFailureReader()
-	assert.NilError(t, f.Read("a", strings.NewReader(first)))
+	assert.NilError(t, f.Read("a", strings.NewReader(firstLog)))
 	assert.NilError(t, f.Read("b", strings.NewReader(
 		"1.0 edge-1 ts=2026-01-02T03:04:07Z msg=refused request=10 reason=rate_limited status=429 held=0.2 detail=\"used up\"\n"+
 			"1.1 edge-2 ts=2026-01-02T03:04:06Z msg=refused request=11 reason=rate_limited status=429 held=0.4\n"+
@@ -74,31 +74,31 @@
 	table := f.Failures()
 	assert.Equal(t, table.Decided, 7)
 	assert.Equal(t, table.Unreadable, 2)
-	var kinds []string
+	var rows []string
 	for _, row := range table.Rows {
-		kinds = append(kinds, fmt.Sprintf("%d %s %s %d", row.Count, row.Status, row.Reason, row.Instances))
+		rows = append(rows, fmt.Sprintf("%d %s %s %d", row.Count, row.Status, row.Reason, row.Instances))
 	}
-	assert.DeepEqual(t, kinds, []string{"3 429 rate_limited 2", "1 200 broken_off 1", "1 500 upstream_answer 1", "1 502 upstream_crashed 1"})
+	assert.DeepEqual(t, rows, []string{"3 429 rate_limited 2", "1 200 broken_off 1", "1 500 upstream_answer 1", "1 502 upstream_crashed 1"})
 	limited := table.Rows[0]
-	assert.Equal(t, limited.Held, 300*time.Millisecond)
+	assert.Equal(t, limited.MedianDuration, 300*time.Millisecond)
 	assert.Equal(t, limited.Example+limited.Detail, "10used up")
 	assert.Equal(t, limited.Last.Sub(limited.First), 3*time.Second)
 }
 
-// Guards against an engineer who has to know the code to tell a caller what happened.
-func TestStoryInWords(t *testing.T) {
-	r := NewReader("7")
+// Guards against descriptions that cannot be understood without knowledge of the source code.
+func TestTimelineSentences(t *testing.T) {
+	r := NewRequestReader("7")
 	assert.NilError(t, r.Read("edge-1", strings.NewReader(
 		"ts=2026-01-02T03:04:05.100Z msg=placed request=7 upstream=i-1 tokens=5599 waited=0.0344 pool_free=0.1064\n"+
 			"ts=2026-01-02T03:04:05.110Z msg=\"attempt failed\" request=7 upstream=i-1 role=decode reason=wrong_upstream ran=not_run\n"+
 			"ts=2026-01-02T03:04:05.111Z msg=\"something new\" request=7\n"+
 			"ts=2026-01-02T03:04:05.120Z msg=refused request=7 reason=wrong_upstream ran=not_run status=503 retry_after=1.5 held=0.041 detail=\"another stage\"\n")))
-	assert.DeepEqual(t, r.Story().Words(), []string{
-		"At 03:04:05.100 on edge-1 it had waited 34ms for a place and got 5599 tokens of memory at i-1, 11 % of all such memory being free.",
-		"At 03:04:05.110 on edge-1 the decode upstream i-1 failed it (wrong_upstream), it has not run there.",
-		"At 03:04:05.120 on edge-1 it was refused with 503 (wrong_upstream), 41ms after it came: another stage; it has not run there, and its caller was told to come back after 1.5s; this was its end.",
+	assert.DeepEqual(t, r.Timeline().Sentences(), []string{
+		"At 03:04:05.100 on edge-1 it waited 34ms for placement and was allocated 5599 tokens of KV cache at i-1; 11 % of all KV cache was free.",
+		"At 03:04:05.110 on edge-1 an attempt at the decode upstream i-1 failed (wrong_upstream); it did not run there.",
+		"At 03:04:05.120 on edge-1 it was refused with status 503 (wrong_upstream), 41ms after it arrived: another stage; it did not run there, and its caller was told to retry after 1.5s; this was the final outcome.",
 	})
-	for event := range phrases {
-		assert.Assert(t, phrases[event](Line{Event: event}) != "", "a line without fields")
+	for event := range eventDescriptions {
+		assert.Assert(t, eventDescriptions[event](Line{Event: event}) != "", "a line without fields")
 	}
 }
--- a/observe/explain/failures.go
+++ b/observe/explain/failures.go
@@ -8,116 +8,117 @@
 	"time"
 )
 
-// Failure is one kind of request that was not served.
+// Failure describes the requests that failed with the same status and reason.
 type Failure struct {
-	// Status is what the caller was told, Reason why. An answer that is an upstream's own has
-	// the reason "upstream_answer", one that ended early "broken_off".
+	// Status is the status that callers received. Reason is the logged reason, or "upstream_answer"
+	// if the status is from the upstream's answer, or "broken_off" if the answer ended early.
 	Status string `json:"status"`
 	Reason string `json:"reason"`
 	Count  int    `json:"count"`
-	// Instances is how many decided so.
+	// Instances is the number of instances that reported the failure.
 	Instances int `json:"instances"`
-	// Held is how long half of them took at most, over the first thousands.
-	Held time.Duration `json:"held_ns"`
-	// First and Last are by the clocks of those who wrote the lines.
+	// MedianDuration is the median time from the arrival of a request to its failure, over the
+	// first maxDurations requests.
+	MedianDuration time.Duration `json:"held_ns"`
+	// First and Last are times by the clocks of the instances that wrote the lines.
 	First time.Time `json:"first"`
 	Last  time.Time `json:"last"`
-	// Example is a request of this kind, and what was said of it.
+	// Example is the id of one of the requests, and Detail the logged detail or error of it.
 	Example string `json:"example"`
 	Detail  string `json:"detail"`
 }
 
-// Failures is a table of requests that were not served, by the line that decided each.
+// Failures counts failed requests by the status and reason in the line that states their outcome.
 type Failures struct {
 	Rows []Failure `json:"rows"`
-	// Decided counts all requests with a deciding line, served or not; Unreadable the lines
-	// that were skipped.
+	// Decided is the number of all requests whose outcome is logged, including successful ones.
+	// Unreadable is the number of lines that could not be parsed and were skipped.
 	Decided    int `json:"decided"`
 	Unreadable int `json:"unreadable"`
 }
 
-// heldKept bounds the times that are kept of one kind.
-const heldKept = 4096
+// maxDurations limits the durations that are kept for the median of one group.
+const maxDurations = 4096
 
-// FailureReader counts requests that were not served.
+// FailureReader counts the failed requests in logs.
 type FailureReader struct {
-	table Failures
-	kinds map[[2]string]*failureKind
+	table  Failures
+	groups map[[2]string]*failureGroup
 }
 
-type failureKind struct {
+type failureGroup struct {
 	row       Failure
 	instances map[string]bool
-	held      []time.Duration
+	durations []time.Duration
 }
 
-// NewFailureReader returns a reader that has seen nothing.
+// NewFailureReader returns an empty FailureReader.
 func NewFailureReader() *FailureReader {
-	return &FailureReader{kinds: make(map[[2]string]*failureKind)}
+	return &FailureReader{groups: make(map[[2]string]*failureGroup)}
 }
 
-// Read takes in one log.
+// Read parses a log. Lines that cannot be parsed are counted and skipped.
 func (f *FailureReader) Read(source string, log io.Reader) error {
-	return readLines(log, func(number int, text []byte, cut bool) {
+	return readLines(log, func(number int, text []byte, truncated bool) {
 		line := Line{Source: source, Number: number}
 		request, ok := line.parse(text)
-		if cut || !ok {
+		if truncated || !ok {
 			f.table.Unreadable++
 			return
 		}
-		if deciding[line.Event] {
-			f.take(request, line)
+		if decidingEvents[line.Event] {
+			f.addDecision(request, line)
 		}
 	})
 }
 
-// firstFailure is the lowest status that is no success.
-const firstFailure = 400
+// minFailureStatus is the lowest HTTP status of a failure.
+const minFailureStatus = 400
 
-func (f *FailureReader) take(request string, line Line) {
+func (f *FailureReader) addDecision(request string, line Line) {
 	f.table.Decided++
-	status, reason, held := line.Field("status"), line.Field("reason"), line.Field("held")
+	status, reason, duration := line.Field("status"), line.Field("reason"), line.Field("held")
 	switch line.Event {
 	case "answered":
-		if code, err := strconv.Atoi(status); err == nil && code < firstFailure {
+		if code, err := strconv.Atoi(status); err == nil && code < minFailureStatus {
 			return
 		}
-		reason, held = "upstream_answer", line.Field("took")
+		reason, duration = "upstream_answer", line.Field("took")
 	case "answer broken off":
-		reason, held = "broken_off", line.Field("took")
+		reason, duration = "broken_off", line.Field("took")
 	}
-	kind, known := f.kinds[[2]string{status, reason}]
-	if !known {
-		kind = &failureKind{instances: make(map[string]bool), row: Failure{
+	group, found := f.groups[[2]string{status, reason}]
+	if !found {
+		group = &failureGroup{instances: make(map[string]bool), row: Failure{
 			Status: status, Reason: reason, First: line.Time, Example: request, Detail: cmp.Or(line.Field("detail"), line.Field("error")),
 		}}
-		f.kinds[[2]string{status, reason}] = kind
+		f.groups[[2]string{status, reason}] = group
 	}
-	kind.add(line, held)
+	group.add(line, duration)
 }
 
-func (k *failureKind) add(line Line, held string) {
-	k.row.Count++
-	k.instances[cmp.Or(line.Field("instance"), line.Source)] = true
-	if line.Time.Before(k.row.First) {
-		k.row.First = line.Time
+func (g *failureGroup) add(line Line, duration string) {
+	g.row.Count++
+	g.instances[cmp.Or(line.Field("instance"), line.Source)] = true
+	if line.Time.Before(g.row.First) {
+		g.row.First = line.Time
 	}
-	if line.Time.After(k.row.Last) {
-		k.row.Last = line.Time
+	if line.Time.After(g.row.Last) {
+		g.row.Last = line.Time
 	}
-	if seconds, err := strconv.ParseFloat(held, 64); err == nil && len(k.held) < heldKept {
-		k.held = append(k.held, time.Duration(seconds*float64(time.Second)))
+	if seconds, err := strconv.ParseFloat(duration, 64); err == nil && len(g.durations) < maxDurations {
+		g.durations = append(g.durations, time.Duration(seconds*float64(time.Second)))
 	}
 }
 
-// Failures returns the table, the most frequent kind first.
+// Failures returns the failures in descending order of their counts.
 func (f *FailureReader) Failures() Failures {
 	table := f.table
-	for _, kind := range f.kinds {
-		row := kind.row
-		row.Instances = len(kind.instances)
-		if slices.Sort(kind.held); len(kind.held) > 0 {
-			row.Held = kind.held[len(kind.held)/2]
+	for _, group := range f.groups {
+		row := group.row
+		row.Instances = len(group.instances)
+		if slices.Sort(group.durations); len(group.durations) > 0 {
+			row.MedianDuration = group.durations[len(group.durations)/2]
 		}
 		table.Rows = append(table.Rows, row)
 	}
--- a/operator/ctl/explain.go
+++ b/operator/ctl/explain.go
@@ -38,11 +38,11 @@
 			if len(args) == 0 || args[0] == "" {
 				return usageError("name the request")
 			}
-			reader := explain.NewReader(args[0])
+			reader := explain.NewRequestReader(args[0])
 			if err := readLogs(reader, args[1:]); err != nil {
 				return err
 			}
-			return printStory(env.Out, reader.Story(), cmd.Bool(flagJSON))
+			return printTimeline(env.Out, reader.Timeline(), cmd.Bool(flagJSON))
 		},
 	}
 }
@@ -74,7 +74,7 @@
 	return nil
 }
 
-func printStory(out io.Writer, s explain.Story, asJSON bool) error {
+func printTimeline(out io.Writer, s explain.Timeline, asJSON bool) error {
 	if asJSON {
 		encoder := json.NewEncoder(out)
 		encoder.SetIndent("", "  ")
@@ -94,7 +94,7 @@
 		}
 		fmt.Fprintf(out, "%s %+9.3fs  %s:%d  %s%s\n", mark, line.Time.Sub(start).Seconds(), line.Source, line.Number, line.Event, fieldsText(line))
 	}
-	for _, sentence := range s.Words() {
+	for _, sentence := range s.Sentences() {
 		fmt.Fprintln(out, sentence)
 	}
 	if s.Deciding < 0 {
@@ -117,7 +117,7 @@
 	failed := 0
 	for _, row := range t.Rows {
 		failed += row.Count
-		fmt.Fprintf(table, "%d\t%s\t%s\t%d\t%v\t%s\t%s\t%s\t%s\n", row.Count, row.Status, row.Reason, row.Instances, row.Held.Round(time.Millisecond),
+		fmt.Fprintf(table, "%d\t%s\t%s\t%d\t%v\t%s\t%s\t%s\t%s\n", row.Count, row.Status, row.Reason, row.Instances, row.MedianDuration.Round(time.Millisecond),
 			row.First.Format(time.TimeOnly), row.Last.Format(time.TimeOnly), row.Example, row.Detail)
 	}
 	if err := table.Flush(); err != nil {
