--- a/operator/auth.go
+++ b/operator/auth.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// requireToken lets requests pass that carry the token. Both sides are hashed
-// before the comparison in constant time, so that neither the content nor the
-// length of the token can be learnt from how long a refusal takes.
+// requireToken returns a handler that rejects requests without the token. Both tokens are hashed
+// before the constant-time comparison, so that neither the content nor the length of the token can
+// be inferred from the response time.
 func requireToken(token string, next http.Handler) http.Handler {
 	if token == "" {
 		return next
@@ -20,7 +20,7 @@
 		got := sha256.Sum256([]byte(given))
 		if subtle.ConstantTimeCompare(got[:], want[:]) != 1 || !isBearer {
 			w.Header().Set("WWW-Authenticate", "Bearer")
-			writeError(w, http.StatusUnauthorized, Error{Code: CodeUnauthorized, Message: "the operators' token is missing or wrong"})
+			writeError(w, http.StatusUnauthorized, Error{Code: CodeUnauthorized, Message: "the operators' token is missing or invalid"})
 			return
 		}
 		next.ServeHTTP(w, r)
--- a/operator/client/client.go
+++ b/operator/client/client.go
@@ -1,4 +1,4 @@
-// Package client calls an instance's operators' endpoints.
+// Package client is a client of the HTTP API for operators.
 package client
 
 import (
@@ -16,16 +16,16 @@
 	"github.com/cairnworks/cairnworks/operator"
 )
 
-// maxAnswerBytes bounds an answer; the largest is a whole object set.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes limits the size of a response. The largest response is an object set.
+const maxResponseBytes = 64 << 20
 
 var (
-	// ErrUnreachable means that nothing reached the instance, or that a query was
-	// not answered. Nothing was changed.
-	ErrUnreachable = errors.New("the instance cannot be reached")
-	// ErrUnanswered means that a command was sent and its answer is missing. It may
-	// have taken effect.
-	ErrUnanswered = errors.New("the command was not answered and may have taken effect")
+	// ErrUnreachable means that a request did not reach the instance, or that a query received no
+	// response. Nothing was changed.
+	ErrUnreachable = errors.New("cannot reach the instance")
+	// ErrUnanswered means that a command was sent but received no response. It may have taken
+	// effect.
+	ErrUnanswered = errors.New("no response to the command; it may have taken effect")
 )
 
 // Client is the client of one instance.
@@ -35,8 +35,8 @@
 	http    *http.Client
 }
 
-// New returns a client of the operators' address (IP:port) of an instance. The
-// token may be empty. Deadlines come with each call's context.
+// New returns a client for the operators' address (IP:port) of an instance. The token may be empty.
+// Deadlines are set by the contexts of the calls.
 func New(address, token string, httpClient *http.Client) *Client {
 	if httpClient == nil {
 		httpClient = http.DefaultClient
@@ -44,8 +44,8 @@
 	return &Client{address: address, token: token, http: httpClient}
 }
 
-// call sends one request and decodes the answer into out, unless that is nil. It
-// fails with an operator.Error when the instance refused.
+// call sends a request and decodes the response into out, unless out is nil. It returns an
+// operator.Error if the instance refuses the request.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.address+path, bytes.NewReader(body))
 	if err != nil {
@@ -56,15 +56,15 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return fmt.Errorf("%w: %w", noAnswer(method, err), err)
+		return fmt.Errorf("%w: %w", missingResponseError(method, err), err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return fmt.Errorf("%w: %w", noAnswer(method, err), err)
+		return fmt.Errorf("%w: %w", missingResponseError(method, err), err)
 	}
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return refusal(resp, data)
+		return refusalError(resp, data)
 	}
 	if out == nil {
 		return nil
@@ -72,9 +72,9 @@
 	return oops.With("path", path).Wrap(json.Unmarshal(data, out))
 }
 
-// noAnswer tells a command that may have arrived from one that cannot have: only
-// a connection that was never made proves that.
-func noAnswer(method string, err error) error {
+// missingResponseError returns the error for a request without a response. Only a failed dial
+// proves that a command did not reach the instance.
+func missingResponseError(method string, err error) error {
 	var op *net.OpError
 	dialFailed := errors.As(err, &op) && op.Op == "dial"
 	if method == http.MethodGet || dialFailed {
@@ -83,9 +83,9 @@
 	return ErrUnanswered
 }
 
-// refusal is the error of an answer that is not a success. An answer without the
-// usual body, such as that of an unknown path, is described by its status.
-func refusal(resp *http.Response, data []byte) error {
+// refusalError returns the error of an error response. A response without an operator.Error in its
+// body, for example for an unknown path, is described by its status.
+func refusalError(resp *http.Response, data []byte) error {
 	var e operator.Error
 	if json.Unmarshal(data, &e) == nil && e.Code != "" {
 		return e
--- a/operator/client/client_test.go
+++ b/operator/client/client_test.go
@@ -20,29 +20,29 @@
 
 const token = "operators-token"
 
-// instance is a fake of what stands behind the endpoints.
-type instance struct {
+// fakeInstance implements the sources and targets of the endpoints.
+type fakeInstance struct {
 	ready      bool
 	drained    int
 	publishErr error
 }
 
-func (i *instance) Status(context.Context) operator.Status {
+func (i *fakeInstance) Status(context.Context) operator.Status {
 	return operator.Status{Instance: "i1", Ready: i.ready}
 }
-func (i *instance) Instances(context.Context) []operator.Instance {
+func (i *fakeInstance) Instances(context.Context) []operator.Instance {
 	return []operator.Instance{{Name: "i1"}}
 }
-func (i *instance) Queues(context.Context) ([]operator.Queue, error) { return nil, nil }
-func (i *instance) Drain()                                           { i.drained++ }
-func (i *instance) Current() *object.Index {
+func (i *fakeInstance) Queues(context.Context) ([]operator.Queue, error) { return nil, nil }
+func (i *fakeInstance) Drain()                                           { i.drained++ }
+func (i *fakeInstance) Current() *object.Index {
 	return object.NewIndex(object.Set{Services: []object.Service{{Name: "pisar"}}}, 3)
 }
-func (i *instance) Publish(context.Context, object.Set, uint64, string) (uint64, error) {
+func (i *fakeInstance) Publish(context.Context, object.Set, uint64, string) (uint64, error) {
 	return 4, i.publishErr
 }
 
-func serve(t *testing.T, i *instance, level zap.AtomicLevel) string {
+func serve(t *testing.T, i *fakeInstance, level zap.AtomicLevel) string {
 	t.Helper()
 	server := httptest.NewServer(operator.NewHandler(operator.Config{
 		Token: token, Metrics: http.NotFoundHandler(), Status: i, Instances: i, Queues: i, Objects: i, Drainer: i, Level: level, Publisher: i,
@@ -53,7 +53,7 @@
 
 func TestCommandsAndQueries(t *testing.T) {
 	ctx := context.Background()
-	i := &instance{ready: true}
+	i := &fakeInstance{ready: true}
 	level := zap.NewAtomicLevelAt(zapcore.InfoLevel)
 	c := client.New(serve(t, i, level), token, nil)
 
@@ -69,7 +69,7 @@
 	objects, err := c.Objects(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, objects.Version, uint64(3))
-	assert.Equal(t, objects.Set.Services[0].FirstByteMS, 0, "the set comes as it was published")
+	assert.Equal(t, objects.Set.Services[0].FirstByteMS, 0, "the set must be returned in its published form")
 
 	assert.NilError(t, c.Drain(ctx))
 	assert.NilError(t, c.Drain(ctx))
@@ -78,7 +78,7 @@
 	assert.Equal(t, level.Level(), zapcore.DebugLevel)
 	assert.ErrorContains(t, c.SetLogLevel(ctx, "loud"), "bad_request")
 	_, err = c.Upstreams(ctx, "")
-	assert.ErrorContains(t, err, "404", "a source that is not wired")
+	assert.ErrorContains(t, err, "404", "no UpstreamSource is configured")
 
 	version, err := c.Publish(ctx, object.Set{}, 3, "a & b")
 	assert.NilError(t, err)
@@ -91,10 +91,10 @@
 	assert.Equal(t, refused.Current, uint64(9))
 }
 
-// Somebody who reaches the operators' address without the token must not drain
-// instances or read objects, while the balancer's probes must pass.
-func TestTokenGuardsAllButProbes(t *testing.T) {
-	i := &instance{ready: true}
+// Guards against clients without the token that drain instances or read objects. The load
+// balancer's probes must work without the token.
+func TestTokenIsRequiredExceptForProbes(t *testing.T) {
+	i := &fakeInstance{ready: true}
 	address := serve(t, i, zap.NewAtomicLevel())
 	for _, wrong := range []string{"", "operators-toke", "operators-token-2"} {
 		assert.ErrorContains(t, client.New(address, wrong, nil).Drain(context.Background()), "unauthorized")
@@ -110,10 +110,10 @@
 	assert.Equal(t, get(t, address+"/healthz"), 200)
 }
 
-// A page in the browser of an operator, whose machine runs an instance without a
-// token, sends a form to it.
-func TestForeignPagesCannotCommand(t *testing.T) {
-	i := &instance{}
+// Guards against cross-site requests: a web page in an operator's browser sends a form to an
+// instance without a token on the same machine.
+func TestCrossSiteCommandsAreRejected(t *testing.T) {
+	i := &fakeInstance{}
 	r := httptest.NewRequest(http.MethodPost, "/drain", nil)
 	r.Header.Set("Sec-Fetch-Site", "cross-site")
 	w := httptest.NewRecorder()
@@ -130,9 +130,9 @@
 	return resp.StatusCode
 }
 
-// An answer that is lost on the way leaves a command in doubt; a connection that
-// was never made does not.
-func TestLostAnswerIsToldFromNoConnection(t *testing.T) {
+// Guards against commands with a lost response that are reported as not executed. Only a connection
+// that could not be established proves that a command had no effect.
+func TestLostResponseIsNotReportedAsUnreachable(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	address := strings.TrimPrefix(server.URL, "http://")
 	c := client.New(address, "", nil)
--- a/operator/client/commands.go
+++ b/operator/client/commands.go
@@ -11,12 +11,12 @@
 	"github.com/cairnworks/cairnworks/operator"
 )
 
-// Drain begins the instance's graceful shutdown. It may be repeated.
+// Drain starts the graceful shutdown of the instance. It is idempotent.
 func (c *Client) Drain(ctx context.Context) error {
 	return c.call(ctx, http.MethodPost, "/drain", nil, nil)
 }
 
-// SetLogLevel changes the least severe level that the instance logs.
+// SetLogLevel changes the log level of the instance.
 func (c *Client) SetLogLevel(ctx context.Context, level string) error {
 	body, err := json.Marshal(operator.LevelBody{Level: level})
 	if err != nil {
@@ -31,7 +31,7 @@
 	if err != nil {
 		return 0, err
 	}
-	var out operator.Published
+	var out operator.PublishResult
 	path := fmt.Sprintf("/config?base=%d&note=%s", base, url.QueryEscape(note))
 	err = c.call(ctx, http.MethodPost, path, body, &out)
 	return out.Version, err
--- a/operator/commands.go
+++ b/operator/commands.go
@@ -14,13 +14,13 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// Bounds of request bodies in bytes.
+// Limits of request bodies.
 const (
-	maxLevelBytes = 1 << 10
-	maxSetBytes   = 64 << 20
+	maxLevelBodyBytes = 1 << 10
+	maxSetBodyBytes   = 64 << 20
 )
 
-// addCommands adds the endpoints that change the instance or the fleet.
+// addCommands registers the endpoints that change the instance or the fleet.
 func addCommands(mux *http.ServeMux, cfg Config) {
 	c := commands{cfg}
 	if cfg.Drainer != nil {
@@ -36,65 +36,65 @@
 
 type commands struct{ cfg Config }
 
-// done logs a command with the address it came from.
-func (c commands) done(r *http.Request, command string, fields ...zap.Field) {
+// logCommand logs a command with the remote address of the request.
+func (c commands) logCommand(r *http.Request, command string, fields ...zap.Field) {
 	fields = append(fields, zap.String("command", command), zap.String("from", r.RemoteAddr))
 	c.cfg.Logger.Info("operator command", fields...)
 }
 
-// drain answers 202: the instance leaves when its open requests have ended, which
-// may take as long as the longest of them. A second call changes nothing, so that
-// a lost answer can simply be repeated.
+// drain responds with status 202, since the instance shuts down only when its open requests have
+// ended, which may take as long as the longest of them. A second call has no effect, so that the
+// command can be repeated if a response is lost.
 func (c commands) drain(w http.ResponseWriter, r *http.Request) {
-	c.done(r, "drain")
+	c.logCommand(r, "drain")
 	c.cfg.Drainer.Drain()
 	w.WriteHeader(http.StatusAccepted)
 }
 
 func (c commands) logLevel(w http.ResponseWriter, r *http.Request) {
 	var body LevelBody
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxLevelBytes))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxLevelBodyBytes))
 	dec.DisallowUnknownFields()
 	err := dec.Decode(&body)
 	level, levelErr := zapcore.ParseLevel(body.Level)
 	if err := errors.Join(err, levelErr); err != nil || body.Level == "" {
-		writeError(w, http.StatusBadRequest, Error{Code: CodeBadRequest, Message: `allowed: {"level": "debug", "info", "warn" or "error"}`})
+		writeError(w, http.StatusBadRequest, Error{Code: CodeBadRequest, Message: `the body must be {"level": L}, where L is "debug", "info", "warn" or "error"`})
 		return
 	}
-	c.done(r, "log-level", zap.Stringer("old", c.cfg.Level.Level()), zap.Stringer("new", level))
+	c.logCommand(r, "log-level", zap.Stringer("old", c.cfg.Level.Level()), zap.Stringer("new", level))
 	c.cfg.Level.SetLevel(level)
 	writeJSON(w, http.StatusOK, LevelBody{Level: level.String()})
 }
 
-// publish passes an object set on to the log, for operators whose own machine
-// does not reach it. The base is a query parameter and must be given.
+// publish publishes an object set to the log, for operators whose machine cannot reach the log. The
+// query parameter base is required.
 func (c commands) publish(w http.ResponseWriter, r *http.Request) {
 	base, err := strconv.ParseUint(r.FormValue("base"), 10, 64)
 	if err != nil {
-		writeError(w, http.StatusBadRequest, Error{Code: CodeBadRequest, Message: "base must be the version that the set was made from"})
+		writeError(w, http.StatusBadRequest, Error{Code: CodeBadRequest, Message: "parameter base must be the version on which the set is based"})
 		return
 	}
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxSetBytes))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxSetBodyBytes))
 	if err != nil {
-		writeError(w, http.StatusBadRequest, Error{Code: CodeBadRequest, Message: "the body could not be read: " + err.Error()})
+		writeError(w, http.StatusBadRequest, Error{Code: CodeBadRequest, Message: "cannot read the request body: " + err.Error()})
 		return
 	}
 	set, faults := object.Parse("request", data)
 	if len(faults) > 0 {
-		writeError(w, http.StatusUnprocessableEntity, Error{Code: CodeInvalidSet, Message: "the body is no object set", Faults: faults})
+		writeError(w, http.StatusUnprocessableEntity, Error{Code: CodeInvalidSet, Message: "the request body is not a valid object set", Faults: faults})
 		return
 	}
 	version, err := c.cfg.Publisher.Publish(r.Context(), set, base, r.FormValue("note"))
-	c.done(r, "publish", zap.Uint64("base", base), zap.Uint64("version", version), zap.Error(err))
+	c.logCommand(r, "publish", zap.Uint64("base", base), zap.Uint64("version", version), zap.Error(err))
 	if err != nil {
 		status, body := PublishFailure(err)
 		writeError(w, status, body)
 		return
 	}
-	writeJSON(w, http.StatusOK, Published{Version: version})
+	writeJSON(w, http.StatusOK, PublishResult{Version: version})
 }
 
-// publishCodes maps the causes of a failed publish.
+// publishCodes maps the causes of a failed publish to status and code.
 var publishCodes = []struct {
 	cause  error
 	status int
@@ -108,7 +108,7 @@
 	{config.ErrOutcomeUnknown, http.StatusGatewayTimeout, CodeOutcomeUnknown},
 }
 
-// PublishFailure returns the status and the body for a failed publish.
+// PublishFailure returns the status and the body of the response to a failed publish.
 func PublishFailure(err error) (int, Error) {
 	body := Error{Code: CodeInternal, Message: err.Error()}
 	var typed *config.PublishError
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,11 +1,10 @@
-// Package operator serves an instance's operators: commands that change the
-// instance and queries that read it, over HTTP with JSON on the operators' address.
+// Package operator implements an instance's HTTP API for operators, with JSON bodies: commands that
+// change the instance, and queries.
 //
-// Commands and detailed queries need the bearer token of the settings. /healthz,
-// /readyz and /metrics need none: the balancer's probes, the supervisor and
-// ordinary scrapers cannot carry one, and what they read is a status code and
-// counters, which hold names of objects but neither keys nor their hashes. The
-// address itself is kept off the callers' network.
+// Commands and detailed queries require the bearer token from the settings. /healthz, /readyz and
+// /metrics do not, since load balancer probes, supervisors and common scrapers cannot send one.
+// These endpoints only return a status code or metrics, which contain names of objects but neither
+// keys nor their hashes. The operators' address must not be reachable from the callers' network.
 package operator
 
 import (
@@ -15,54 +14,53 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Config is what the endpoints need of an instance.
+// Config contains the dependencies of the endpoints.
 type Config struct {
-	// Token is the operators' bearer token. Without one every endpoint is open,
-	// which the settings allow on loopback addresses only.
+	// Token is the operators' bearer token. If it is empty, no endpoint requires a token; the
+	// settings allow this on loopback addresses only.
 	Token string
-	// Logger receives one line for each command.
+	// Logger logs each command.
 	Logger *zap.Logger
-	// Metrics is the scrape page.
+	// Metrics serves the metrics.
 	Metrics http.Handler
 
-	// Sources of the queries. One that is nil answers with status 404.
+	// Sources of the queries. Endpoints without a source return status 404.
 	Status    StatusSource
 	Instances InstanceSource
 	Upstreams UpstreamSource
 	Queues    QueueSource
 	Objects   ObjectSource
 
-	// Targets of the commands. One that is nil answers with status 404.
+	// Targets of the commands. Endpoints without a target return status 404.
 	Drainer   Drainer
 	Level     LevelSetter
 	Publisher Publisher
 
-	// Mounts add further endpoints behind the token, those of packages that come
-	// with their own.
+	// Mounts register further endpoints of other packages, which also require the token.
 	Mounts []func(*http.ServeMux)
 }
 
-// LevelSetter changes the least severe level that is logged; zap.AtomicLevel is one.
+// LevelSetter gets and sets the log level. zap.AtomicLevel implements it.
 type LevelSetter interface {
 	Level() zapcore.Level
 	SetLevel(level zapcore.Level)
 }
 
-// NewHandler returns the handler of the operators' address.
+// NewHandler returns the handler for the operators' address.
 func NewHandler(cfg Config) http.Handler {
 	if cfg.Logger == nil {
 		cfg.Logger = zap.NewNop()
 	}
-	open := http.NewServeMux()
-	addProbes(open, cfg)
-	guarded := http.NewServeMux()
-	addQueries(guarded, cfg)
-	addCommands(guarded, cfg)
+	public := http.NewServeMux()
+	addProbes(public, cfg)
+	protected := http.NewServeMux()
+	addQueries(protected, cfg)
+	addCommands(protected, cfg)
 	for _, mount := range cfg.Mounts {
-		mount(guarded)
+		mount(protected)
 	}
-	open.Handle("/", requireToken(cfg.Token, guarded))
-	// A page in a browser on the operator's machine could otherwise send commands
-	// to an instance on loopback that has no token.
-	return http.NewCrossOriginProtection().Handler(open)
+	public.Handle("/", requireToken(cfg.Token, protected))
+	// Otherwise, a web page in a browser on the operator's machine could send commands to an
+	// instance on a loopback address without a token.
+	return http.NewCrossOriginProtection().Handler(public)
 }
--- a/operator/queries.go
+++ b/operator/queries.go
@@ -4,7 +4,7 @@
 	"net/http"
 )
 
-// addProbes adds what balancers, supervisors and scrapers read without a token.
+// addProbes registers the endpoints for load balancers, supervisors and scrapers.
 func addProbes(mux *http.ServeMux, cfg Config) {
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusOK)
@@ -19,7 +19,7 @@
 	}
 }
 
-// addQueries adds the endpoints that read the instance.
+// addQueries registers the endpoints that return the state of the instance.
 func addQueries(mux *http.ServeMux, cfg Config) {
 	if cfg.Status != nil {
 		mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) {
@@ -44,14 +44,14 @@
 		})
 	}
 	if cfg.Objects != nil {
-		mux.HandleFunc("GET /config", func(w http.ResponseWriter, _ *http.Request) { serveObjects(w, cfg.Objects) })
+		mux.HandleFunc("GET /config", func(w http.ResponseWriter, _ *http.Request) { writeObjects(w, cfg.Objects) })
 	}
 }
 
-func serveObjects(w http.ResponseWriter, objects ObjectSource) {
+func writeObjects(w http.ResponseWriter, objects ObjectSource) {
 	index := objects.Current()
 	if index == nil {
-		writeError(w, http.StatusServiceUnavailable, Error{Code: CodeNotFound, Message: "the instance holds no object set yet"})
+		writeError(w, http.StatusServiceUnavailable, Error{Code: CodeNotFound, Message: "the instance has no object set yet"})
 		return
 	}
 	writeJSON(w, http.StatusOK, ObjectSet{Version: index.Version(), Set: index.Published()})
--- a/operator/wire.go
+++ b/operator/wire.go
@@ -7,11 +7,10 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// Code is the enumerated cause of a refused request. Its text does not change
-// once released.
+// Code is an error code of a refused request. Released codes do not change.
 type Code string
 
-// Codes of refused requests.
+// Error codes of refused requests.
 const (
 	CodeUnauthorized   Code = "unauthorized"
 	CodeBadRequest     Code = "bad_request"
@@ -25,13 +24,13 @@
 	CodeInternal       Code = "internal"
 )
 
-// Error is the body of every answer that is not a success.
+// Error is the body of every error response.
 type Error struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Current is the version in force, for codes of publishing.
+	// Current is the version in force. It is set for error codes of publishing.
 	Current uint64 `json:"current,omitempty"`
-	// RecordID names the record that may have been written.
+	// RecordID is the id of the record that may have been written.
 	RecordID string         `json:"record_id,omitempty"`
 	Faults   []object.Fault `json:"faults,omitempty"`
 }
@@ -39,13 +38,13 @@
 // Error implements error.
 func (e Error) Error() string { return string(e.Code) + ": " + e.Message }
 
-// LevelBody is the body of POST /log-level and of its answer.
+// LevelBody is the request and response body of POST /log-level.
 type LevelBody struct {
 	Level string `json:"level"`
 }
 
-// Published is the answer of POST /config.
-type Published struct {
+// PublishResult is the response body of POST /config.
+type PublishResult struct {
 	Version uint64 `json:"version"`
 }
 
