--- a/operator/ctl/app.go
+++ b/operator/ctl/app.go
@@ -1,6 +1,5 @@
-// Package ctl is the operators' command line client as a library: it checks,
-// publishes and shows object sets, issues and withdraws keys, and drains and
-// watches instances. Commands and queries stand in files of their own.
+// Package ctl implements the operators' command line client as a library. It checks, publishes and
+// shows object sets, issues and withdraws keys, drains and monitors instances, and analyses logs.
 package ctl
 
 import (
@@ -15,16 +14,16 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// Env is what the client needs of its surroundings.
+// Env contains the external dependencies of the client.
 type Env struct {
 	Out, Err io.Writer
-	// OpenLog returns the log service at an address (IP:port).
+	// OpenLog returns a client of the log service at an address (IP:port).
 	OpenLog func(address string) port.Log
-	// HTTP reaches instances; nil means http.DefaultClient.
+	// HTTP is used for requests to instances. If it is nil, http.DefaultClient is used.
 	HTTP *http.Client
 }
 
-// Flags that several commands share.
+// Names of flags, most of which are shared by several commands.
 const (
 	flagLog       = "log"
 	flagInstance  = "instance"
@@ -40,24 +39,25 @@
 	flagWait      = "wait"
 )
 
-// defaultTimeout bounds a whole command. It leaves room for settling an append
-// that was not answered, five seconds, and for a slow log.
+// defaultTimeout limits the duration of a command. It allows for a slow log and for determining the
+// outcome of an append without a response, which takes up to 5 s.
 const defaultTimeout = 30 * time.Second
 
-const description = `Object sets are published through the log (--log). Instances are asked and
-commanded at their operators' address (--instance), with the operators' token
-from --token-file or CAIRNCTL_TOKEN.
+const description = `Object sets are published to the log (--log). Queries and commands are sent to the
+operators' address of an instance (--instance), with the operators' token from
+--token-file or CAIRNCTL_TOKEN.
 
 Exit codes:
-   0  done
+   0  success
    1  any other failure
-   2  wrong use: unknown command, flag or argument, unreadable file
+   2  usage error: unknown command, flag or argument, or unreadable file
    3  the object set has faults; all are listed
-   4  another version came first (stale base or lost race); nothing is in force
-   5  the outcome is unknown: an answer was lost and could not be made up for
+   4  another version was published first (stale base or lost race); the set is
+      not in force
+   5  the outcome is unknown, because a response was lost
    6  the log or the instance cannot be reached; nothing was changed
-   7  the instance refused, for instance the token
-   8  the time ran out before the state that was waited for
+   7  the instance refused the request, for example because of an invalid token
+   8  timeout while waiting for a state
    9  diff: the sets differ
 
 'cairnctl completion bash' (zsh, fish, pwsh) prints the shell completion.`
@@ -69,7 +69,7 @@
 		return exitDone
 	}
 	code := exitCode(err)
-	if !silent(err) {
+	if !alreadyReported(err) {
 		fmt.Fprintln(env.Err, "cairnctl:", err)
 	}
 	return code
@@ -78,7 +78,7 @@
 func newApp(env Env) *cli.Command {
 	app := &cli.Command{
 		Name:                  "cairnctl",
-		Usage:                 "check, publish and show the object set; watch and drain instances",
+		Usage:                 "check, publish and show object sets; monitor and drain instances",
 		Description:           description,
 		EnableShellCompletion: true,
 		Suggest:               true,
@@ -99,14 +99,14 @@
 
 func sharedFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: flagLog, Usage: "log service at `IP:PORT`", Sources: cli.EnvVars("CAIRNCTL_LOG")},
+		&cli.StringFlag{Name: flagLog, Usage: "address of the log service, `IP:PORT`", Sources: cli.EnvVars("CAIRNCTL_LOG")},
 		&cli.StringFlag{Name: flagInstance, Usage: "operators' address of an instance, `IP:PORT`", Sources: cli.EnvVars("CAIRNCTL_INSTANCE")},
 		&cli.StringFlag{Name: flagTokenFile, Usage: "`FILE` with the operators' token", Sources: cli.EnvVars("CAIRNCTL_TOKEN_FILE")},
-		// The token is taken from the environment only: arguments can be read by
-		// every user of the machine.
+		// The token should be set in the environment only, since command line arguments are visible
+		// to all users of the machine.
 		&cli.StringFlag{Name: flagToken, Hidden: true, Sources: cli.EnvVars("CAIRNCTL_TOKEN")},
-		&cli.BoolFlag{Name: flagJSON, Usage: "print JSON for scripts"},
-		&cli.DurationFlag{Name: flagTimeout, Usage: "longest `TIME` for the command", Value: defaultTimeout},
+		&cli.BoolFlag{Name: flagJSON, Usage: "print JSON"},
+		&cli.DurationFlag{Name: flagTimeout, Usage: "maximum `DURATION` of the command", Value: defaultTimeout},
 	}
 }
 
@@ -117,7 +117,7 @@
 	return cli.ShowAppHelp(cmd)
 }
 
-// markUsageErrors makes every wrong flag end with the code for wrong use.
+// markUsageErrors makes invalid flags exit with exitUsage.
 func markUsageErrors(cmd *cli.Command) {
 	cmd.OnUsageError = func(_ context.Context, _ *cli.Command, err error, _ bool) error {
 		return usageError("%v", err)
@@ -127,7 +127,7 @@
 	}
 }
 
-// action bounds a command's time and gives it a session.
+// action returns an action that runs a command with a timeout and a new session.
 func action(env Env, run func(ctx context.Context, s *session) error) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		ctx, cancel := context.WithTimeout(ctx, cmd.Duration(flagTimeout))
--- a/operator/ctl/check.go
+++ b/operator/ctl/check.go
@@ -14,7 +14,7 @@
 	Counts counts         `json:"counts"`
 }
 
-// counts are the numbers of objects of a set.
+// counts are the numbers of objects in a set.
 type counts struct {
 	Organisations int `json:"organisations"`
 	Keys          int `json:"keys"`
@@ -30,7 +30,7 @@
 
 func checkCommand(env Env) *cli.Command {
 	return &cli.Command{
-		Name: "check", Usage: "check a set as one and list every fault", ArgsUsage: "FILE...",
+		Name: "check", Usage: "check the files as one set and list all faults", ArgsUsage: "FILE...",
 		Action: action(env, func(_ context.Context, s *session) error {
 			set, faults, err := s.readSet()
 			if err != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// reportFaults prints the faults and returns the error that ends the command.
+// reportFaults prints the faults and returns an error for exitFaults.
 func (s *session) reportFaults(set object.Set, faults []object.Fault) error {
 	err := s.print(checkResult{Faults: faults, Counts: countObjects(set)}, func() {
 		for _, f := range faults {
--- a/operator/ctl/drain.go
+++ b/operator/ctl/drain.go
@@ -9,8 +9,8 @@
 	"github.com/cairnworks/cairnworks/operator/client"
 )
 
-// commanded is the output of commands to an instance.
-type commanded struct {
+// commandResult is the output of commands that are sent to an instance.
+type commandResult struct {
 	Instance string `json:"instance"`
 	Command  string `json:"command"`
 }
@@ -18,20 +18,20 @@
 func drainCommand(env Env) *cli.Command {
 	return &cli.Command{
 		Name: "drain", ArgsUsage: "INSTANCE",
-		Usage: "shut an instance down gracefully; INSTANCE is its name, looked up through --instance, or its operators' IP:PORT",
+		Usage: "shut down an instance gracefully; INSTANCE is its name, which is resolved through --instance, or its operators' address IP:PORT",
 		Action: action(env, func(ctx context.Context, s *session) error {
 			args, err := s.args("INSTANCE")
 			if err != nil {
 				return err
 			}
-			c, err := s.find(ctx, args[0])
+			c, err := s.findInstance(ctx, args[0])
 			if err != nil {
 				return err
 			}
 			if err := c.Drain(ctx); err != nil {
 				return err
 			}
-			return s.print(commanded{args[0], "drain"}, func() { s.printf("%s drains and leaves when its open requests have ended\n", args[0]) })
+			return s.print(commandResult{args[0], "drain"}, func() { s.printf("%s is draining and shuts down when its open requests have ended\n", args[0]) })
 		}),
 	}
 }
@@ -44,20 +44,20 @@
 			if err != nil {
 				return err
 			}
-			c, err := s.find(ctx, args[0])
+			c, err := s.findInstance(ctx, args[0])
 			if err != nil {
 				return err
 			}
 			if err := c.SetLogLevel(ctx, args[1]); err != nil {
 				return err
 			}
-			return s.print(commanded{args[0], "log-level"}, func() { s.printf("%s logs at %s\n", args[0], args[1]) })
+			return s.print(commandResult{args[0], "log-level"}, func() { s.printf("log level of %s is now %s\n", args[0], args[1]) })
 		}),
 	}
 }
 
-// find returns the client of an instance by operators' address or name.
-func (s *session) find(ctx context.Context, instance string) (*client.Client, error) {
+// findInstance returns a client of the instance with the given operators' address or name.
+func (s *session) findInstance(ctx context.Context, instance string) (*client.Client, error) {
 	if _, err := netip.ParseAddrPort(instance); err == nil {
 		return s.instanceAt(instance)
 	}
@@ -74,5 +74,5 @@
 			return s.instanceAt(i.OperatorAddress)
 		}
 	}
-	return nil, usageError("no live instance is named %q", instance)
+	return nil, usageError("no live instance has the name %q", instance)
 }
--- a/operator/ctl/exit.go
+++ b/operator/ctl/exit.go
@@ -11,7 +11,7 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Exit codes; the help text describes them.
+// Exit codes, which are documented in the help text.
 const (
 	exitDone        = 0
 	exitFailed      = 1
@@ -25,7 +25,8 @@
 	exitDiffers     = 9
 )
 
-// exitError ends a command with a code. Without a message everything was printed.
+// exitError is an error with an exit code. If message is empty, the failure has already been
+// printed.
 type exitError struct {
 	code    int
 	message string
@@ -37,13 +38,14 @@
 	return exitError{code: exitUsage, message: fmt.Sprintf(format, args...)}
 }
 
-func silent(err error) bool {
+func alreadyReported(err error) bool {
 	var e exitError
 	return errors.As(err, &e) && e.message == ""
 }
 
-// codeOfCause maps the causes of a failed publish, made here or by an instance.
-var codeOfCause = []struct {
+// publishErrorCodes maps the causes of a failed publish to exit codes. The set is published either
+// by this client or by an instance, which returns the cause as an operator.Code.
+var publishErrorCodes = []struct {
 	cause error
 	code  operator.Code
 	exit  int
@@ -56,7 +58,7 @@
 	{config.ErrOutcomeUnknown, operator.CodeOutcomeUnknown, exitUnknown},
 }
 
-// exitCode finds the code for an error.
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	var exit exitError
 	if errors.As(err, &exit) {
@@ -64,7 +66,7 @@
 	}
 	var refused operator.Error
 	isRefused := errors.As(err, &refused)
-	for _, c := range codeOfCause {
+	for _, c := range publishErrorCodes {
 		if errors.Is(err, c.cause) || isRefused && refused.Code == c.code {
 			return c.exit
 		}
--- a/operator/ctl/explain.go
+++ b/operator/ctl/explain.go
@@ -15,17 +15,18 @@
 	"github.com/cairnworks/cairnworks/observe/explain"
 )
 
-// explainCommand tells from log files what became of a request.
+// explainCommand shows the history of a request from log files.
 func explainCommand(env Env) *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "put the log lines of one request in order and name the one that decided it",
+		Usage:     "show the log lines of one request in order and the line that states its outcome",
 		ArgsUsage: "REQUEST-ID [FILE...] | --failures [FILE...]",
-		Description: `Reads the logs of any number of instances, or standard input. The times are by
-each instance's own clock; lines of one log keep their order. Lines that cannot
-be read are counted and skipped. What the lines mean follows in words. With --failures it counts the requests that were
-not served, by what callers were told and why, with one example each.`,
-		Flags: []cli.Flag{&cli.BoolFlag{Name: flagFailures, Usage: "count what was not served, by reason"}},
+		Description: `Reads the logs of any number of instances, or standard input. Times are by the
+clock of each instance; lines of the same log keep their order. Lines that
+cannot be read are counted and skipped. A description in plain English follows
+the lines. With --failures, the requests that were not served are counted by
+status and reason, with one example each.`,
+		Flags: []cli.Flag{&cli.BoolFlag{Name: flagFailures, Usage: "count the requests that were not served, by status and reason"}},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			args := cmd.Args().Slice()
 			if cmd.Bool(flagFailures) {
@@ -36,7 +37,7 @@
 				return printFailures(env.Out, failures.Failures(), cmd.Bool(flagJSON))
 			}
 			if len(args) == 0 || args[0] == "" {
-				return usageError("name the request")
+				return usageError("REQUEST-ID is required")
 			}
 			reader := explain.NewRequestReader(args[0])
 			if err := readLogs(reader, args[1:]); err != nil {
@@ -47,15 +48,15 @@
 	}
 }
 
-// flagFailures asks for a table of what was not served.
+// flagFailures selects the table of requests that were not served.
 const flagFailures = "failures"
 
-// logReader takes in logs.
+// logReader parses logs.
 type logReader interface {
 	Read(source string, log io.Reader) error
 }
 
-// readLogs reads files, or standard input where none is named.
+// readLogs reads the files, or standard input if there are none.
 func readLogs(reader logReader, files []string) error {
 	if len(files) == 0 {
 		return reader.Read("-", os.Stdin)
@@ -74,34 +75,34 @@
 	return nil
 }
 
-func printTimeline(out io.Writer, s explain.Timeline, asJSON bool) error {
+func printTimeline(out io.Writer, t explain.Timeline, asJSON bool) error {
 	if asJSON {
 		encoder := json.NewEncoder(out)
 		encoder.SetIndent("", "  ")
-		return encoder.Encode(s)
+		return encoder.Encode(t)
 	}
-	if s.Unreadable > 0 {
-		fmt.Fprintf(out, "%d lines could not be read and were skipped\n", s.Unreadable)
+	if t.Unreadable > 0 {
+		fmt.Fprintf(out, "%d lines could not be read and were skipped\n", t.Unreadable)
 	}
-	if len(s.Lines) == 0 {
-		return fmt.Errorf("no line of request %s: it was never read, or its lines are in another log", s.Request)
+	if len(t.Lines) == 0 {
+		return fmt.Errorf("no line of request %s found: the request was not received, or its lines are in another log", t.Request)
 	}
-	start := s.Lines[0].Time
-	for i, line := range s.Lines {
+	start := t.Lines[0].Time
+	for i, line := range t.Lines {
 		mark := "  "
-		if i == s.Deciding {
+		if i == t.Deciding {
 			mark = "=>"
 		}
 		fmt.Fprintf(out, "%s %+9.3fs  %s:%d  %s%s\n", mark, line.Time.Sub(start).Seconds(), line.Source, line.Number, line.Event, fieldsText(line))
 	}
-	for _, sentence := range s.Sentences() {
+	for _, sentence := range t.Sentences() {
 		fmt.Fprintln(out, sentence)
 	}
-	if s.Deciding < 0 {
-		fmt.Fprintln(out, "no line names the outcome: the instance ended before it, or its log was cut")
+	if t.Deciding < 0 {
+		fmt.Fprintln(out, "no line states the outcome: the instance stopped before it, or its log is truncated")
 	} else {
-		fmt.Fprintf(out, "decided by line %d of %s, written at %s by that instance's clock\n",
-			s.Lines[s.Deciding].Number, s.Lines[s.Deciding].Source, s.Lines[s.Deciding].Time.Format(time.RFC3339Nano))
+		fmt.Fprintf(out, "outcome stated by line %d of %s, logged at %s by the clock of that instance\n",
+			t.Lines[t.Deciding].Number, t.Lines[t.Deciding].Source, t.Lines[t.Deciding].Time.Format(time.RFC3339Nano))
 	}
 	return nil
 }
--- a/operator/ctl/key.go
+++ b/operator/ctl/key.go
@@ -12,36 +12,36 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// raceRetries is how often a change of one key is made again on the version that
-// came first. The record that lost is void, so that this cannot apply it twice.
-const raceRetries = 5
+// maxRaceRetries is how often a change of a key is retried on a version that was published
+// concurrently. The record that lost the race is void, so that the change cannot be applied twice.
+const maxRaceRetries = 5
 
-// keyPrefix marks the project's keys, so that scanners find one that leaked.
+// keyPrefix is the prefix of all keys, so that secret scanners detect leaked keys.
 const keyPrefix = "cairn-"
 
 // keyResult is the output of the key commands.
 type keyResult struct {
 	Name         string `json:"name"`
 	Organisation string `json:"organisation"`
-	// Key is given once, when it is issued, and kept nowhere.
+	// Key is only set when the key is issued. It is not stored anywhere.
 	Key     string `json:"key,omitempty"`
 	Version uint64 `json:"version"`
 }
 
 func keyCommand(env Env) *cli.Command {
-	note := &cli.StringFlag{Name: flagNote, Usage: "`TEXT` for the history"}
+	note := &cli.StringFlag{Name: flagNote, Usage: "`TEXT` that history shows"}
 	return &cli.Command{
 		Name: "key", Usage: "issue and withdraw keys",
 		Commands: []*cli.Command{
 			{
-				Name: "issue", Usage: "issue a key: print it once and publish its hash", ArgsUsage: "NAME",
-				Flags:  []cli.Flag{&cli.StringFlag{Name: flagOrg, Usage: "`ORGANISATION` that the key acts for", Required: true}, note},
+				Name: "issue", Usage: "issue a key, print it once and publish its hash", ArgsUsage: "NAME",
+				Flags:  []cli.Flag{&cli.StringFlag{Name: flagOrg, Usage: "`ORGANISATION` to which the key belongs", Required: true}, note},
 				Action: action(env, runIssue),
 			},
 			{
-				Name: "withdraw", Usage: "withdraw a key, which ends its open requests too", ArgsUsage: "NAME",
+				Name: "withdraw", Usage: "withdraw a key, which also ends its open requests", ArgsUsage: "NAME",
 				Flags: []cli.Flag{
-					&cli.BoolFlag{Name: flagWait, Usage: "wait until it is in force on every live instance (needs --instance)"}, note,
+					&cli.BoolFlag{Name: flagWait, Usage: "wait until the withdrawal is in force on every live instance (requires --instance)"}, note,
 				},
 				Action: action(env, runWithdraw),
 			},
@@ -54,10 +54,10 @@
 	if err != nil {
 		return err
 	}
-	// Two texts of 130 random bits each; guessing one is out of reach.
+	// Each text has 130 random bits, so that a key cannot be guessed.
 	secret := keyPrefix + rand.Text() + rand.Text()
 	key := object.Key{Name: args[0], Organisation: s.cmd.String(flagOrg), Hash: object.HashKey(secret)}
-	version, err := s.change(ctx, func(set object.Set) (object.Set, error) {
+	version, err := s.editSet(ctx, func(set object.Set) (object.Set, error) {
 		set.Keys = append(slices.Clone(set.Keys), key)
 		return set, nil
 	})
@@ -74,7 +74,7 @@
 		return err
 	}
 	result := keyResult{Name: args[0]}
-	result.Version, err = s.change(ctx, func(set object.Set) (object.Set, error) {
+	result.Version, err = s.editSet(ctx, func(set object.Set) (object.Set, error) {
 		i := slices.IndexFunc(set.Keys, func(k object.Key) bool { return k.Name == args[0] })
 		if i < 0 {
 			return set, usageError("key %q is not in the set", args[0])
@@ -88,17 +88,16 @@
 		return err
 	}
 	if s.cmd.Bool(flagWait) {
-		if err := s.waitFor(ctx, result.Version); err != nil {
+		if err := s.waitForVersion(ctx, result.Version); err != nil {
 			return err
 		}
 	}
 	return s.print(result, func() { s.printf("withdrawn in version %d\n", result.Version) })
 }
 
-// change reads the set in force, edits it and publishes the result. Should
-// another operator come first, the edit is made anew on what that one published.
-// An edit that changes nothing is not published.
-func (s *session) change(ctx context.Context, edit func(object.Set) (object.Set, error)) (uint64, error) {
+// editSet edits the set in force and publishes the result. If another operator publishes a version
+// concurrently, the edit is repeated on that version. An edit without changes is not published.
+func (s *session) editSet(ctx context.Context, edit func(object.Set) (object.Set, error)) (uint64, error) {
 	target, err := s.target()
 	if err != nil {
 		return 0, err
@@ -116,14 +115,15 @@
 			return 0, s.reportFaults(edited, faults)
 		}
 		version, err := target.publish(ctx, edited, base, s.cmd.String(flagNote))
-		if err == nil || try > raceRetries || !cameSecond(err) {
+		if err == nil || try > maxRaceRetries || !isConflict(err) {
 			return version, err
 		}
 	}
 }
 
-// cameSecond tells whether a publish is certainly void since another came first.
-func cameSecond(err error) bool {
+// isConflict reports whether a failed publish is known to be void because another version was
+// published first.
+func isConflict(err error) bool {
 	if errors.Is(err, config.ErrUnanchored) {
 		return false
 	}
--- a/operator/ctl/publish.go
+++ b/operator/ctl/publish.go
@@ -9,8 +9,8 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// published is the output of commands that publish.
-type published struct {
+// publishResult is the output of commands that publish.
+type publishResult struct {
 	Version uint64 `json:"version"`
 	Base    uint64 `json:"base"`
 }
@@ -18,11 +18,11 @@
 func publishCommand(env Env) *cli.Command {
 	return &cli.Command{
 		Name: "publish", ArgsUsage: "FILE...",
-		Usage: "publish a set through --log, or through --instance without it",
+		Usage: "publish a set to the log (--log), or through an instance (--instance) if --log is not set",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: flagBase, Usage: "`VERSION` that the set was made from (default: the one in force)", HideDefault: true},
-			&cli.StringFlag{Name: flagNote, Usage: "`TEXT` for the history"},
-			&cli.BoolFlag{Name: flagRestart, Usage: "publish although no retained record tells what is in force"},
+			&cli.Uint64Flag{Name: flagBase, Usage: "`VERSION` on which the set is based (default: the version in force)", HideDefault: true},
+			&cli.StringFlag{Name: flagNote, Usage: "`TEXT` that history shows"},
+			&cli.BoolFlag{Name: flagRestart, Usage: "publish even if no retained record shows which version is in force"},
 		},
 		Action: action(env, runPublish),
 	}
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	return s.print(published{Version: version, Base: base}, func() {
+	return s.print(publishResult{Version: version, Base: base}, func() {
 		s.printf("published version %d, made from %d\n", version, base)
 	})
 }
--- a/operator/ctl/session.go
+++ b/operator/ctl/session.go
@@ -15,13 +15,13 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// session is one run of one command.
+// session is the execution of one command.
 type session struct {
 	env Env
 	cmd *cli.Command
 }
 
-// log opens the log service that the flags name.
+// log returns a client of the log service that is set by flags.
 func (s *session) log() (port.Log, error) {
 	address, err := s.address(flagLog)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return s.env.OpenLog(address), nil
 }
 
-// instance returns the client of the instance that the flags name.
+// instance returns a client of the instance that is set by flags.
 func (s *session) instance() (*client.Client, error) {
 	address, err := s.address(flagInstance)
 	if err != nil {
@@ -50,10 +50,10 @@
 func (s *session) address(flag string) (string, error) {
 	value := s.cmd.String(flag)
 	if value == "" {
-		return "", usageError("--%s IP:PORT is needed", flag)
+		return "", usageError("--%s IP:PORT is required", flag)
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		return "", usageError("--%s: given %q, allowed is IP:PORT", flag, value)
+		return "", usageError("--%s: invalid address %q, must be IP:PORT", flag, value)
 	}
 	return value, nil
 }
@@ -72,7 +72,7 @@
 
 func (s *session) json() bool { return s.cmd.Bool(flagJSON) }
 
-// print writes value as JSON, or calls text for people.
+// print writes value as JSON if --json is set. Otherwise it calls text to print it.
 func (s *session) print(value any, text func()) error {
 	if !s.json() {
 		text()
@@ -87,7 +87,7 @@
 	fmt.Fprintf(s.env.Out, format, args...)
 }
 
-// table writes rows in aligned columns.
+// table prints rows in aligned columns.
 func (s *session) table(header string, rows [][]any) {
 	w := tabwriter.NewWriter(s.env.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, header)
@@ -101,11 +101,11 @@
 	_ = w.Flush()
 }
 
-// readSet reads one set from the files that the arguments name.
+// readSet reads and checks the set in the files that are given as arguments.
 func (s *session) readSet() (object.Set, []object.Fault, error) {
 	files := s.cmd.Args().Slice()
 	if len(files) == 0 {
-		return object.Set{}, nil, usageError("at least one FILE is needed")
+		return object.Set{}, nil, usageError("at least one FILE is required")
 	}
 	var set object.Set
 	var faults []object.Fault
@@ -124,11 +124,11 @@
 	return set, faults, nil
 }
 
-// args returns exactly the named arguments.
+// args returns the arguments, or a usage error if their number is wrong.
 func (s *session) args(names ...string) ([]string, error) {
 	given := s.cmd.Args().Slice()
 	if len(given) != len(names) {
-		return nil, usageError("given %d arguments, allowed: %s", len(given), strings.Join(names, " "))
+		return nil, usageError("got %d arguments, required: %s", len(given), strings.Join(names, " "))
 	}
 	return given, nil
 }
--- a/operator/ctl/show.go
+++ b/operator/ctl/show.go
@@ -13,10 +13,10 @@
 
 func showCommand(env Env) *cli.Command {
 	return &cli.Command{
-		Name: "show", Usage: "print the set in force as JSON that publish takes",
-		Flags: []cli.Flag{&cli.Uint64Flag{Name: flagVersion, Usage: "print the set of the record at `OFFSET` instead (needs --log)"}},
+		Name: "show", Usage: "print the set in force as JSON that can be published",
+		Flags: []cli.Flag{&cli.Uint64Flag{Name: flagVersion, Usage: "print the set of the record at `OFFSET` instead (requires --log)"}},
 		Action: action(env, func(ctx context.Context, s *session) error {
-			_, set, err := s.shownSet(ctx)
+			_, set, err := s.readPublishedSet(ctx)
 			if err != nil {
 				return err
 			}
@@ -27,8 +27,8 @@
 	}
 }
 
-// shownSet reads the set that --of names, or else the one in force.
-func (s *session) shownSet(ctx context.Context) (uint64, object.Set, error) {
+// readPublishedSet returns the set that --of selects, by default the set in force, and its version.
+func (s *session) readPublishedSet(ctx context.Context) (uint64, object.Set, error) {
 	if version := s.cmd.Uint64(flagVersion); version != 0 {
 		log, err := s.log()
 		if err != nil {
@@ -52,8 +52,8 @@
 
 func diffCommand(env Env) *cli.Command {
 	return &cli.Command{
-		Name: "diff", Usage: "list what publishing the files would change", ArgsUsage: "FILE...",
-		Flags:  []cli.Flag{&cli.Uint64Flag{Name: flagVersion, Usage: "compare with the set of the record at `OFFSET` (needs --log)"}},
+		Name: "diff", Usage: "list the changes that publishing the files would make", ArgsUsage: "FILE...",
+		Flags:  []cli.Flag{&cli.Uint64Flag{Name: flagVersion, Usage: "compare with the set of the record at `OFFSET` (requires --log)"}},
 		Action: action(env, runDiff),
 	}
 }
@@ -66,7 +66,7 @@
 	if len(faults) > 0 {
 		return s.reportFaults(set, faults)
 	}
-	version, inForce, err := s.shownSet(ctx)
+	version, inForce, err := s.readPublishedSet(ctx)
 	if err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 	return text
 }
 
-// historyEntry is one record in the output of history.
+// historyEntry is a record in the output of history.
 type historyEntry struct {
 	Offset    uint64           `json:"offset"`
 	Judgement config.Judgement `json:"judgement"`
@@ -109,7 +109,7 @@
 
 func historyCommand(env Env) *cli.Command {
 	return &cli.Command{
-		Name: "history", Usage: "list the retained records with what became of them",
+		Name: "history", Usage: "list the retained records and whether they were accepted",
 		Action: action(env, func(ctx context.Context, s *session) error {
 			log, err := s.log()
 			if err != nil {
--- a/operator/ctl/status.go
+++ b/operator/ctl/status.go
@@ -17,7 +17,7 @@
 
 func statusCommand(env Env) *cli.Command {
 	return &cli.Command{
-		Name: "status", Usage: "describe an instance and the fleet as it sees it",
+		Name: "status", Usage: "show the status of an instance and the fleet as it sees it",
 		Action: action(env, func(ctx context.Context, s *session) error {
 			c, err := s.instance()
 			if err != nil {
@@ -44,7 +44,7 @@
 	for _, i := range out.Instances {
 		rows = append(rows, []any{i.Name, i.DataCentre, i.State, i.Draining, i.ConfigVersion, i.OperatorAddress})
 	}
-	s.table("INSTANCE\tDATA CENTRE\tSTATE\tDRAINING\tCONFIGURATION\tOPERATORS", rows)
+	s.table("INSTANCE\tDATA CENTRE\tSTATE\tDRAINING\tCONFIGURATION\tOPERATORS' ADDRESS", rows)
 	if len(st.Refusals) == 0 {
 		return
 	}
@@ -53,12 +53,12 @@
 	for _, r := range st.Refusals {
 		refusals = append(refusals, []any{r.Reason, r.Ran, r.Stage, r.Count})
 	}
-	s.table("REFUSED BECAUSE\tRAN\tBY\tTIMES", refusals)
+	s.table("REFUSAL REASON\tRAN\tSTAGE\tCOUNT", refusals)
 }
 
 func upstreamsCommand(env Env) *cli.Command {
 	return &cli.Command{
-		Name: "upstreams", Usage: "list the upstreams of a service, or of all", ArgsUsage: "[SERVICE]",
+		Name: "upstreams", Usage: "list the upstreams of a service, or of all services", ArgsUsage: "[SERVICE]",
 		Action: action(env, func(ctx context.Context, s *session) error {
 			c, err := s.instance()
 			if err != nil {
--- a/operator/ctl/target.go
+++ b/operator/ctl/target.go
@@ -9,15 +9,14 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// publishTarget is where sets are read from and published to.
+// publishTarget is a log or an instance from which sets are read and to which they are published.
 type publishTarget interface {
-	// latest returns the set in force with its version; 0 means that nothing was
-	// published yet.
+	// latest returns the set in force and its version, which is 0 if no set has been published.
 	latest(ctx context.Context) (uint64, object.Set, error)
 	publish(ctx context.Context, set object.Set, base uint64, note string) (uint64, error)
 }
 
-// target chooses the log if the flags name one, and else the instance.
+// target returns the log if --log is set or --instance is not, and otherwise the instance.
 func (s *session) target() (publishTarget, error) {
 	if s.cmd.String(flagLog) == "" && s.cmd.String(flagInstance) != "" {
 		c, err := s.instance()
--- a/operator/ctl/wait.go
+++ b/operator/ctl/wait.go
@@ -14,11 +14,11 @@
 	"github.com/cairnworks/cairnworks/operator/client"
 )
 
-// pollInterval is the time between two looks at the fleet while waiting.
+// pollInterval is the time between two polls of the fleet.
 const pollInterval = 500 * time.Millisecond
 
-// pause waits for d, or fails when ctx ends first.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d. It returns an error if ctx is done before.
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -39,24 +39,26 @@
 			}
 			version, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil {
-				return usageError("VERSION: given %q, allowed is a version", args[0])
+				return usageError("VERSION: %q is not a valid version", args[0])
 			}
-			if err := s.waitFor(ctx, version); err != nil {
+			if err := s.waitForVersion(ctx, version); err != nil {
 				return err
 			}
-			return s.print(published{Version: version}, func() { s.printf("version %d is in force everywhere\n", version) })
+			return s.print(publishResult{Version: version}, func() { s.printf("version %d is in force on every live instance\n", version) })
 		}),
 	}
 }
 
-// waitFor asks each live instance itself: what the others have heard of it lags.
-func (s *session) waitFor(ctx context.Context, version uint64) error {
+// waitForVersion waits until the version is in force on every live instance. It queries each
+// instance itself, since the information that other instances have about it may be
+// outdated.
+func (s *session) waitForVersion(ctx context.Context, version uint64) error {
 	first, err := s.instance()
 	if err != nil {
 		return err
 	}
 	for {
-		behind, err := s.behind(ctx, first, version)
+		behind, err := s.laggingInstances(ctx, first, version)
 		var refused operator.Error
 		switch {
 		case errors.As(err, &refused):
@@ -64,16 +66,16 @@
 		case err == nil && len(behind) == 0:
 			return nil
 		}
-		if pause(ctx, pollInterval) != nil {
-			return timeRanOut(version, behind, err)
+		if sleep(ctx, pollInterval) != nil {
+			return timeoutError(version, behind, err)
 		}
 	}
 }
 
-func timeRanOut(version uint64, behind []string, err error) error {
-	message := fmt.Sprintf("the time ran out before version %d was in force everywhere", version)
+func timeoutError(version uint64, behind []string, err error) error {
+	message := fmt.Sprintf("timeout before version %d was in force on every live instance", version)
 	if len(behind) > 0 {
-		message += "; missing on " + strings.Join(behind, ", ")
+		message += "; not in force on " + strings.Join(behind, ", ")
 	}
 	if err != nil {
 		message += ": " + err.Error()
@@ -81,9 +83,9 @@
 	return exitError{code: exitTimeout, message: message}
 }
 
-// behind lists the live instances that do not have the version in force, with
-// what they have or why that is not known.
-func (s *session) behind(ctx context.Context, first *client.Client, version uint64) ([]string, error) {
+// laggingInstances lists the live instances on which the version is not in force, each with its
+// version or with the error of the query.
+func (s *session) laggingInstances(ctx context.Context, first *client.Client, version uint64) ([]string, error) {
 	instances, err := first.Instances(ctx)
 	if err != nil {
 		return nil, err
