--- a/operator/queries.go
+++ b/operator/queries.go
@@ -4,7 +4,8 @@
 	"net/http"
 )
 
-// addProbes registers the endpoints for load balancers, supervisors and scrapers.
+// addProbes registers the endpoints for load balancers, supervisors and scrapers, which do not
+// require a token.
 func addProbes(mux *http.ServeMux, cfg Config) {
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusOK)
