--- a/instance/routed/routed.go
+++ b/instance/routed/routed.go
@@ -303,7 +303,7 @@
 			i.quotas.Sweep(i.exchange.Knows)
 			i.gateway.Sweep()
 			i.logHubChange()
-			i.metrics.Beliefs(i.gaugeValues())
+			i.metrics.SetInstanceState(i.gaugeValues())
 		}
 	}
 }
@@ -320,13 +320,13 @@
 	}
 }
 
-func (i *Instance) gaugeValues() observe.Beliefs {
+func (i *Instance) gaugeValues() observe.InstanceState {
 	instances, _ := i.fleetSize().Instances()
-	b := observe.Beliefs{
-		Ready: i.notReadyReason() == "", Upstreams: i.state.Directory.Len(), Instances: instances, Hubs: len(i.exchange.Hubs()), Hub: i.exchange.IsHub(),
+	b := observe.InstanceState{
+		Ready: i.notReadyReason() == "", Upstreams: i.state.Directory.Len(), Instances: instances, Hubs: len(i.exchange.Hubs()), IsHub: i.exchange.IsHub(),
 	}
 	if index := i.state.Index(); index != nil {
-		b.Version, b.Age = index.Version(), i.state.Age()
+		b.ConfigurationVersion, b.ConfigurationAge = index.Version(), i.state.Age()
 	}
 	return b
 }
--- a/instance/routed/routed_test.go
+++ b/instance/routed/routed_test.go
@@ -146,7 +146,7 @@
 // run starts the instance.
 func (f *fixture) run(t *testing.T) {
 	t.Helper()
-	i, err := routed.New(f.settings, platform.Outside(f.settings), zap.NewNop())
+	i, err := routed.New(f.settings, platform.NewDependencies(f.settings), zap.NewNop())
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	f.stop = cancel
--- a/instance/routed/storecalls.go
+++ b/instance/routed/storecalls.go
@@ -58,5 +58,5 @@
 	case err != nil:
 		result = "failed"
 	}
-	l.metrics.StoreCall(topic.String(), call, result, time.Since(start))
+	l.metrics.RecordStoreCall(topic.String(), call, result, time.Since(start))
 }
