--- a/e2e/drain_test.go
+++ b/e2e/drain_test.go
@@ -14,29 +14,29 @@
 // An instance is told to go in the middle of its streams, the scheduler of its
 // services perhaps among what it runs. Every stream must reach its end, requests
 // that still arrive must be served, and the process must exit with 0.
-func TestDrainCutsNothing(t *testing.T) {
+func TestDrainCompletesOpenStreams(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 2, prefill: 1, decode: 1, plain: 1, tokenTime: 20 * time.Millisecond, graceSeconds: 1})
 	const maxTokens = 80
 	for n, d := range f.instances {
-		answers := make([]answer, 4)
-		var flowing, all sync.WaitGroup
-		for k := range answers {
-			flowing.Add(1)
+		responses := make([]response, 4)
+		var started, finished sync.WaitGroup
+		for k := range responses {
+			started.Add(1)
 			var once sync.Once
-			all.Go(func() {
-				answers[k] = chat(context.Background(), d.callers, f.keys["alpha"], prompt(n, k), maxTokens, func(int) { once.Do(flowing.Done) })
-				once.Do(flowing.Done)
+			finished.Go(func() {
+				responses[k] = chat(context.Background(), d.callerAddress, f.keys["alpha"], prompt(n, k), maxTokens, func(int) { once.Do(started.Done) })
+				once.Do(started.Done)
 			})
 		}
-		flowing.Wait()
+		started.Wait()
 		d.signal(syscall.SIGTERM)
-		eventually(t, "not ready", func() bool { return status(d.operators, "/readyz") == http.StatusServiceUnavailable })
-		late := chat(context.Background(), d.callers, f.keys["beta"], "late", 5, nil)
-		assert.Equal(t, late.wrong("late", 5), "")
-		all.Wait()
-		for k := range answers {
-			assert.Equal(t, answers[k].wrong(prompt(n, k), maxTokens), "", "instance %d request %d", n, k)
+		eventually(t, "not ready", func() bool { return probeStatus(d.operatorAddress, "/readyz") == http.StatusServiceUnavailable })
+		late := chat(context.Background(), d.callerAddress, f.keys["beta"], "late", 5, nil)
+		assert.Equal(t, late.problem("late", 5), "")
+		finished.Wait()
+		for k := range responses {
+			assert.Equal(t, responses[k].problem(prompt(n, k), maxTokens), "", "instance %d request %d", n, k)
 		}
 		assert.Equal(t, d.exitCode(t), 0)
 	}
--- a/e2e/engines_test.go
+++ b/e2e/engines_test.go
@@ -16,97 +16,97 @@
 // A decode engine freezes in the middle of its streams: its connections stay
 // open and nothing comes any more. The callers' answers must go on elsewhere from
 // the next token, without a repeated or a lost one.
-func TestFrozenEngineIsLeftInMidStream(t *testing.T) {
+func TestStreamsResumeOnAnotherEngineAfterFreeze(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 2, prefill: 1, decode: 2, plain: 1, tokenTime: 20 * time.Millisecond})
 	const streams, maxTokens = 6, 120
-	answers := make([]answer, streams)
-	var flowing, all sync.WaitGroup
-	for k := range answers {
-		flowing.Add(1)
+	responses := make([]response, streams)
+	var started, finished sync.WaitGroup
+	for k := range responses {
+		started.Add(1)
 		var once sync.Once
-		all.Go(func() {
-			answers[k] = chat(context.Background(), f.instances[k%2].callers, f.keys["alpha"], prompt(4, k), maxTokens, func(int) { once.Do(flowing.Done) })
-			once.Do(flowing.Done)
+		finished.Go(func() {
+			responses[k] = chat(context.Background(), f.instances[k%2].callerAddress, f.keys["alpha"], prompt(4, k), maxTokens, func(int) { once.Do(started.Done) })
+			once.Do(started.Done)
 		})
 	}
-	flowing.Wait()
-	f.fault("decode-0", stand.Faults{Freeze: true})
-	all.Wait()
-	f.fault("decode-0", stand.Faults{})
-	for k := range answers {
-		assert.Equal(t, answers[k].wrong(prompt(4, k), maxTokens), "", "request %d", k)
+	started.Wait()
+	f.setFaults("decode-0", stand.Faults{Freeze: true})
+	finished.Wait()
+	f.setFaults("decode-0", stand.Faults{})
+	for k := range responses {
+		assert.Equal(t, responses[k].problem(prompt(4, k), maxTokens), "", "request %d", k)
 	}
-	eventually(t, "engines hold nothing", func() bool { return f.held() == 0 })
+	eventually(t, "engines hold nothing", func() bool { return f.heldByEngines() == 0 })
 }
 
 // A decode engine's process dies in the middle of its streams and a new one
 // starts in its place. The callers must not notice.
-func TestCrashedEngineIsResumedElsewhere(t *testing.T) {
+func TestStreamsResumeOnAnotherEngineAfterCrash(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 1, prefill: 1, decode: 2, plain: 1, tokenTime: 20 * time.Millisecond})
 	const maxTokens = 60
-	answers := make([]answer, 6)
-	var flowing, all sync.WaitGroup
-	for k := range answers {
-		flowing.Add(1)
+	responses := make([]response, 6)
+	var started, finished sync.WaitGroup
+	for k := range responses {
+		started.Add(1)
 		var once sync.Once
-		all.Go(func() {
-			answers[k] = chat(context.Background(), f.instances[0].callers, f.keys["alpha"], prompt(5, k), maxTokens, func(int) { once.Do(flowing.Done) })
-			once.Do(flowing.Done)
+		finished.Go(func() {
+			responses[k] = chat(context.Background(), f.instances[0].callerAddress, f.keys["alpha"], prompt(5, k), maxTokens, func(int) { once.Do(started.Done) })
+			once.Do(started.Done)
 		})
 	}
-	flowing.Wait()
-	f.fault("decode-1", stand.Faults{Crash: true})
-	all.Wait()
-	for k := range answers {
-		assert.Equal(t, answers[k].wrong(prompt(5, k), maxTokens), "", "request %d", k)
+	started.Wait()
+	f.setFaults("decode-1", stand.Faults{Crash: true})
+	finished.Wait()
+	for k := range responses {
+		assert.Equal(t, responses[k].problem(prompt(5, k), maxTokens), "", "request %d", k)
 	}
-	eventually(t, "engines hold nothing", func() bool { return f.held() == 0 })
+	eventually(t, "engines hold nothing", func() bool { return f.heldByEngines() == 0 })
 }
 
 // A prompt crashes every engine that runs it, and its caller sends it again and
 // again through different instances. Without a quarantine it takes the pool down,
 // engine after engine, and everybody's answers with it.
-func TestAPromptThatCrashesEnginesIsQuarantined(t *testing.T) {
+func TestPromptThatCrashesEnginesIsQuarantined(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 3, decode: 2, plain: 1, tokenTime: 5 * time.Millisecond})
-	const poison = "the prompt that kills"
+	const crashPrompt = "the prompt that kills"
 	for n := range 3 {
-		f.fault(fmt.Sprintf("prefill-%d", n), stand.Faults{CrashOnText: poison})
+		f.setFaults(fmt.Sprintf("prefill-%d", n), stand.Faults{CrashOnText: crashPrompt})
 	}
 	eventually(t, "the prompt is refused as quarantined", func() bool {
 		for _, d := range f.instances {
-			a := chat(context.Background(), d.callers, f.keys["alpha"], poison, 10, nil)
-			assert.Assert(t, !a.whole)
-			if a.code == "quarantined" && a.ran == "not_run" {
+			resp := chat(context.Background(), d.callerAddress, f.keys["alpha"], crashPrompt, 10, nil)
+			assert.Assert(t, !resp.complete)
+			if resp.code == "quarantined" && resp.ran == "not_run" {
 				return true
 			}
 		}
 		return false
 	})
-	before := f.crashes()
+	before := f.crashesOnPrompt()
 	for range 2 {
 		for _, d := range f.instances {
-			a := chat(context.Background(), d.callers, f.keys["beta"], poison, 10, nil)
-			assert.Equal(t, a.code, "quarantined")
-			assert.Equal(t, a.ran, "not_run")
-			assert.Assert(t, a.header.Get("Retry-After") != "")
-			other := chat(context.Background(), d.callers, f.keys["beta"], "an innocent one", 10, nil)
-			assert.Equal(t, other.wrong("an innocent one", 10), "")
+			resp := chat(context.Background(), d.callerAddress, f.keys["beta"], crashPrompt, 10, nil)
+			assert.Equal(t, resp.code, "quarantined")
+			assert.Equal(t, resp.ran, "not_run")
+			assert.Assert(t, resp.header.Get("Retry-After") != "")
+			other := chat(context.Background(), d.callerAddress, f.keys["beta"], "an innocent one", 10, nil)
+			assert.Equal(t, other.problem("an innocent one", 10), "")
 		}
 	}
-	assert.Equal(t, f.crashes(), before, "a quarantined prompt ran")
+	assert.Equal(t, f.crashesOnPrompt(), before, "a quarantined prompt ran")
 	assert.Assert(t, before <= 3, "it took %d crashes", before)
 }
 
 // crashes counts the engines' crashes on a prompt.
-func (f *fleet) crashes() int {
+func (f *fleet) crashesOnPrompt() int {
 	total := 0
 	for name := range f.upstreams {
 		if strings.HasPrefix(name, "prefill") {
 			var stats stand.EngineStats
-			f.stats(name, &stats)
+			f.readStats(name, &stats)
 			total += stats.CrashesOnText
 		}
 	}
@@ -121,13 +121,13 @@
 	// A token takes longer than the wake-up that it costs on a busy machine. With shorter ones the
 	// slow engine is less than four times as slow as the others there, and stays in with less work.
 	f := newFleet(t, fleetConfig{instances: 1, prefill: 1, decode: 3, plain: 1, tokenTime: 6 * time.Millisecond})
-	f.fault("decode-1", stand.Faults{SlowFactor: 10})
+	f.setFaults("decode-1", stand.Faults{SlowFactor: 10})
 	send := func() { f.sendBatch(t, 6) }
 	d := f.instances[0]
-	said := func(state string) func() bool {
+	stateLogged := func(state string) func() bool {
 		return func() bool {
 			send()
-			for _, line := range d.printed() {
+			for _, line := range d.outputLines() {
 				if strings.Contains(line, "upstream health") && strings.Contains(line, "upstream=decode-1") && strings.Contains(line, "state="+state) {
 					return true
 				}
@@ -135,31 +135,31 @@
 			return false
 		}
 	}
-	eventually(t, "the slow engine is out", said("out"))
-	before := f.decodes("decode-1")
+	eventually(t, "the slow engine is out", stateLogged("out"))
+	before := f.decodedRequests("decode-1")
 	for range 5 {
 		send()
 	}
-	assert.Assert(t, f.decodes("decode-1")-before <= 6, "the slow engine got %d of 30", f.decodes("decode-1")-before)
-	f.fault("decode-1", stand.Faults{})
-	eventually(t, "the engine comes back", said("healthy"))
+	assert.Assert(t, f.decodedRequests("decode-1")-before <= 6, "the slow engine got %d of 30", f.decodedRequests("decode-1")-before)
+	f.setFaults("decode-1", stand.Faults{})
+	eventually(t, "the engine comes back", stateLogged("healthy"))
 }
 
 // sendBatch sends n requests at once and checks their answers.
 func (f *fleet) sendBatch(t *testing.T, n int) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for k := range n {
-		all.Go(func() {
-			a := chat(context.Background(), f.instances[0].callers, f.keys["alpha"], prompt(6, k), 30, nil)
-			assert.Check(t, a.wrong(prompt(6, k), 30) == "", a.wrong(prompt(6, k), 30))
+		wg.Go(func() {
+			resp := chat(context.Background(), f.instances[0].callerAddress, f.keys["alpha"], prompt(6, k), 30, nil)
+			assert.Check(t, resp.problem(prompt(6, k), 30) == "", resp.problem(prompt(6, k), 30))
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // decodes counts the requests that an engine has decoded.
-func (f *fleet) decodes(name string) int {
+func (f *fleet) decodedRequests(name string) int {
 	var stats stand.EngineStats
-	f.stats(name, &stats)
+	f.readStats(name, &stats)
 	return len(stats.Requests)
 }
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -26,24 +26,24 @@
 // daemon is one running instance and its addresses.
 type daemon struct {
 	*process
-	callers, peers, operators string
+	callerAddress, peerAddress, operatorAddress string
 }
 
 // fleet is a platform of stand-ins with instances in front.
 type fleet struct {
-	t         testing.TB
-	log       string
-	list      string
-	set       object.Set
-	version   uint64
-	keys      map[string]string
-	upstreams map[string]*process
-	instances []*daemon
+	t           testing.TB
+	logAddress  string
+	listAddress string
+	objectSet   object.Set
+	version     uint64
+	keys        map[string]string
+	upstreams   map[string]*process
+	instances   []*daemon
 }
 
 // rosterCost is the charge of a lookup, so that a few of them reach a limit that
 // also covers the largest prompt.
-const rosterCost = 200
+const lookupCost = 200
 
 // fleetConfig sizes a fleet.
 type fleetConfig struct {
@@ -61,26 +61,26 @@
 	// seeds are further peer addresses that each instance tries at its start.
 	seeds []string
 	// firstPeers is the address for other instances of the first one; empty takes a free port.
-	firstPeers string
+	firstPeerAddress string
 }
 
 // newFleet starts everything and waits until each instance is ready.
 func newFleet(t testing.TB, cfg fleetConfig) *fleet {
 	t.Helper()
 	f := &fleet{t: t, keys: map[string]string{"alpha": "key-of-alpha", "beta": "key-of-beta"}, upstreams: map[string]*process{}}
-	log := start(t, "log", "cairnstand", "log", "--listen", "127.0.0.1:0")
-	f.log = log.field(t, "address=", "address")
-	f.upstreams["log"] = log
-	list := start(t, "list", "cairnstand", "list", "--listen", "127.0.0.1:0", "--lag", "1s")
-	f.list = list.field(t, "address=", "address")
-	f.set = f.objects(cfg)
+	logProcess := startProcess(t, "log", "cairnstand", "log", "--listen", "127.0.0.1:0")
+	f.logAddress = logProcess.outputField(t, "address=", "address")
+	f.upstreams["log"] = logProcess
+	listProcess := startProcess(t, "list", "cairnstand", "list", "--listen", "127.0.0.1:0", "--lag", "1s")
+	f.listAddress = listProcess.outputField(t, "address=", "address")
+	f.objectSet = f.newObjectSet(cfg)
 	f.publish()
 	for n := range cfg.instances {
 		f.startInstance(n, func(s *settings.Settings) {
 			s.DrainGraceSeconds = cfg.graceSeconds
 			s.Peers.Seeds = append(s.Peers.Seeds, cfg.seeds...)
-			if n == 0 && cfg.firstPeers != "" {
-				s.Peers.Address = cfg.firstPeers
+			if n == 0 && cfg.firstPeerAddress != "" {
+				s.Peers.Address = cfg.firstPeerAddress
 			}
 		})
 	}
@@ -88,7 +88,7 @@
 	return f
 }
 
-func (f *fleet) objects(cfg fleetConfig) object.Set {
+func (f *fleet) newObjectSet(cfg fleetConfig) object.Set {
 	limit := cfg.limit
 	if limit.TokensPerSecond == 0 {
 		// Buckets start empty; at this rate they hold enough a microsecond later.
@@ -103,7 +103,7 @@
 		Services: []object.Service{
 			{Name: "pisar", Kind: object.KindModel, Models: []string{"pisar-small"}, MaxPromptTokens: 8000, MaxOutputTokens: 1000, MaxWaitMS: 20_000},
 			{Name: "dezurstva", Kind: object.KindPlain, MaxWaitMS: 20_000, Calls: []object.Call{
-				{Method: http.MethodGet, Path: "/roster/", Idempotent: true, Cost: rosterCost},
+				{Method: http.MethodGet, Path: "/roster/", Idempotent: true, Cost: lookupCost},
 				{Method: http.MethodPost, Path: "/swaps"},
 			}},
 		},
@@ -112,16 +112,16 @@
 		set.Organisations = append(set.Organisations, object.Organisation{Name: name, Limit: limit.Name})
 		set.Keys = append(set.Keys, object.Key{Name: name + "-1", Organisation: name, Hash: object.HashKey(f.keys[name])})
 	}
-	engine := []string{"engine", "--listen", "127.0.0.1:0", "--crash-in-place", "--token-time", cfg.tokenTime.String()}
-	engine = append(engine, cfg.engineArgs...)
+	engineArgs := []string{"engine", "--listen", "127.0.0.1:0", "--crash-in-place", "--token-time", cfg.tokenTime.String()}
+	engineArgs = append(engineArgs, cfg.engineArgs...)
 	for n := range cfg.prefill {
-		set.Upstreams = append(set.Upstreams, f.upstream(fmt.Sprintf("prefill-%d", n), "pisar", object.RolePrefill, append(engine, "--role", "prefill")))
+		set.Upstreams = append(set.Upstreams, f.startUpstream(fmt.Sprintf("prefill-%d", n), "pisar", object.RolePrefill, append(engineArgs, "--role", "prefill")))
 	}
 	for n := range cfg.decode {
-		set.Upstreams = append(set.Upstreams, f.upstream(fmt.Sprintf("decode-%d", n), "pisar", object.RoleDecode, append(engine, "--role", "decode")))
+		set.Upstreams = append(set.Upstreams, f.startUpstream(fmt.Sprintf("decode-%d", n), "pisar", object.RoleDecode, append(engineArgs, "--role", "decode")))
 	}
 	for n := range cfg.plain {
-		set.Upstreams = append(set.Upstreams, f.upstream(fmt.Sprintf("plain-%d", n), "dezurstva", object.RolePlain, []string{"plain", "--listen", "127.0.0.1:0", "--crash-in-place"}))
+		set.Upstreams = append(set.Upstreams, f.startUpstream(fmt.Sprintf("plain-%d", n), "dezurstva", object.RolePlain, []string{"plain", "--listen", "127.0.0.1:0", "--crash-in-place"}))
 	}
 	for n := range set.Upstreams {
 		set.Upstreams[n].Slots = cfg.slots
@@ -129,11 +129,11 @@
 	return set
 }
 
-func (f *fleet) upstream(name, service string, role object.Role, args []string) object.Upstream {
-	p := start(f.t, name, "cairnstand", args...)
+func (f *fleet) startUpstream(name, service string, role object.Role, args []string) object.Upstream {
+	p := startProcess(f.t, name, "cairnstand", args...)
 	f.upstreams[name] = p
 	u := object.Upstream{
-		Name: name, Service: service, Role: role, Address: p.field(f.t, "address=", "address"),
+		Name: name, Service: service, Role: role, Address: p.outputField(f.t, "address=", "address"),
 		DataCentre: dataCentres[len(f.upstreams)%len(dataCentres)],
 	}
 	if role == object.RoleDecode {
@@ -145,14 +145,14 @@
 // publish publishes the fleet's set on top of the last version.
 func (f *fleet) publish() {
 	f.t.Helper()
-	ctx, stop := context.WithTimeout(context.Background(), patience)
-	defer stop()
-	version, err := config.NewPublisher(f.logPort()).Publish(ctx, f.set, f.version, "test")
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
+	defer cancel()
+	version, err := config.NewPublisher(f.newLogClient()).Publish(ctx, f.objectSet, f.version, "test")
 	assert.NilError(f.t, err)
 	f.version = version
 }
 
-func (f *fleet) logPort() port.Log { return httpport.NewLog(f.log, nil) }
+func (f *fleet) newLogClient() port.Log { return httpport.NewLog(f.logAddress, nil) }
 
 // startInstance starts instance n with the others as its seeds; adjust changes its settings,
 // unless it is nil.
@@ -161,9 +161,9 @@
 	s := settings.Default()
 	s.Instance, s.DataCentre = fmt.Sprintf("instance-%d", n), dataCentres[n%len(dataCentres)]
 	s.Callers.Address, s.Peers.Address, s.Operators.Address = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
-	s.Platform.Log, s.Platform.List = f.log, f.list
+	s.Platform.Log, s.Platform.List = f.logAddress, f.listAddress
 	for _, other := range f.instances {
-		s.Peers.Seeds = append(s.Peers.Seeds, other.peers)
+		s.Peers.Seeds = append(s.Peers.Seeds, other.peerAddress)
 	}
 	if adjust != nil {
 		adjust(&s)
@@ -172,16 +172,16 @@
 	assert.NilError(f.t, err)
 	file := filepath.Join(f.t.TempDir(), "settings.json")
 	assert.NilError(f.t, os.WriteFile(file, data, 0o600))
-	d := &daemon{process: start(f.t, s.Instance, "cairnworksd", "run", "--settings", file)}
-	d.callers = d.field(f.t, "msg=started", "callers")
-	d.peers = d.field(f.t, "msg=started", "peers")
-	d.operators = d.field(f.t, "msg=started", "operators")
+	d := &daemon{process: startProcess(f.t, s.Instance, "cairnworksd", "run", "--settings", file)}
+	d.callerAddress = d.outputField(f.t, "msg=started", "callers")
+	d.peerAddress = d.outputField(f.t, "msg=started", "peers")
+	d.operatorAddress = d.outputField(f.t, "msg=started", "operators")
 	f.instances = append(f.instances, d)
 	return d
 }
 
 // withGrace sets how many seconds a draining instance still takes requests.
-func withGrace(seconds int) func(*settings.Settings) {
+func withDrainGrace(seconds int) func(*settings.Settings) {
 	return func(s *settings.Settings) { s.DrainGraceSeconds = seconds }
 }
 
@@ -189,11 +189,11 @@
 func (f *fleet) waitReady() {
 	f.t.Helper()
 	for _, d := range f.instances {
-		eventually(f.t, d.name+" ready", func() bool { return status(d.operators, "/readyz") == http.StatusOK })
+		eventually(f.t, d.name+" ready", func() bool { return probeStatus(d.operatorAddress, "/readyz") == http.StatusOK })
 	}
 }
 
-func status(address, path string) int {
+func probeStatus(address, path string) int {
 	resp, err := http.Get("http://" + address + path)
 	if err != nil {
 		return 0
@@ -203,28 +203,28 @@
 }
 
 // fault switches a fault on at a stand-in.
-func (f *fleet) fault(upstream string, fault any) {
+func (f *fleet) setFaults(upstream string, faults any) {
 	f.t.Helper()
-	data, err := json.Marshal(fault)
+	data, err := json.Marshal(faults)
 	assert.NilError(f.t, err)
-	resp, err := http.Post("http://"+f.address(upstream)+"/faults", "application/json", bytes.NewReader(data))
+	resp, err := http.Post("http://"+f.upstreamAddress(upstream)+"/faults", "application/json", bytes.NewReader(data))
 	assert.NilError(f.t, err)
 	resp.Body.Close()
 	assert.Equal(f.t, resp.StatusCode/100, 2, upstream)
 }
 
 // stats reads what a stand-in saw.
-func (f *fleet) stats(upstream string, into any) {
+func (f *fleet) readStats(upstream string, target any) {
 	f.t.Helper()
-	resp, err := http.Get("http://" + f.address(upstream) + "/stats")
+	resp, err := http.Get("http://" + f.upstreamAddress(upstream) + "/stats")
 	assert.NilError(f.t, err)
 	defer resp.Body.Close()
-	assert.NilError(f.t, json.NewDecoder(resp.Body).Decode(into))
+	assert.NilError(f.t, json.NewDecoder(resp.Body).Decode(target))
 }
 
-func (f *fleet) address(upstream string) string {
+func (f *fleet) upstreamAddress(upstream string) string {
 	if upstream == "log" {
-		return f.log
+		return f.logAddress
 	}
-	return f.upstreams[upstream].field(f.t, "address=", "address")
+	return f.upstreams[upstream].outputField(f.t, "address=", "address")
 }
--- a/e2e/gone_test.go
+++ b/e2e/gone_test.go
@@ -14,14 +14,14 @@
 )
 
 // held sums what all engines hold.
-func (f *fleet) held() int {
+func (f *fleet) heldByEngines() int {
 	total := 0
 	for name := range f.upstreams {
 		if !strings.HasPrefix(name, "prefill") && !strings.HasPrefix(name, "decode") {
 			continue
 		}
 		var stats stand.EngineStats
-		f.stats(name, &stats)
+		f.readStats(name, &stats)
 		total += stats.Held
 	}
 	return total
@@ -29,26 +29,26 @@
 
 // openStreams opens n long streams through an instance and returns once all of
 // them have received a token.
-func (f *fleet) openStreams(ctx context.Context, d *daemon, n int) (answers []answer, wait func()) {
-	answers = make([]answer, n)
-	var flowing, all sync.WaitGroup
+func (f *fleet) openStreams(ctx context.Context, d *daemon, n int) (responses []response, wait func()) {
+	responses = make([]response, n)
+	var started, finished sync.WaitGroup
 	for k := range n {
-		flowing.Add(1)
+		started.Add(1)
 		var once sync.Once
-		all.Go(func() {
-			answers[k] = chat(ctx, d.callers, f.keys["alpha"], longPrompt(k), longAnswer, func(int) { once.Do(flowing.Done) })
+		finished.Go(func() {
+			responses[k] = chat(ctx, d.callerAddress, f.keys["alpha"], longPrompt(k), longMaxTokens, func(int) { once.Do(started.Done) })
 			once.Do(func() {
-				f.t.Logf("stream %d ended before its first token: status %d code %s ran %s error %v", k, answers[k].status, answers[k].code, answers[k].ran, answers[k].err)
-				flowing.Done()
+				f.t.Logf("stream %d ended before its first token: status %d code %s ran %s error %v", k, responses[k].status, responses[k].code, responses[k].ran, responses[k].err)
+				started.Done()
 			})
 		})
 	}
-	flowing.Wait()
-	return answers, all.Wait
+	started.Wait()
+	return responses, finished.Wait
 }
 
 // longAnswer is an output bound that no answer reaches.
-const longAnswer = 900
+const longMaxTokens = 900
 
 // longPrompt is the k-th prompt that engines answer with so many tokens that no stream ends before
 // a test has acted.
@@ -56,7 +56,7 @@
 	const leastTokens = 200
 	for n := 0; ; n++ {
 		text := prompt(0, n)
-		if len(stand.Answer("user: "+text+"\n", longAnswer)) < leastTokens {
+		if len(stand.Answer("user: "+text+"\n", longMaxTokens)) < leastTokens {
 			continue
 		}
 		if k == 0 {
@@ -69,22 +69,22 @@
 // Callers hang up in the middle of long answers. Their streams hold slots and
 // memory on the decode engines; if nobody cancels them, the pool fills with work
 // for people who have left, and those who stayed are refused.
-func TestEngineMemoryIsFreedWhenCallersLeave(t *testing.T) {
+func TestEngineMemoryIsFreedWhenCallersDisconnect(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 1, prefill: 1, decode: 1, plain: 1, tokenTime: 50 * time.Millisecond})
-	ctx, hangUp := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	_, wait := f.openStreams(ctx, f.instances[0], 6)
-	assert.Equal(t, f.held(), 6)
-	hangUp()
+	assert.Equal(t, f.heldByEngines(), 6)
+	disconnect()
 	wait()
-	eventually(t, "engines hold nothing", func() bool { return f.held() == 0 })
+	eventually(t, "engines hold nothing", func() bool { return f.heldByEngines() == 0 })
 }
 
 // An instance is killed while it streams. Nobody is left who knows of its
 // requests, and the engines would hold their memory until their own time-out,
 // which is set far beyond the test. Its grants lapse and their streams are
 // cancelled by the scheduler, wherever that runs by then.
-func TestEngineMemoryIsFreedWhenAnInstanceDies(t *testing.T) {
+func TestEngineMemoryIsFreedWhenInstanceIsKilled(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{
 		instances: 3, prefill: 1, decode: 1, plain: 1, tokenTime: 50 * time.Millisecond,
@@ -95,7 +95,7 @@
 		f.instances[0].kill()
 		f.instances = f.instances[1:]
 		wait()
-		eventually(t, "engines hold nothing", func() bool { return f.held() == 0 })
+		eventually(t, "engines hold nothing", func() bool { return f.heldByEngines() == 0 })
 	}
 }
 
@@ -109,16 +109,16 @@
 		instances: 3, prefill: 1, decode: 2, plain: 1, tokenTime: 50 * time.Millisecond,
 		engineArgs: []string{"--resume-ttl", "1h"},
 	})
-	answers, wait := f.openStreams(context.Background(), f.instances[0], 4)
+	responses, wait := f.openStreams(context.Background(), f.instances[0], 4)
 	f.instances[0].signal(syscall.SIGSTOP)
-	eventually(t, "engines hold nothing", func() bool { return f.held() == 0 })
+	eventually(t, "engines hold nothing", func() bool { return f.heldByEngines() == 0 })
 	f.instances[0].signal(syscall.SIGCONT)
 	wait()
-	for k := range answers {
-		wrong := answers[k].wrong(longPrompt(k), longAnswer)
-		assert.Assert(t, wrong == "" || !answers[k].whole, "a broken answer looked whole: %s", wrong)
+	for k := range responses {
+		problem := responses[k].problem(longPrompt(k), longMaxTokens)
+		assert.Assert(t, problem == "" || !responses[k].complete, "a broken answer looked whole: %s", problem)
 	}
-	eventually(t, "engines hold nothing at the end", func() bool { return f.held() == 0 })
+	eventually(t, "engines hold nothing at the end", func() bool { return f.heldByEngines() == 0 })
 }
 
 // A decode stream breaks off without its terminator, again and again, as behind
@@ -127,7 +127,7 @@
 func TestTruncatedStreamsAreResumedWithoutLossOrRepetition(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 1, prefill: 1, decode: 1, plain: 1, tokenTime: 2 * time.Millisecond})
-	f.fault("decode-0", stand.Faults{TruncateAfter: 40})
-	a := chat(context.Background(), f.instances[0].callers, f.keys["alpha"], prompt(1, 1), 60, nil)
-	assert.Equal(t, a.wrong(prompt(1, 1), 60), "")
+	f.setFaults("decode-0", stand.Faults{TruncateAfter: 40})
+	resp := chat(context.Background(), f.instances[0].callerAddress, f.keys["alpha"], prompt(1, 1), 60, nil)
+	assert.Equal(t, resp.problem(prompt(1, 1), 60), "")
 }
--- a/e2e/keys_test.go
+++ b/e2e/keys_test.go
@@ -16,60 +16,60 @@
 // A key is withdrawn while its holder has streams open through every instance.
 // The streams must end with the reason, new requests must be refused, and other
 // organisations must not notice.
-func TestWithdrawnKeyEndsOpenStreamsEverywhere(t *testing.T) {
+func TestWithdrawnKeyEndsOpenStreamsOnAllInstances(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 2, plain: 1, tokenTime: 50 * time.Millisecond})
 	var waits []func()
-	var open [][]answer
+	var open [][]response
 	for _, d := range f.instances {
-		answers, wait := f.openStreams(context.Background(), d, 2)
-		open, waits = append(open, answers), append(waits, wait)
+		responses, wait := f.openStreams(context.Background(), d, 2)
+		open, waits = append(open, responses), append(waits, wait)
 	}
-	f.withdraw("alpha")
+	f.withdrawKeys("alpha")
 	for n, wait := range waits {
 		wait()
 		for k := range open[n] {
 			assert.Equal(t, open[n][k].code, "key_withdrawn")
-			assert.Assert(t, !open[n][k].whole)
+			assert.Assert(t, !open[n][k].complete)
 		}
 	}
 	for _, d := range f.instances {
-		a := chat(context.Background(), d.callers, f.keys["alpha"], "again", 5, nil)
-		assert.Equal(t, a.status, http.StatusUnauthorized)
-		assert.Equal(t, a.code, "key_withdrawn")
-		assert.Equal(t, a.ran, "not_run")
-		a = chat(context.Background(), d.callers, f.keys["beta"], "still here", 5, nil)
-		assert.Equal(t, a.wrong("still here", 5), "")
+		resp := chat(context.Background(), d.callerAddress, f.keys["alpha"], "again", 5, nil)
+		assert.Equal(t, resp.status, http.StatusUnauthorized)
+		assert.Equal(t, resp.code, "key_withdrawn")
+		assert.Equal(t, resp.ran, "not_run")
+		resp = chat(context.Background(), d.callerAddress, f.keys["beta"], "still here", 5, nil)
+		assert.Equal(t, resp.problem("still here", 5), "")
 	}
-	eventually(t, "engines hold nothing", func() bool { return f.held() == 0 })
+	eventually(t, "engines hold nothing", func() bool { return f.heldByEngines() == 0 })
 }
 
 // A caller's key is a credential; an upstream that sees it can act for the
 // organisation. Callers also send it in places where it does not belong.
-func TestNoUpstreamSeesAKey(t *testing.T) {
+func TestCallerKeysAreNotForwardedToUpstreams(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 1, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond})
 	key := f.keys["alpha"]
-	a := chat(context.Background(), f.instances[0].callers, key, "one", 5, nil)
-	assert.Equal(t, a.wrong("one", 5), "")
-	b, _ := call(context.Background(), f.instances[0].callers, key, http.MethodGet, "/roster/today", "", "")
-	assert.Equal(t, b.status, http.StatusOK)
+	completion := chat(context.Background(), f.instances[0].callerAddress, key, "one", 5, nil)
+	assert.Equal(t, completion.problem("one", 5), "")
+	lookup, _ := callPlain(context.Background(), f.instances[0].callerAddress, key, http.MethodGet, "/roster/today", "", "")
+	assert.Equal(t, lookup.status, http.StatusOK)
 	for name := range f.upstreams {
 		var stats struct {
 			Seen []stand.Seen `json:"seen"`
 		}
-		f.stats(name, &stats)
+		f.readStats(name, &stats)
 		assert.Assert(t, len(stats.Seen) > 0, name)
 		assert.Assert(t, !strings.Contains(fmt.Sprint(stats.Seen), key), name)
 	}
 }
 
 // withdraw publishes a set in which an organisation's keys are withdrawn.
-func (f *fleet) withdraw(organisation string) {
+func (f *fleet) withdrawKeys(organisation string) {
 	f.t.Helper()
-	for i := range f.set.Keys {
-		if f.set.Keys[i].Organisation == organisation {
-			f.set.Keys[i].Withdrawn = true
+	for i := range f.objectSet.Keys {
+		if f.objectSet.Keys[i].Organisation == organisation {
+			f.objectSet.Keys[i].Withdrawn = true
 		}
 	}
 	f.publish()
--- a/e2e/leaving_test.go
+++ b/e2e/leaving_test.go
@@ -20,30 +20,30 @@
 func TestLeavingUpstreamsGetNoNewWork(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 2, prefill: 1, decode: 2, plain: 2, tokenTime: time.Millisecond})
-	f.fault("decode-0", stand.Faults{Leaving: true})
-	f.listLeaving("plain-0")
+	f.setFaults("decode-0", stand.Faults{Leaving: true})
+	f.markLeavingInList("plain-0")
 	eventually(t, "the leaving engine gets nothing", func() bool {
-		return !f.worked("decode-0", func() {
-			a := chat(context.Background(), f.instances[0].callers, f.keys["alpha"], "leaving", 5, nil)
-			assert.Equal(t, a.wrong("leaving", 5), "")
+		return !f.receivesWork("decode-0", func() {
+			resp := chat(context.Background(), f.instances[0].callerAddress, f.keys["alpha"], "leaving", 5, nil)
+			assert.Equal(t, resp.problem("leaving", 5), "")
 		})
 	})
 	eventually(t, "the leaving service gets nothing", func() bool {
-		return !f.worked("plain-0", func() {
-			a, _ := call(context.Background(), f.instances[1].callers, f.keys["alpha"], http.MethodGet, "/roster/x", "", "")
-			assert.Equal(t, a.status, http.StatusOK)
+		return !f.receivesWork("plain-0", func() {
+			resp, _ := callPlain(context.Background(), f.instances[1].callerAddress, f.keys["alpha"], http.MethodGet, "/roster/x", "", "")
+			assert.Equal(t, resp.status, http.StatusOK)
 		})
 	})
 }
 
 // worked reports whether an upstream was given any work by ten requests.
-func (f *fleet) worked(upstream string, request func()) bool {
+func (f *fleet) receivesWork(upstream string, request func()) bool {
 	work := func() int {
 		var stats struct {
 			Requests map[string]any `json:"requests"`
 			Runs     int            `json:"runs"`
 		}
-		f.stats(upstream, &stats)
+		f.readStats(upstream, &stats)
 		return len(stats.Requests) + stats.Runs
 	}
 	before := work()
@@ -54,11 +54,11 @@
 }
 
 // listLeaving marks an upstream as leaving in the platform's list.
-func (f *fleet) listLeaving(upstream string) {
+func (f *fleet) markLeavingInList(upstream string) {
 	f.t.Helper()
-	data, err := json.Marshal([]wire.Listed{{Name: upstream, Address: f.address(upstream), Leaving: true}})
+	data, err := json.Marshal([]wire.Listed{{Name: upstream, Address: f.upstreamAddress(upstream), Leaving: true}})
 	assert.NilError(f.t, err)
-	req, err := http.NewRequest(http.MethodPut, "http://"+f.list+"/v1/upstreams", bytes.NewReader(data))
+	req, err := http.NewRequest(http.MethodPut, "http://"+f.listAddress+"/v1/upstreams", bytes.NewReader(data))
 	assert.NilError(f.t, err)
 	resp, err := http.DefaultClient.Do(req)
 	assert.NilError(f.t, err)
--- a/e2e/limit_test.go
+++ b/e2e/limit_test.go
@@ -14,16 +14,16 @@
 func TestDecodeEngineWithACutLimitComesBack(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 1, prefill: 1, decode: 3, plain: 1, tokenTime: 5 * time.Millisecond})
-	f.fault("decode-1", stand.Faults{SlowFactor: 60})
-	before := f.decodes("decode-1")
+	f.setFaults("decode-1", stand.Faults{SlowFactor: 60})
+	before := f.decodedRequests("decode-1")
 	eventually(t, "the engine is given work while it is slow", func() bool {
 		f.sendBatch(t, 3)
-		return f.decodes("decode-1") >= before+1
+		return f.decodedRequests("decode-1") >= before+1
 	})
-	f.fault("decode-1", stand.Faults{})
-	well := f.decodes("decode-1")
+	f.setFaults("decode-1", stand.Faults{})
+	decodesAtRecovery := f.decodedRequests("decode-1")
 	eventually(t, "the engine gets work again", func() bool {
 		f.sendBatch(t, 3)
-		return f.decodes("decode-1") >= well+2
+		return f.decodedRequests("decode-1") >= decodesAtRecovery+2
 	})
 }
--- a/e2e/measure_bench_test.go
+++ b/e2e/measure_bench_test.go
@@ -18,10 +18,10 @@
 const measureRounds = 20
 
 // measurePoll is how finely a time is measured.
-const measurePoll = 5 * time.Millisecond
+const measurePollInterval = 5 * time.Millisecond
 
 // report writes the median and the worst of measured times.
-func report(b *testing.B, what string, times []time.Duration) {
+func reportTimes(b *testing.B, what string, times []time.Duration) {
 	b.Helper()
 	slices.Sort(times)
 	b.ReportMetric(float64(times[len(times)/2].Milliseconds()), what+"-median-ms")
@@ -29,15 +29,15 @@
 }
 
 // until measures how long a condition takes to come about.
-func until(b *testing.B, began time.Time, condition func() bool) time.Duration {
+func waitUntil(b *testing.B, start time.Time, condition func() bool) time.Duration {
 	b.Helper()
 	for !condition() {
-		if time.Since(began) > patience {
+		if time.Since(start) > waitTimeout {
 			b.Fatal("never came about")
 		}
-		time.Sleep(measurePoll)
+		time.Sleep(measurePollInterval)
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
 // BenchmarkPublishInForce measures from a publish to its version being in force
@@ -47,13 +47,13 @@
 	for b.Loop() {
 		var times []time.Duration
 		for range 5 * measureRounds {
-			f.set.Limits[0].Burst++
-			began := time.Now()
+			f.objectSet.Limits[0].Burst++
+			start := time.Now()
 			f.publish()
 			line := fmt.Sprintf("version=%d", f.version)
-			times = append(times, until(b, began, func() bool {
+			times = append(times, waitUntil(b, start, func() bool {
 				for _, d := range f.instances {
-					if !slices.ContainsFunc(d.printed(), func(l string) bool {
+					if !slices.ContainsFunc(d.outputLines(), func(l string) bool {
 						return strings.Contains(l, "configuration in force") && strings.Contains(l, line)
 					}) {
 						return false
@@ -62,7 +62,7 @@
 				return true
 			}))
 		}
-		report(b, "in-force", times)
+		reportTimes(b, "in-force", times)
 	}
 }
 
@@ -75,30 +75,32 @@
 		for n := range measureRounds {
 			key := fmt.Sprintf("key-%d", n)
 			f.keys["alpha"] = key
-			f.set.Keys = append(f.set.Keys, object.Key{Name: key, Organisation: "alpha", Hash: object.HashKey(key)})
+			f.objectSet.Keys = append(f.objectSet.Keys, object.Key{Name: key, Organisation: "alpha", Hash: object.HashKey(key)})
 			f.publish()
-			f.each(func(d *daemon) { until(b, time.Now(), func() bool { return f.lookup(d) == http.StatusOK }) })
-			f.set.Keys[len(f.set.Keys)-1].Withdrawn = true
-			began := time.Now()
+			f.forEachInstance(func(d *daemon) { waitUntil(b, time.Now(), func() bool { return f.lookupStatus(d) == http.StatusOK }) })
+			f.objectSet.Keys[len(f.objectSet.Keys)-1].Withdrawn = true
+			start := time.Now()
 			f.publish()
-			f.each(func(d *daemon) { until(b, began, func() bool { return f.lookup(d) == http.StatusUnauthorized }) })
-			times = append(times, time.Since(began))
+			f.forEachInstance(func(d *daemon) {
+				waitUntil(b, start, func() bool { return f.lookupStatus(d) == http.StatusUnauthorized })
+			})
+			times = append(times, time.Since(start))
 		}
-		report(b, "withdrawn", times)
+		reportTimes(b, "withdrawn", times)
 	}
 }
 
-func (f *fleet) each(do func(*daemon)) {
-	var all sync.WaitGroup
+func (f *fleet) forEachInstance(do func(*daemon)) {
+	var wg sync.WaitGroup
 	for _, d := range f.instances {
-		all.Go(func() { do(d) })
+		wg.Go(func() { do(d) })
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-func (f *fleet) lookup(d *daemon) int {
-	a, _ := call(context.Background(), d.callers, f.keys["alpha"], http.MethodGet, "/roster/x", "", "")
-	return a.status
+func (f *fleet) lookupStatus(d *daemon) int {
+	resp, _ := callPlain(context.Background(), d.callerAddress, f.keys["alpha"], http.MethodGet, "/roster/x", "", "")
+	return resp.status
 }
 
 // BenchmarkTakeover kills the scheduler of the model service and measures until
@@ -112,20 +114,20 @@
 				instances: 3, prefill: 1, decode: 1, plain: 1, tokenTime: 50 * time.Millisecond,
 				engineArgs: []string{"--resume-ttl", "1h"},
 			})
-			gone := f.scheduler()
-			_, wait := f.openStreams(context.Background(), gone, 4)
-			began := time.Now()
-			gone.signal(syscall.SIGKILL)
-			a := chat(context.Background(), f.without(gone)[0].callers, f.keys["beta"], "next", 1, nil)
-			if wrong := a.wrong("next", 1); wrong != "" {
-				b.Fatal(wrong)
+			scheduler := f.agreedScheduler()
+			_, wait := f.openStreams(context.Background(), scheduler, 4)
+			start := time.Now()
+			scheduler.signal(syscall.SIGKILL)
+			resp := chat(context.Background(), f.instancesExcept(scheduler)[0].callerAddress, f.keys["beta"], "next", 1, nil)
+			if problem := resp.problem("next", 1); problem != "" {
+				b.Fatal(problem)
 			}
-			served = append(served, time.Since(began))
-			freed = append(freed, until(b, began, func() bool { return f.held() == 0 }))
+			served = append(served, time.Since(start))
+			freed = append(freed, waitUntil(b, start, func() bool { return f.heldByEngines() == 0 }))
 			wait()
 		}
-		report(b, "served", served)
-		report(b, "freed", freed)
+		reportTimes(b, "served", served)
+		reportTimes(b, "freed", freed)
 	}
 }
 
@@ -136,13 +138,13 @@
 	for b.Loop() {
 		var times []time.Duration
 		for range measureRounds {
-			ctx, leave := context.WithCancel(context.Background())
+			ctx, disconnect := context.WithCancel(context.Background())
 			_, wait := f.openStreams(ctx, f.instances[0], 1)
-			began := time.Now()
-			leave()
-			times = append(times, until(b, began, func() bool { return f.held() == 0 }))
+			start := time.Now()
+			disconnect()
+			times = append(times, waitUntil(b, start, func() bool { return f.heldByEngines() == 0 }))
 			wait()
 		}
-		report(b, "freed", times)
+		reportTimes(b, "freed", times)
 	}
 }
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -14,14 +14,14 @@
 )
 
 // runs returns how often each idempotency key ran, over all plain upstreams.
-func (f *fleet) runs() map[string]int {
+func (f *fleet) runsByKey() map[string]int {
 	total := map[string]int{}
 	for name := range f.upstreams {
 		if len(name) < 5 || name[:5] != "plain" {
 			continue
 		}
 		var stats stand.PlainStats
-		f.stats(name, &stats)
+		f.readStats(name, &stats)
 		for key, n := range stats.ByIdempotencyKey {
 			total[key] += n
 		}
@@ -43,12 +43,12 @@
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 2, tokenTime: time.Millisecond})
 	resendSwaps(t, f)
-	a, _ := call(context.Background(), f.instances[0].callers, f.keys["alpha"], http.MethodPost, "/swaps", "swap-0", `{"swap":"another"}`)
-	assert.Equal(t, a.code, "idempotency_key_reused")
-	assert.Equal(t, a.ran, "not_run")
+	reused, _ := callPlain(context.Background(), f.instances[0].callerAddress, f.keys["alpha"], http.MethodPost, "/swaps", "swap-0", `{"swap":"another"}`)
+	assert.Equal(t, reused.code, "idempotency_key_reused")
+	assert.Equal(t, reused.ran, "not_run")
 	// Another organisation's key of the same text is another key.
-	b, _ := call(context.Background(), f.instances[0].callers, f.keys["beta"], http.MethodPost, "/swaps", "swap-0", `{"swap":0}`)
-	assert.Equal(t, b.status, http.StatusOK)
+	otherOrganisation, _ := callPlain(context.Background(), f.instances[0].callerAddress, f.keys["beta"], http.MethodPost, "/swaps", "swap-0", `{"swap":0}`)
+	assert.Equal(t, otherOrganisation.status, http.StatusOK)
 }
 
 // resendSwaps sends each of twenty swaps to every instance at the same time, again and
@@ -56,17 +56,17 @@
 func resendSwaps(t *testing.T, f *fleet) {
 	t.Helper()
 	const swaps = 20
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	bodies := make([][]string, swaps)
 	for k := range swaps {
 		bodies[k] = make([]string, len(f.instances))
 		for n, d := range f.instances {
-			all.Go(func() {
+			wg.Go(func() {
 				key := fmt.Sprintf("swap-%d", k)
 				body := fmt.Sprintf(`{"swap":%d}`, k)
 				for range 50 {
-					a, text := call(context.Background(), d.callers, f.keys["alpha"], http.MethodPost, "/swaps", key, body)
-					if a.status == http.StatusOK {
+					resp, text := callPlain(context.Background(), d.callerAddress, f.keys["alpha"], http.MethodPost, "/swaps", key, body)
+					if resp.status == http.StatusOK {
 						bodies[k][n] = text
 						return
 					}
@@ -75,8 +75,8 @@
 			})
 		}
 	}
-	all.Wait()
-	runs := f.runs()
+	wg.Wait()
+	runs := f.runsByKey()
 	for k := range swaps {
 		assert.Equal(t, runs[fmt.Sprintf("swap-%d", k)], 1, "swap %d", k)
 		for n := range f.instances {
@@ -92,12 +92,12 @@
 // idempotency keys by a log that this fleet does not read: each of the two logs lets a swap run
 // once, and a keeper's enclosure is double-staffed. Two instances of one name would also declare
 // one another dead without end.
-func TestInstancesOfAnotherFleetAreStrangers(t *testing.T) {
+func TestInstancesOfAnotherFleetAreRejected(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 2, tokenTime: time.Millisecond})
 	var seeds []string
 	for _, d := range f.instances {
-		seeds = append(seeds, d.peers)
+		seeds = append(seeds, d.peerAddress)
 	}
 	newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond, seeds: seeds})
 	resendSwaps(t, f)
@@ -113,15 +113,15 @@
 // Three lines of the second fleet told it: "member changed" with one name at two addresses in
 // turn, "declared dead, new incarnation" twice a second, and "recorded answer has left the log"
 // for swaps that were seconds old, since the offset was one of the other log.
-func TestSurvivorOfAnotherFleetTakesNoPart(t *testing.T) {
+func TestSurvivorOfAnotherFleetIsRejected(t *testing.T) {
 	t.Parallel()
 	// Of this loopback address no other process of the tests takes ports.
-	other := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond, firstPeers: "127.0.0.2:0"})
+	other := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond, firstPeerAddress: "127.0.0.2:0"})
 	other.instances[0].kill()
 	other.instances[1].kill()
 	f := newFleet(t, fleetConfig{
 		instances: 3, prefill: 1, decode: 1, plain: 2, tokenTime: time.Millisecond,
-		firstPeers: other.instances[0].peers,
+		firstPeerAddress: other.instances[0].peerAddress,
 	})
 	resendSwaps(t, f)
 }
@@ -129,40 +129,40 @@
 // The service books and then its answer is lost, as when its process dies at the
 // wrong moment. Nobody can know the outcome; the caller must be told that the
 // booking may have run, and sending it again must never run it a second time.
-func TestLostAnswerOfASwapIsNeverRunAgain(t *testing.T) {
+func TestSwapWithLostResponseIsNeverRunAgain(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 2, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond})
-	f.fault("plain-0", stand.Faults{LoseAnswers: 1})
-	first, _ := call(context.Background(), f.instances[0].callers, f.keys["alpha"], http.MethodPost, "/swaps", "lost", "{}")
+	f.setFaults("plain-0", stand.Faults{LoseAnswers: 1})
+	first, _ := callPlain(context.Background(), f.instances[0].callerAddress, f.keys["alpha"], http.MethodPost, "/swaps", "lost", "{}")
 	assert.Equal(t, first.ran, "may_have_run")
 	for _, d := range f.instances {
-		again, _ := call(context.Background(), d.callers, f.keys["alpha"], http.MethodPost, "/swaps", "lost", "{}")
+		again, _ := callPlain(context.Background(), d.callerAddress, f.keys["alpha"], http.MethodPost, "/swaps", "lost", "{}")
 		assert.Equal(t, again.ran, "may_have_run")
 	}
-	assert.Equal(t, f.runs()["lost"], 1)
+	assert.Equal(t, f.runsByKey()["lost"], 1)
 }
 
 // The log is down. A booking cannot be claimed, so it must be refused as not run
 // with a time to come back, while lookups and summaries go on; and once the log
 // is back the same booking goes through.
-func TestSwapsWhileTheLogIsDown(t *testing.T) {
+func TestSwapsWhileLogIsDown(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 2, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond})
 	d := f.instances[0]
-	f.fault("log", stand.Faults{Down: true})
-	a, _ := call(context.Background(), d.callers, f.keys["alpha"], http.MethodPost, "/swaps", "later", "{}")
-	assert.Equal(t, a.code, "log_unavailable")
-	assert.Equal(t, a.ran, "not_run")
-	assert.Assert(t, a.header.Get("Retry-After") != "")
-	b, _ := call(context.Background(), d.callers, f.keys["alpha"], http.MethodGet, "/roster/today", "", "")
-	assert.Equal(t, b.status, http.StatusOK)
-	c := chat(context.Background(), d.callers, f.keys["beta"], "log down", 5, nil)
-	assert.Equal(t, c.wrong("log down", 5), "")
-	assert.Equal(t, f.runs()["later"], 0)
-	f.fault("log", stand.Faults{})
+	f.setFaults("log", stand.Faults{Down: true})
+	swap, _ := callPlain(context.Background(), d.callerAddress, f.keys["alpha"], http.MethodPost, "/swaps", "later", "{}")
+	assert.Equal(t, swap.code, "log_unavailable")
+	assert.Equal(t, swap.ran, "not_run")
+	assert.Assert(t, swap.header.Get("Retry-After") != "")
+	lookup, _ := callPlain(context.Background(), d.callerAddress, f.keys["alpha"], http.MethodGet, "/roster/today", "", "")
+	assert.Equal(t, lookup.status, http.StatusOK)
+	completion := chat(context.Background(), d.callerAddress, f.keys["beta"], "log down", 5, nil)
+	assert.Equal(t, completion.problem("log down", 5), "")
+	assert.Equal(t, f.runsByKey()["later"], 0)
+	f.setFaults("log", stand.Faults{})
 	eventually(t, "the booking goes through", func() bool {
-		a, _ := call(context.Background(), d.callers, f.keys["alpha"], http.MethodPost, "/swaps", "later", "{}")
-		return a.status == http.StatusOK
+		swap, _ := callPlain(context.Background(), d.callerAddress, f.keys["alpha"], http.MethodPost, "/swaps", "later", "{}")
+		return swap.status == http.StatusOK
 	})
-	assert.Equal(t, f.runs()["later"], 1)
+	assert.Equal(t, f.runsByKey()["later"], 1)
 }
--- a/e2e/onelog_test.go
+++ b/e2e/onelog_test.go
@@ -16,14 +16,14 @@
 // fleet. All use one log and know addresses of one another, so they are one fleet. When the
 // name decided, they refused one another, and each half took the homes of rates from the other
 // as soon as it saw them taken: of 12,000 requests none was served, and no line told why.
-func TestOneLogUnderTwoNamesIsOneFleet(t *testing.T) {
+func TestInstancesWithOneLogAndTwoFleetNamesAreOneFleet(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 2, tokenTime: time.Millisecond})
 	for n := 3; n < 6; n++ {
 		f.startInstance(n, func(s *settings.Settings) { s.Fleet = "the log by another address" })
 	}
 	f.waitReady()
-	f.serveEverywhere("two-names")
+	f.waitServedByAll("two-names")
 	resendSwaps(t, f)
 }
 
@@ -32,27 +32,27 @@
 // another or not: the log names the homes of rates and with them where the others are. Unless
 // they meet there, each group takes all homes from the other without end, and every caller of
 // both is refused.
-func TestGroupsThatShareOnlyTheirLogMeet(t *testing.T) {
+func TestGroupsThatShareOnlyTheirLogDiscoverEachOther(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 2, tokenTime: time.Millisecond})
-	var own []string
+	var groupSeeds []string
 	for n := 3; n < 6; n++ {
-		d := f.startInstance(n, func(s *settings.Settings) { s.Peers.Seeds = own })
-		own = append(own, d.peers)
+		d := f.startInstance(n, func(s *settings.Settings) { s.Peers.Seeds = groupSeeds })
+		groupSeeds = append(groupSeeds, d.peerAddress)
 	}
 	f.waitReady()
-	f.serveEverywhere("two-groups")
+	f.waitServedByAll("two-groups")
 	resendSwaps(t, f)
 }
 
 // serveEverywhere waits until every instance lists all, and then until each of them answers a
 // lookup and a booking ten times in a row.
-func (f *fleet) serveEverywhere(what string) {
+func (f *fleet) waitServedByAll(what string) {
 	f.t.Helper()
 	for _, d := range f.instances {
 		eventually(f.t, d.name+" lists all", func() bool {
 			alive := 0
-			for _, state := range f.states(d) {
+			for _, state := range f.memberStates(d) {
 				if state == "alive" {
 					alive++
 				}
@@ -61,21 +61,21 @@
 		})
 	}
 	for _, d := range f.instances {
-		for attempt, row := 0, 0; row < 10; attempt++ {
+		for attempt, consecutive := 0, 0; consecutive < 10; attempt++ {
 			assert.Assert(f.t, attempt < 400, "%s is not served at %s", what, d.name)
-			if f.served(d, fmt.Sprintf("%s-%s-%d", what, d.name, attempt)) {
-				row++
+			if f.serves(d, fmt.Sprintf("%s-%s-%d", what, d.name, attempt)) {
+				consecutive++
 				continue
 			}
-			row = 0
+			consecutive = 0
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
 }
 
 // served reports whether an instance answers a lookup and a booking.
-func (f *fleet) served(d *daemon, booking string) bool {
-	lookup, _ := call(context.Background(), d.callers, f.keys["alpha"], http.MethodGet, "/roster/today", "", "")
-	swap, _ := call(context.Background(), d.callers, f.keys["beta"], http.MethodPost, "/swaps", booking, "{}")
+func (f *fleet) serves(d *daemon, idempotencyKey string) bool {
+	lookup, _ := callPlain(context.Background(), d.callerAddress, f.keys["alpha"], http.MethodGet, "/roster/today", "", "")
+	swap, _ := callPlain(context.Background(), d.callerAddress, f.keys["beta"], http.MethodPost, "/swaps", idempotencyKey, "{}")
 	return lookup.status == http.StatusOK && swap.status == http.StatusOK
 }
--- a/e2e/overhead_bench_test.go
+++ b/e2e/overhead_bench_test.go
@@ -29,47 +29,47 @@
 )
 
 // overheadTokens is the length of a measured answer.
-const overheadTokens = 200
+const benchResponseTokens = 200
 
 // requestsAtOnce is how many requests a core has open in BenchmarkRequestsPerCore.
-const requestsAtOnce = 16
+const concurrentRequestsPerCore = 16
 
 // sample is what one request cost.
 type sample struct {
-	first, total time.Duration
-	tokens       int
+	firstToken, total time.Duration
+	tokens            int
 }
 
 // benchPath is one in-process instance with fast engines behind it.
-type benchPath struct {
-	callers, key    string
-	prefill, decode string
+type benchSetup struct {
+	callerAddress, key            string
+	prefillAddress, decodeAddress string
 }
 
-func newBenchPath(b *testing.B) benchPath {
+func newBenchSetup(b *testing.B) benchSetup {
 	b.Helper()
 	platform, err := embedded.StartPlatform(context.Background())
 	assert.NilError(b, err)
 	b.Cleanup(platform.Close)
-	p := benchPath{key: platform.Key}
-	p.prefill, p.decode = serveInstantEngine(b), serveInstantEngine(b)
+	p := benchSetup{key: platform.Key}
+	p.prefillAddress, p.decodeAddress = startInstantEngine(b), startInstantEngine(b)
 	set := platform.Set
 	set.Limits = []object.Limit{{Name: "member", TokensPerSecond: 1_000_000_000, Burst: 10_000_000_000}}
 	set.Upstreams = []object.Upstream{
-		{Name: "p", Service: "pisar", Role: object.RolePrefill, Address: p.prefill, DataCentre: "split-a", Slots: 64},
-		{Name: "d", Service: "pisar", Role: object.RoleDecode, Address: p.decode, DataCentre: "split-a", Slots: 64, Pieces: 400, LinkBytesPerSecond: 25_000_000_000},
+		{Name: "p", Service: "pisar", Role: object.RolePrefill, Address: p.prefillAddress, DataCentre: "split-a", Slots: 64},
+		{Name: "d", Service: "pisar", Role: object.RoleDecode, Address: p.decodeAddress, DataCentre: "split-a", Slots: 64, Pieces: 400, LinkBytesPerSecond: 25_000_000_000},
 		set.Upstreams[len(set.Upstreams)-1],
 	}
 	_, err = config.NewPublisher(httpport.NewLog(platform.Log, nil)).Publish(context.Background(), set, 1, "bench")
 	assert.NilError(b, err)
 	i, err := instance.New(platform.Settings("bench"), zap.NewNop(), zap.NewAtomicLevel())
 	assert.NilError(b, err)
-	ctx, stop := context.WithCancel(context.Background())
-	b.Cleanup(stop)
+	ctx, cancel := context.WithCancel(context.Background())
+	b.Cleanup(cancel)
 	go func() { _ = i.Run(ctx) }() // ends with the benchmark
-	p.callers = i.Addresses().Callers
-	for end := time.Now().Add(patience); status(i.Addresses().Operators, "/readyz") != http.StatusOK; {
-		if time.Now().After(end) {
+	p.callerAddress = i.Addresses().Callers
+	for deadline := time.Now().Add(waitTimeout); probeStatus(i.Addresses().Operators, "/readyz") != http.StatusOK; {
+		if time.Now().After(deadline) {
 			b.Fatal("the instance is not ready")
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -79,28 +79,28 @@
 
 // serveInstantEngine serves an engine that answers everything at once, so that
 // what is measured is the path and not the pace of a model.
-func serveInstantEngine(b *testing.B) string {
+func startInstantEngine(b *testing.B) string {
 	b.Helper()
 	mux := http.NewServeMux()
-	answer := func(v any) http.HandlerFunc {
+	respond := func(v any) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(v) }
 	}
-	mux.HandleFunc("POST /v1/prefill", answer(wire.PrefillResult{Handle: "h", Tokens: 8, ExpiresMS: 800, Bytes: 1}))
-	mux.HandleFunc("POST /v1/import", answer(struct{}{}))
-	mux.HandleFunc("GET /v1/load", answer(wire.Load{Slots: 64}))
-	mux.HandleFunc("GET /v1/streams", answer([]wire.StreamState{}))
-	mux.HandleFunc("GET /v1/cache-events", answer([]wire.CacheEvent{}))
+	mux.HandleFunc("POST /v1/prefill", respond(wire.PrefillResult{Handle: "h", Tokens: 8, ExpiresMS: 800, Bytes: 1}))
+	mux.HandleFunc("POST /v1/import", respond(struct{}{}))
+	mux.HandleFunc("GET /v1/load", respond(wire.Load{Slots: 64}))
+	mux.HandleFunc("GET /v1/streams", respond([]wire.StreamState{}))
+	mux.HandleFunc("GET /v1/cache-events", respond([]wire.CacheEvent{}))
 	mux.HandleFunc("POST /v1/decode", func(w http.ResponseWriter, r *http.Request) {
 		var req wire.DecodeRequest
 		if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 			return
 		}
 		control, lines := http.NewResponseController(w), json.NewEncoder(w)
-		for n := range overheadTokens {
+		for n := range benchResponseTokens {
 			_ = lines.Encode(wire.Frame{RequestID: req.RequestID, Attempt: req.Attempt, Seq: n, Token: "token "})
 			_ = control.Flush()
 		}
-		_ = lines.Encode(wire.Frame{RequestID: req.RequestID, Attempt: req.Attempt, Seq: overheadTokens, Done: true, FinishReason: "length"})
+		_ = lines.Encode(wire.Frame{RequestID: req.RequestID, Attempt: req.Attempt, Seq: benchResponseTokens, Done: true, FinishReason: "length"})
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
@@ -111,18 +111,18 @@
 }
 
 // direct runs one request as the path does, but without the daemon.
-func (p benchPath) direct(n int) (sample, error) {
-	ctx, began := context.Background(), time.Now()
+func (p benchSetup) runDirect(n int) (sample, error) {
+	ctx, start := context.Background(), time.Now()
 	id := port.StreamID{RequestID: "direct-" + strconv.Itoa(n), Attempt: 1}
-	prefill, decode := httpport.NewEngine(p.prefill, nil), httpport.NewEngine(p.decode, nil)
+	prefill, decode := httpport.NewEngine(p.prefillAddress, nil), httpport.NewEngine(p.decodeAddress, nil)
 	result, err := prefill.Prefill(ctx, port.PrefillRequest{Stream: id, Prompt: benchPrompt(n)})
 	if err != nil {
 		return sample{}, err
 	}
-	if err := decode.Import(ctx, port.ImportRequest{Stream: id, Source: p.prefill, Handle: result.Handle, MaxTokens: overheadTokens}); err != nil {
+	if err := decode.Import(ctx, port.ImportRequest{Stream: id, Source: p.prefillAddress, Handle: result.Handle, MaxTokens: benchResponseTokens}); err != nil {
 		return sample{}, err
 	}
-	frames, err := decode.Decode(ctx, port.DecodeRequest{Stream: id, MaxTokens: overheadTokens})
+	frames, err := decode.Decode(ctx, port.DecodeRequest{Stream: id, MaxTokens: benchResponseTokens})
 	if err != nil {
 		return sample{}, err
 	}
@@ -134,25 +134,25 @@
 			return s, err
 		}
 		if frame.Done {
-			s.total = time.Since(began)
+			s.total = time.Since(start)
 			return s, nil
 		}
-		s.token(began)
+		s.recordToken(start)
 	}
 }
 
-func (s *sample) token(began time.Time) {
+func (s *sample) recordToken(start time.Time) {
 	if s.tokens == 0 {
-		s.first = time.Since(began)
+		s.firstToken = time.Since(start)
 	}
 	s.tokens++
 }
 
 // through sends the same request through the daemon.
-func (p benchPath) through(n int) (sample, error) {
-	began := time.Now()
-	body := `{"model":"pisar-small","stream":true,"max_tokens":` + strconv.Itoa(overheadTokens) + `,"prompt":"` + benchPrompt(n) + `"}`
-	req, err := http.NewRequest(http.MethodPost, "http://"+p.callers+"/v1/completions", strings.NewReader(body))
+func (p benchSetup) runThroughDaemon(n int) (sample, error) {
+	start := time.Now()
+	body := `{"model":"pisar-small","stream":true,"max_tokens":` + strconv.Itoa(benchResponseTokens) + `,"prompt":"` + benchPrompt(n) + `"}`
+	req, err := http.NewRequest(http.MethodPost, "http://"+p.callerAddress+"/v1/completions", strings.NewReader(body))
 	if err != nil {
 		return sample{}, err
 	}
@@ -171,11 +171,11 @@
 	for scanner.Scan() {
 		line := scanner.Bytes()
 		if bytes.Equal(line, []byte("data: [DONE]")) {
-			s.total = time.Since(began)
+			s.total = time.Since(start)
 			return s, nil
 		}
 		if len(line) > 0 {
-			s.token(began)
+			s.recordToken(start)
 		}
 	}
 	return s, io.ErrUnexpectedEOF
@@ -187,9 +187,9 @@
 // this process, and reports what the daemon adds. Allocations are those of the
 // whole process, stand-ins and client included, so their difference is the daemon's.
 func BenchmarkOverhead(b *testing.B) {
-	p := newBenchPath(b)
-	kinds := []func(int) (sample, error){p.direct, p.through}
-	var first, each [2]time.Duration
+	p := newBenchSetup(b)
+	kinds := []func(int) (sample, error){p.runDirect, p.runThroughDaemon}
+	var first, afterFirst [2]time.Duration
 	var tokens [2]int
 	var allocated [2]uint64
 	n := 0
@@ -203,13 +203,13 @@
 				b.Fatal(err)
 			}
 			runtime.ReadMemStats(&after)
-			first[k] += s.first
-			each[k] += s.total - s.first
+			first[k] += s.firstToken
+			afterFirst[k] += s.total - s.firstToken
 			tokens[k] += s.tokens
 			allocated[k] += after.Mallocs - before.Mallocs
 		}
 	}
-	perToken := func(k int) float64 { return float64(each[k].Nanoseconds()) / float64(tokens[k]) }
+	perToken := func(k int) float64 { return float64(afterFirst[k].Nanoseconds()) / float64(tokens[k]) }
 	b.ReportMetric(float64(first[1])/float64(first[0]), "first-token-ratio")
 	b.ReportMetric(float64(first[1]-first[0])/float64(n)/1e3, "first-token-added-µs")
 	b.ReportMetric(perToken(1)/perToken(0), "per-token-ratio")
@@ -221,14 +221,14 @@
 func BenchmarkRequestsPerCore(b *testing.B) {
 	for _, kind := range []string{"direct", "through"} {
 		b.Run(kind, func(b *testing.B) {
-			p := newBenchPath(b)
-			run := p.direct
+			p := newBenchSetup(b)
+			run := p.runDirect
 			if kind == "through" {
-				run = p.through
+				run = p.runThroughDaemon
 			}
 			var next atomic.Int64
 			// Enough requests at once that waiting for one leaves work for the core.
-			b.SetParallelism(requestsAtOnce)
+			b.SetParallelism(concurrentRequestsPerCore)
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -13,42 +13,42 @@
 // An instance dies in the middle of its streams. The callers connected to it see
 // their streams break without a terminator; everybody else's answers go on, whole
 // and their own, through the instances that are left.
-func TestStreamsThroughThreeInstancesWhileOneDies(t *testing.T) {
+func TestStreamsOfOtherInstancesSurviveInstanceCrash(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 2, decode: 2, plain: 1, tokenTime: 20 * time.Millisecond})
 	const (
 		perInstance = 8
 		maxTokens   = 60
 	)
-	answers := make([][perInstance]answer, len(f.instances))
-	var flowing, all sync.WaitGroup
+	responses := make([][perInstance]response, len(f.instances))
+	var started, finished sync.WaitGroup
 	for n, d := range f.instances {
 		for k := range perInstance {
-			flowing.Add(1)
+			started.Add(1)
 			var once sync.Once
-			all.Go(func() {
-				answers[n][k] = chat(context.Background(), d.callers, f.keys["alpha"], prompt(n, k), maxTokens,
-					func(int) { once.Do(flowing.Done) })
-				once.Do(flowing.Done)
+			finished.Go(func() {
+				responses[n][k] = chat(context.Background(), d.callerAddress, f.keys["alpha"], prompt(n, k), maxTokens,
+					func(int) { once.Do(started.Done) })
+				once.Do(started.Done)
 			})
 		}
 	}
-	flowing.Wait()
+	started.Wait()
 	f.instances[0].kill()
-	all.Wait()
+	finished.Wait()
 	for n := range f.instances {
 		for k := range perInstance {
-			wrong := answers[n][k].wrong(prompt(n, k), maxTokens)
+			problem := responses[n][k].problem(prompt(n, k), maxTokens)
 			if n == 0 {
-				assert.Assert(t, !answers[n][k].whole || wrong == "", "a cut answer looked whole: %s", wrong)
+				assert.Assert(t, !responses[n][k].complete || problem == "", "a cut answer looked whole: %s", problem)
 				continue
 			}
-			assert.Equal(t, wrong, "", "instance %d request %d", n, k)
+			assert.Equal(t, problem, "", "instance %d request %d", n, k)
 		}
 	}
 	// The fleet goes on serving.
-	a := chat(context.Background(), f.instances[1].callers, f.keys["beta"], "after the death", maxTokens, nil)
-	assert.Equal(t, a.wrong("after the death", maxTokens), "")
+	resp := chat(context.Background(), f.instances[1].callerAddress, f.keys["beta"], "after the death", maxTokens, nil)
+	assert.Equal(t, resp.problem("after the death", maxTokens), "")
 }
 
 func prompt(n, k int) string {
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -17,7 +17,7 @@
 
 // patience bounds every wait for a condition. It is long, because a loaded
 // machine may take its time and no test asserts speed.
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
 var binaries struct {
 	once sync.Once
@@ -35,7 +35,7 @@
 }
 
 // build compiles the programs once for all tests.
-func build(t testing.TB) string {
+func buildPrograms(t testing.TB) string {
 	t.Helper()
 	binaries.once.Do(func() {
 		binaries.dir, binaries.err = os.MkdirTemp("", "cairnworks-e2e-")
@@ -64,9 +64,9 @@
 }
 
 // start runs a program until the test ends.
-func start(t testing.TB, name, program string, args ...string) *process {
+func startProcess(t testing.TB, name, program string, args ...string) *process {
 	t.Helper()
-	p := &process{name: name, cmd: exec.Command(filepath.Join(build(t), program), args...), done: make(chan struct{})}
+	p := &process{name: name, cmd: exec.Command(filepath.Join(buildPrograms(t), program), args...), done: make(chan struct{})}
 	out, err := p.cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 		p.signal(syscall.SIGCONT)
 		p.kill()
 		if t.Failed() {
-			t.Logf("--- %s\n%s", name, strings.Join(p.printed(), "\n"))
+			t.Logf("--- %s\n%s", name, strings.Join(p.outputLines(), "\n"))
 		}
 	})
 	return p
@@ -97,18 +97,18 @@
 	close(p.done)
 }
 
-func (p *process) printed() []string {
+func (p *process) outputLines() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.lines...)
 }
 
 // field waits for a line that contains marker and returns the value of a key in it.
-func (p *process) field(t testing.TB, marker, key string) string {
+func (p *process) outputField(t testing.TB, marker, key string) string {
 	t.Helper()
 	var value string
 	eventually(t, p.name+" prints "+marker, func() bool {
-		for _, line := range p.printed() {
+		for _, line := range p.outputLines() {
 			if !strings.Contains(line, marker) {
 				continue
 			}
@@ -138,7 +138,7 @@
 	select {
 	case <-p.done:
 		return p.cmd.ProcessState.ExitCode()
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatalf("%s did not exit", p.name)
 		return -1
 	}
@@ -147,11 +147,11 @@
 // eventually waits for a condition.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(20 * time.Millisecond) {
 		if condition() {
 			return
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			t.Fatalf("never came about: %s", what)
 		}
 	}
--- a/e2e/renamed_test.go
+++ b/e2e/renamed_test.go
@@ -14,19 +14,19 @@
 )
 
 // logRelay stands before a log and refuses calls on one stream while it is shut.
-type logRelay struct {
-	log, stream string
-	shut        atomic.Bool
-	refused     atomic.Int64
+type logProxy struct {
+	logAddress, stream string
+	blocked            atomic.Bool
+	refused            atomic.Int64
 }
 
-func (l *logRelay) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if l.shut.Load() && strings.Contains(r.URL.RequestURI(), l.stream) {
+func (l *logProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if l.blocked.Load() && strings.Contains(r.URL.RequestURI(), l.stream) {
 		l.refused.Add(1)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	req, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+l.log+r.URL.RequestURI(), r.Body)
+	req, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+l.logAddress+r.URL.RequestURI(), r.Body)
 	if err != nil {
 		w.WriteHeader(http.StatusBadGateway)
 		return
@@ -47,23 +47,23 @@
 
 // Guards against an instance of a renamed fleet that takes callers before it has read its fleet's
 // id: all others refuse its calls until then, and each request was refused for want of a rate home.
-func TestRenamedInstanceIsNotReadyWithoutItsFleetsID(t *testing.T) {
+func TestRenamedInstanceIsNotReadyWithoutFleetID(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 1})
-	relay := &logRelay{log: f.log, stream: "fleet"}
-	relay.shut.Store(true)
-	server := httptest.NewServer(relay)
+	proxy := &logProxy{logAddress: f.logAddress, stream: "fleet"}
+	proxy.blocked.Store(true)
+	server := httptest.NewServer(proxy)
 	t.Cleanup(server.Close)
 	d := f.startInstance(3, func(s *settings.Settings) {
 		s.Fleet, s.Platform.Log = "renamed", server.Listener.Addr().String()
 	})
 	eventually(t, "the id is asked for again and again", func() bool {
-		assert.Assert(t, status(d.operators, "/readyz") != http.StatusOK, "ready after %d refused reads", relay.refused.Load())
-		return relay.refused.Load() >= 6
+		assert.Assert(t, probeStatus(d.operatorAddress, "/readyz") != http.StatusOK, "ready after %d refused reads", proxy.refused.Load())
+		return proxy.refused.Load() >= 6
 	})
-	relay.shut.Store(false)
-	eventually(t, "it is ready", func() bool { return status(d.operators, "/readyz") == http.StatusOK })
+	proxy.blocked.Store(false)
+	eventually(t, "it is ready", func() bool { return probeStatus(d.operatorAddress, "/readyz") == http.StatusOK })
 	for n := range 10 {
-		assert.Equal(t, f.mixedRequest(d, 0, 3*n+1), "")
+		assert.Equal(t, f.sendMixedRequest(d, 0, 3*n+1), "")
 	}
 }
--- a/e2e/rolling_test.go
+++ b/e2e/rolling_test.go
@@ -18,52 +18,52 @@
 
 // balancer sends callers to instances as the platform's does: to those that were
 // ready when it last looked.
-type balancer struct {
+type loadBalancer struct {
 	mu    sync.Mutex
 	rand  *rand.Rand
 	ready []*daemon
 	// looked is when it began to look for what it knows.
-	looked time.Time
+	polledAt time.Time
 }
 
 // balancerInterval is how often the balancer looks, balancerLag how late it learns at most. The
 // instances' grace is above it.
 const (
-	balancerInterval = 300 * time.Millisecond
-	balancerLag      = 2 * balancerInterval
+	balancerPollInterval = 300 * time.Millisecond
+	balancerMaxAge       = 2 * balancerPollInterval
 )
 
-func (b *balancer) follow(ctx context.Context, instances func() []*daemon) {
+func (b *loadBalancer) poll(ctx context.Context, instances func() []*daemon) {
 	for ctx.Err() == nil {
 		var ready []*daemon
-		looked := time.Now()
+		polledAt := time.Now()
 		for _, d := range instances() {
-			if status(d.operators, "/readyz") == http.StatusOK {
+			if probeStatus(d.operatorAddress, "/readyz") == http.StatusOK {
 				ready = append(ready, d)
 			}
 		}
 		b.mu.Lock()
-		b.ready, b.looked = ready, looked
+		b.ready, b.polledAt = ready, polledAt
 		b.mu.Unlock()
-		time.Sleep(balancerInterval)
+		time.Sleep(balancerPollInterval)
 	}
 }
 
 // pick returns an instance, and when the balancer began to look for it. On a machine that is too
 // busy for the balancer to look in time, callers wait until it has.
-func (b *balancer) pick() (*daemon, time.Time) {
+func (b *loadBalancer) pick() (*daemon, time.Time) {
 	for {
 		b.mu.Lock()
-		ready, looked := b.ready, b.looked
+		ready, polledAt := b.ready, b.polledAt
 		n := b.rand.IntN(max(len(ready), 1))
 		b.mu.Unlock()
 		switch {
 		case len(ready) == 0:
-			return nil, looked
-		case time.Since(looked) < balancerLag:
-			return ready[n], looked
+			return nil, polledAt
+		case time.Since(polledAt) < balancerMaxAge:
+			return ready[n], polledAt
 		}
-		time.Sleep(balancerInterval / 10)
+		time.Sleep(balancerPollInterval / 10)
 	}
 }
 
@@ -73,7 +73,7 @@
 func TestRollingReplacementWithoutCallerErrors(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 9, prefill: 2, decode: 3, plain: 2, tokenTime: 5 * time.Millisecond, graceSeconds: 1})
-	rollOver(t, f, withGrace(1))
+	rollOver(t, f, withDrainGrace(1))
 }
 
 // The fleet's name is set, or another address of its log, by a rolling restart: for its time
@@ -96,13 +96,13 @@
 	t.Helper()
 	size := len(f.instances)
 	var mu sync.Mutex
-	live := append([]*daemon(nil), f.instances...)
-	b := &balancer{rand: rand.New(rand.NewPCG(1, 1))}
-	ctx, stop := context.WithCancel(context.Background())
-	go b.follow(ctx, func() []*daemon {
+	running := append([]*daemon(nil), f.instances...)
+	b := &loadBalancer{rand: rand.New(rand.NewPCG(1, 1))}
+	ctx, cancel := context.WithCancel(context.Background())
+	go b.poll(ctx, func() []*daemon {
 		mu.Lock()
 		defer mu.Unlock()
-		return append([]*daemon(nil), live...)
+		return append([]*daemon(nil), running...)
 	})
 	eventually(t, "the balancer sees instances", func() bool { picked, _ := b.pick(); return picked != nil })
 
@@ -112,9 +112,9 @@
 	for n := range 8 {
 		callers.Go(func() {
 			for k := 0; ctx.Err() == nil; k++ {
-				to, looked := b.pick()
-				if wrong := f.mixedRequest(to, n, k); wrong != "" {
-					errors.Store(fmt.Sprintf("%d/%d", n, k), fmt.Sprintf("%s: %s, by a look %v old", to.name, wrong, time.Since(looked)))
+				target, polledAt := b.pick()
+				if problem := f.sendMixedRequest(target, n, k); problem != "" {
+					errors.Store(fmt.Sprintf("%d/%d", n, k), fmt.Sprintf("%s: %s, by a look %v old", target.name, problem, time.Since(polledAt)))
 					continue
 				}
 				answered.Add(1)
@@ -123,57 +123,57 @@
 	}
 	for n := range size {
 		old := f.instances[n]
-		fresh := f.startInstance(size+n, adjust)
-		eventually(t, fresh.name+" ready", func() bool { return status(fresh.operators, "/readyz") == http.StatusOK })
+		replacement := f.startInstance(size+n, adjust)
+		eventually(t, replacement.name+" ready", func() bool { return probeStatus(replacement.operatorAddress, "/readyz") == http.StatusOK })
 		mu.Lock()
-		live = append(live, fresh)
+		running = append(running, replacement)
 		mu.Unlock()
 		old.signal(syscall.SIGTERM)
 		assert.Equal(t, old.exitCode(t), 0)
 		mu.Lock()
-		live = live[1:]
+		running = running[1:]
 		mu.Unlock()
 	}
-	stop()
+	cancel()
 	callers.Wait()
 	count := 0
-	errors.Range(func(key, wrong any) bool {
+	errors.Range(func(key, problem any) bool {
 		count++
-		t.Logf("request %v: %v", key, wrong)
+		t.Logf("request %v: %v", key, problem)
 		return true
 	})
 	t.Logf("%d answered, %d errors", answered.Load(), count)
 	assert.Equal(t, count, 0)
 	assert.Assert(t, answered.Load() >= int64(size), "the balancer looked too seldom for callers to ask")
-	for key, runs := range f.runs() {
+	for key, runs := range f.runsByKey() {
 		assert.Equal(t, runs, 1, key)
 	}
 }
 
 // mixedRequest sends a stream, a lookup or a booking and says what was wrong.
-func (f *fleet) mixedRequest(d *daemon, n, k int) string {
-	ctx, stop := context.WithTimeout(context.Background(), patience)
-	defer stop()
+func (f *fleet) sendMixedRequest(d *daemon, n, k int) string {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
+	defer cancel()
 	key := f.keys["alpha"]
 	switch k % 3 {
 	case 0:
-		a := chat(ctx, d.callers, key, prompt(n, k), 40, nil)
-		return a.wrong(prompt(n, k), 40)
+		resp := chat(ctx, d.callerAddress, key, prompt(n, k), 40, nil)
+		return resp.problem(prompt(n, k), 40)
 	case 1:
-		a, _ := call(ctx, d.callers, key, http.MethodGet, "/roster/today", "", "")
-		return plainWrong(a)
+		resp, _ := callPlain(ctx, d.callerAddress, key, http.MethodGet, "/roster/today", "", "")
+		return plainProblem(resp)
 	default:
-		a, _ := call(ctx, d.callers, key, http.MethodPost, "/swaps", fmt.Sprintf("roll-%d-%d", n, k), "{}")
-		return plainWrong(a)
+		resp, _ := callPlain(ctx, d.callerAddress, key, http.MethodPost, "/swaps", fmt.Sprintf("roll-%d-%d", n, k), "{}")
+		return plainProblem(resp)
 	}
 }
 
-func plainWrong(a answer) string {
-	if a.err != nil {
-		return a.err.Error()
+func plainProblem(resp response) string {
+	if resp.err != nil {
+		return resp.err.Error()
 	}
-	if a.status != http.StatusOK {
-		return fmt.Sprintf("status %d code %s ran %s", a.status, a.code, a.ran)
+	if resp.status != http.StatusOK {
+		return fmt.Sprintf("status %d code %s ran %s", resp.status, resp.code, resp.ran)
 	}
 	return ""
 }
--- a/e2e/slope_bench_test.go
+++ b/e2e/slope_bench_test.go
@@ -21,7 +21,7 @@
 	// settleTime lets a started fleet find itself and take its rate shards.
 	settleTime = 15 * time.Second
 	// windowTime is over what a process is measured.
-	windowTime = 20 * time.Second
+	measurementTime = 20 * time.Second
 	// clockTick is the unit of processor time in /proc/PID/stat.
 	clockTick = 10 * time.Millisecond
 )
@@ -29,7 +29,7 @@
 // usage is what a process has used so far. Bytes and calls are those of read and
 // write, which is how the daemon speaks TCP; its UDP goes by other system calls and
 // is not among them.
-type usage struct {
+type processUsage struct {
 	cpu                     time.Duration
 	received, sent          float64
 	receiveCalls, sendCalls float64
@@ -37,7 +37,7 @@
 }
 
 // usageOf reads the kernel's record of a process.
-func usageOf(b *testing.B, pid int) usage {
+func readProcessUsage(b *testing.B, pid int) processUsage {
 	b.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	assert.NilError(b, err)
@@ -47,9 +47,9 @@
 	assert.NilError(b, err)
 	system, err := strconv.Atoi(fields[12])
 	assert.NilError(b, err)
-	calls := procValues(b, fmt.Sprintf("/proc/%d/io", pid))
-	status := procValues(b, fmt.Sprintf("/proc/%d/status", pid))
-	return usage{
+	calls := readProcFile(b, fmt.Sprintf("/proc/%d/io", pid))
+	status := readProcFile(b, fmt.Sprintf("/proc/%d/status", pid))
+	return processUsage{
 		cpu: time.Duration(user+system) * clockTick, received: calls["rchar"], sent: calls["wchar"],
 		receiveCalls: calls["syscr"], sendCalls: calls["syscw"], residentMB: status["VmRSS"] / 1024,
 	}
@@ -57,19 +57,19 @@
 
 // gossipOf sums the daemons' own counts of UDP bytes sent, headers included. They
 // receive as many.
-func gossipOf(b *testing.B, f *fleet) float64 {
+func gossipBytesSent(b *testing.B, f *fleet) float64 {
 	b.Helper()
 	sum := 0.0
 	for _, d := range f.instances {
-		sum += metric(b, d, "membership_sent_bytes")
+		sum += readMetric(b, d, "membership_sent_bytes")
 	}
 	return sum
 }
 
 // metric reads one counter of a daemon by the end of its name.
-func metric(b *testing.B, d *daemon, name string) float64 {
+func readMetric(b *testing.B, d *daemon, name string) float64 {
 	b.Helper()
-	resp, err := http.Get("http://" + d.operators + "/metrics")
+	resp, err := http.Get("http://" + d.operatorAddress + "/metrics")
 	assert.NilError(b, err)
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
@@ -86,7 +86,7 @@
 }
 
 // procValues reads a file of "name: number" lines.
-func procValues(b *testing.B, file string) map[string]float64 {
+func readProcFile(b *testing.B, file string) map[string]float64 {
 	b.Helper()
 	data, err := os.ReadFile(file)
 	assert.NilError(b, err)
@@ -101,24 +101,24 @@
 }
 
 // slopeFleet starts a fleet whose set holds so many organisations, with two keys each.
-func slopeFleet(b *testing.B, cfg fleetConfig, organisations int) *fleet {
+func newScalingFleet(b *testing.B, cfg fleetConfig, organisations int) *fleet {
 	b.Helper()
 	instances := cfg.instances
 	cfg.instances = 0
 	f := newFleet(b, cfg)
 	for n := range organisations {
 		name := fmt.Sprintf("organisation-%05d", n)
-		f.set.Organisations = append(f.set.Organisations, object.Organisation{Name: name, Limit: "member"})
+		f.objectSet.Organisations = append(f.objectSet.Organisations, object.Organisation{Name: name, Limit: "member"})
 		for k := range 2 {
 			key := fmt.Sprintf("%s-%d", name, k)
-			f.set.Keys = append(f.set.Keys, object.Key{Name: key, Organisation: name, Hash: object.HashKey(key)})
+			f.objectSet.Keys = append(f.objectSet.Keys, object.Key{Name: key, Organisation: name, Hash: object.HashKey(key)})
 		}
 	}
 	if organisations > 0 {
 		f.publish()
 	}
 	for n := range instances {
-		f.startInstance(n, withGrace(0))
+		f.startInstance(n, withDrainGrace(0))
 	}
 	f.waitReady()
 	time.Sleep(settleTime)
@@ -130,16 +130,16 @@
 func reportUsage(b *testing.B, f *fleet) {
 	b.Helper()
 	// Scrapes are kept out of the window in which TCP is counted.
-	gossip := gossipOf(b, f)
-	before := make([]usage, len(f.instances))
+	gossipBefore := gossipBytesSent(b, f)
+	before := make([]processUsage, len(f.instances))
 	for n, d := range f.instances {
-		before[n] = usageOf(b, d.cmd.Process.Pid)
+		before[n] = readProcessUsage(b, d.cmd.Process.Pid)
 	}
-	began := time.Now()
-	time.Sleep(windowTime)
-	var sum, top usage
+	start := time.Now()
+	time.Sleep(measurementTime)
+	var sum, peak processUsage
 	for n, d := range f.instances {
-		now := usageOf(b, d.cmd.Process.Pid)
+		now := readProcessUsage(b, d.cmd.Process.Pid)
 		cpu := now.cpu - before[n].cpu
 		sum.cpu += cpu
 		sum.received += now.received - before[n].received
@@ -147,18 +147,18 @@
 		sum.receiveCalls += now.receiveCalls - before[n].receiveCalls
 		sum.sendCalls += now.sendCalls - before[n].sendCalls
 		sum.residentMB += now.residentMB
-		top.cpu = max(top.cpu, cpu)
-		top.residentMB = max(top.residentMB, now.residentMB)
+		peak.cpu = max(peak.cpu, cpu)
+		peak.residentMB = max(peak.residentMB, now.residentMB)
 	}
-	seconds := time.Since(began).Seconds()
+	seconds := time.Since(start).Seconds()
 	count := float64(len(f.instances))
 	b.ReportMetric(sum.cpu.Seconds()/seconds/count*100, "core-%")
-	b.ReportMetric(top.cpu.Seconds()/seconds*100, "core-%-max")
+	b.ReportMetric(peak.cpu.Seconds()/seconds*100, "core-%-max")
 	b.ReportMetric(sum.residentMB/count, "MB")
-	b.ReportMetric(top.residentMB, "MB-max")
+	b.ReportMetric(peak.residentMB, "MB-max")
 	b.ReportMetric(sum.received/seconds/count, "tcp-in-B/s")
 	b.ReportMetric(sum.sent/seconds/count, "tcp-out-B/s")
-	b.ReportMetric((gossipOf(b, f)-gossip)/seconds/count, "udp-out-B/s")
+	b.ReportMetric((gossipBytesSent(b, f)-gossipBefore)/seconds/count, "udp-out-B/s")
 	b.ReportMetric(sum.receiveCalls/seconds/count, "reads/s")
 	b.ReportMetric(sum.sendCalls/seconds/count, "writes/s")
 	b.ReportMetric(0, "ns/op")
@@ -170,7 +170,7 @@
 func BenchmarkIdleInstances(b *testing.B) {
 	for _, instances := range []int{9, 18, 36} {
 		b.Run(strconv.Itoa(instances), func(b *testing.B) {
-			f := slopeFleet(b, fleetConfig{instances: instances, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond}, 0)
+			f := newScalingFleet(b, fleetConfig{instances: instances, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond}, 0)
 			for b.Loop() {
 				reportUsage(b, f)
 			}
@@ -182,7 +182,7 @@
 func BenchmarkIdleOrganisations(b *testing.B) {
 	for _, organisations := range []int{3000, 6000, 12000} {
 		b.Run(strconv.Itoa(organisations), func(b *testing.B) {
-			f := slopeFleet(b, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond}, organisations)
+			f := newScalingFleet(b, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond}, organisations)
 			for b.Loop() {
 				reportUsage(b, f)
 			}
@@ -195,7 +195,7 @@
 func BenchmarkIdleUpstreams(b *testing.B) {
 	for _, engines := range []int{4, 8, 16} {
 		b.Run(strconv.Itoa(engines), func(b *testing.B) {
-			f := slopeFleet(b, fleetConfig{instances: 1, prefill: engines / 2, decode: engines / 2, plain: 1, tokenTime: time.Millisecond}, 0)
+			f := newScalingFleet(b, fleetConfig{instances: 1, prefill: engines / 2, decode: engines / 2, plain: 1, tokenTime: time.Millisecond}, 0)
 			for b.Loop() {
 				reportUsage(b, f)
 			}
@@ -210,24 +210,24 @@
 func BenchmarkHeldStreams(b *testing.B) {
 	for _, streams := range []int{30, 60, 120} {
 		b.Run(strconv.Itoa(streams), func(b *testing.B) {
-			f := slopeFleet(b, fleetConfig{instances: 1, prefill: 4, decode: 8, plain: 1, tokenTime: 2 * time.Second}, 0)
-			ctx, leave := context.WithCancel(context.Background())
+			f := newScalingFleet(b, fleetConfig{instances: 1, prefill: 4, decode: 8, plain: 1, tokenTime: 2 * time.Second}, 0)
+			ctx, disconnect := context.WithCancel(context.Background())
 			var open sync.WaitGroup
 			for n := range streams {
 				open.Go(func() {
-					a := chat(ctx, f.instances[0].callers, f.keys["alpha"], "held "+strconv.Itoa(n), longAnswer, nil)
-					if ctx.Err() == nil && !a.whole {
-						b.Errorf("stream %d was cut: status %d, code %q, %v", n, a.status, a.code, a.err)
+					resp := chat(ctx, f.instances[0].callerAddress, f.keys["alpha"], "held "+strconv.Itoa(n), longMaxTokens, nil)
+					if ctx.Err() == nil && !resp.complete {
+						b.Errorf("stream %d was cut: status %d, code %q, %v", n, resp.status, resp.code, resp.err)
 					}
 				})
 			}
-			until(b, time.Now(), func() bool { return f.held() >= streams })
+			waitUntil(b, time.Now(), func() bool { return f.heldByEngines() >= streams })
 			time.Sleep(settleTime)
 			for b.Loop() {
 				reportUsage(b, f)
-				b.ReportMetric(float64(f.held()), "held")
+				b.ReportMetric(float64(f.heldByEngines()), "held")
 			}
-			leave()
+			disconnect()
 			open.Wait()
 		})
 	}
@@ -238,10 +238,10 @@
 func BenchmarkOperatorQueries(b *testing.B) {
 	for _, instances := range []int{9, 18, 36} {
 		b.Run(strconv.Itoa(instances), func(b *testing.B) {
-			f := slopeFleet(b, fleetConfig{instances: instances, prefill: 2, decode: 2, plain: 1, tokenTime: time.Millisecond}, 0)
+			f := newScalingFleet(b, fleetConfig{instances: instances, prefill: 2, decode: 2, plain: 1, tokenTime: time.Millisecond}, 0)
 			for b.Loop() {
 				for _, query := range []string{"/metrics", "/status", "/instances", "/upstreams", "/queues"} {
-					resp, err := http.Get("http://" + f.instances[0].operators + query)
+					resp, err := http.Get("http://" + f.instances[0].operatorAddress + query)
 					assert.NilError(b, err)
 					text, err := io.ReadAll(resp.Body)
 					assert.NilError(b, err)
