--- a/e2e/call_test.go
+++ b/e2e/call_test.go
@@ -12,19 +12,19 @@
 	"github.com/cairnworks/cairnworks/stand"
 )
 
-// answer is what a caller received.
+// response is a response as received by a caller.
 type response struct {
 	status int
 	tokens []string
-	// whole tells that the terminator came.
+	// complete reports whether the stream ended with its terminator.
 	complete bool
-	// code and ran are those of the error body or error event, if any.
+	// code and ran are the fields of the error body or error event, if any.
 	code, ran string
 	header    http.Header
 	err       error
 }
 
-// errorEvent is the form of error bodies and error events.
+// errorEvent is the format of error bodies and error events.
 type errorEvent struct {
 	Error *struct {
 		Code string `json:"code"`
@@ -32,7 +32,8 @@
 	} `json:"error"`
 }
 
-// chat streams one completion through an instance.
+// chat streams one completion through an instance. It calls onToken, unless it is nil, after each
+// event with the number of tokens received.
 func chat(ctx context.Context, address, key, prompt string, maxTokens int, onToken func(n int)) response {
 	body, _ := json.Marshal(map[string]any{
 		"model": "pisar-small", "stream": true, "max_tokens": maxTokens,
@@ -106,8 +107,8 @@
 	}
 }
 
-// wrong says what is wrong with a streamed answer, or nothing when it is whole
-// and its own.
+// problem describes what is wrong with a streamed response. It returns an empty string if the
+// response is complete and has the tokens of this prompt.
 func (r *response) problem(prompt string, maxTokens int) string {
 	want := strings.Join(stand.Answer("user: "+prompt+"\n", maxTokens), "")
 	switch got := strings.Join(r.tokens, ""); {
@@ -123,7 +124,7 @@
 	return ""
 }
 
-// call makes one call of the plain service.
+// callPlain sends one request to the plain service and returns the response and its body.
 func callPlain(ctx context.Context, address, key, method, path, idempotencyKey, body string) (response, string) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+"/services/dezurstva"+path, strings.NewReader(body))
 	if err != nil {
--- a/e2e/drain_test.go
+++ b/e2e/drain_test.go
@@ -11,9 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// An instance is told to go in the middle of its streams, the scheduler of its
-// services perhaps among what it runs. Every stream must reach its end, requests
-// that still arrive must be served, and the process must exit with 0.
+// An instance receives SIGTERM while it streams and possibly also schedules services. Every stream
+// must complete, requests that still arrive must be served, and the process must exit with 0.
 func TestDrainCompletesOpenStreams(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 2, prefill: 1, decode: 1, plain: 1, tokenTime: 20 * time.Millisecond, graceSeconds: 1})
@@ -31,7 +30,7 @@
 		}
 		started.Wait()
 		d.signal(syscall.SIGTERM)
-		eventually(t, "not ready", func() bool { return probeStatus(d.operatorAddress, "/readyz") == http.StatusServiceUnavailable })
+		eventually(t, "instance not ready", func() bool { return probeStatus(d.operatorAddress, "/readyz") == http.StatusServiceUnavailable })
 		late := chat(context.Background(), d.callerAddress, f.keys["beta"], "late", 5, nil)
 		assert.Equal(t, late.problem("late", 5), "")
 		finished.Wait()
--- a/e2e/engines_test.go
+++ b/e2e/engines_test.go
@@ -13,9 +13,9 @@
 	"github.com/cairnworks/cairnworks/stand"
 )
 
-// A decode engine freezes in the middle of its streams: its connections stay
-// open and nothing comes any more. The callers' answers must go on elsewhere from
-// the next token, without a repeated or a lost one.
+// A decode engine freezes while it streams: its connections stay open but deliver nothing more.
+// The responses must continue on another engine from the next token, without a repeated or a lost
+// token.
 func TestStreamsResumeOnAnotherEngineAfterFreeze(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 2, prefill: 1, decode: 2, plain: 1, tokenTime: 20 * time.Millisecond})
@@ -37,11 +37,11 @@
 	for k := range responses {
 		assert.Equal(t, responses[k].problem(prompt(4, k), maxTokens), "", "request %d", k)
 	}
-	eventually(t, "engines hold nothing", func() bool { return f.heldByEngines() == 0 })
+	eventually(t, "engines hold no streams or KV caches", func() bool { return f.heldByEngines() == 0 })
 }
 
-// A decode engine's process dies in the middle of its streams and a new one
-// starts in its place. The callers must not notice.
+// A decode engine's process crashes while it streams, and a new process starts at the same address.
+// The callers must receive complete and correct responses.
 func TestStreamsResumeOnAnotherEngineAfterCrash(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 1, prefill: 1, decode: 2, plain: 1, tokenTime: 20 * time.Millisecond})
@@ -62,12 +62,12 @@
 	for k := range responses {
 		assert.Equal(t, responses[k].problem(prompt(5, k), maxTokens), "", "request %d", k)
 	}
-	eventually(t, "engines hold nothing", func() bool { return f.heldByEngines() == 0 })
+	eventually(t, "engines hold no streams or KV caches", func() bool { return f.heldByEngines() == 0 })
 }
 
-// A prompt crashes every engine that runs it, and its caller sends it again and
-// again through different instances. Without a quarantine it takes the pool down,
-// engine after engine, and everybody's answers with it.
+// A prompt crashes every engine that runs it, and its caller resends it repeatedly through
+// different instances. Without quarantine it would crash one engine after another, and with them
+// the requests of all other callers.
 func TestPromptThatCrashesEnginesIsQuarantined(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 3, decode: 2, plain: 1, tokenTime: 5 * time.Millisecond})
@@ -75,7 +75,7 @@
 	for n := range 3 {
 		f.setFaults(fmt.Sprintf("prefill-%d", n), stand.Faults{CrashOnText: crashPrompt})
 	}
-	eventually(t, "the prompt is refused as quarantined", func() bool {
+	eventually(t, "the prompt is rejected as quarantined", func() bool {
 		for _, d := range f.instances {
 			resp := chat(context.Background(), d.callerAddress, f.keys["alpha"], crashPrompt, 10, nil)
 			assert.Assert(t, !resp.complete)
@@ -96,11 +96,11 @@
 			assert.Equal(t, other.problem("an innocent one", 10), "")
 		}
 	}
-	assert.Equal(t, f.crashesOnPrompt(), before, "a quarantined prompt ran")
-	assert.Assert(t, before <= 3, "it took %d crashes", before)
+	assert.Equal(t, f.crashesOnPrompt(), before, "a quarantined prompt was executed")
+	assert.Assert(t, before <= 3, "%d crashes before the quarantine, want at most 3", before)
 }
 
-// crashes counts the engines' crashes on a prompt.
+// crashesOnPrompt returns the number of crashes caused by a prompt over all prefill engines.
 func (f *fleet) crashesOnPrompt() int {
 	total := 0
 	for name := range f.upstreams {
@@ -113,13 +113,14 @@
 	return total
 }
 
-// One of three decode engines turns ten times slower while its reports go on
-// saying that it has free slots. Callers of the others must not wait behind it:
-// it gets less, is tried now and then, and comes back when it is well again.
+// One of three decode engines becomes ten times slower but still reports free slots. Other requests
+// must not wait behind it: it must be ejected and receive only probes, and return to rotation once
+// it has recovered.
 func TestSlowEngineGetsLessAndComesBack(t *testing.T) {
 	t.Parallel()
-	// A token takes longer than the wake-up that it costs on a busy machine. With shorter ones the
-	// slow engine is less than four times as slow as the others there, and stays in with less work.
+	// The time for a token must exceed the wake-up latency of a busy machine. With a shorter one the
+	// slow engine is less than four times as slow as the others there and stays in rotation with a
+	// lower weight.
 	f := newFleet(t, fleetConfig{instances: 1, prefill: 1, decode: 3, plain: 1, tokenTime: 6 * time.Millisecond})
 	f.setFaults("decode-1", stand.Faults{SlowFactor: 10})
 	send := func() { f.sendBatch(t, 6) }
@@ -135,17 +136,17 @@
 			return false
 		}
 	}
-	eventually(t, "the slow engine is out", stateLogged("out"))
+	eventually(t, "the slow engine is ejected", stateLogged("out"))
 	before := f.decodedRequests("decode-1")
 	for range 5 {
 		send()
 	}
-	assert.Assert(t, f.decodedRequests("decode-1")-before <= 6, "the slow engine got %d of 30", f.decodedRequests("decode-1")-before)
+	assert.Assert(t, f.decodedRequests("decode-1")-before <= 6, "the slow engine received %d of 30 requests", f.decodedRequests("decode-1")-before)
 	f.setFaults("decode-1", stand.Faults{})
-	eventually(t, "the engine comes back", stateLogged("healthy"))
+	eventually(t, "the recovered engine is healthy again", stateLogged("healthy"))
 }
 
-// sendBatch sends n requests at once and checks their answers.
+// sendBatch sends n concurrent requests and checks their responses.
 func (f *fleet) sendBatch(t *testing.T, n int) {
 	var wg sync.WaitGroup
 	for k := range n {
@@ -157,7 +158,7 @@
 	wg.Wait()
 }
 
-// decodes counts the requests that an engine has decoded.
+// decodedRequests returns the number of requests that an engine has decoded.
 func (f *fleet) decodedRequests(name string) int {
 	var stats stand.EngineStats
 	f.readStats(name, &stats)
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -20,16 +20,17 @@
 	"github.com/cairnworks/cairnworks/settings"
 )
 
-// dataCentres are those of the smaller of the two users.
+// dataCentres are the data centres of the smaller of the project's two users.
 var dataCentres = []string{"split-a", "rijeka-b", "zadar-c"}
 
-// daemon is one running instance and its addresses.
+// daemon is a running instance and its addresses.
 type daemon struct {
 	*process
 	callerAddress, peerAddress, operatorAddress string
 }
 
-// fleet is a platform of stand-ins with instances in front.
+// fleet is a set of instances in front of a platform and upstreams that are simulated by
+// cairnstand.
 type fleet struct {
 	t           testing.TB
 	logAddress  string
@@ -41,30 +42,32 @@
 	instances   []*daemon
 }
 
-// rosterCost is the charge of a lookup, so that a few of them reach a limit that
+// lookupCost is the charge of a lookup. It is high enough that a few lookups reach a limit that
 // also covers the largest prompt.
 const lookupCost = 200
 
-// fleetConfig sizes a fleet.
+// fleetConfig configures a fleet.
 type fleetConfig struct {
+	// instances, prefill, decode and plain are the numbers of instances and upstreams.
 	instances, prefill, decode, plain int
-	// tokenTime is the engines' time for a token.
+	// tokenTime is the time that the engines take for a token.
 	tokenTime time.Duration
-	// limit applies to both organisations; zero means one that no test reaches.
+	// limit applies to both organisations; the zero value means a limit that no test reaches.
 	limit object.Limit
-	// slots is how many requests an upstream may be given at once; 0 means 20.
+	// slots is the maximum number of concurrent requests of an upstream; 0 means 20.
 	slots int
-	// engineArgs are further arguments of every engine.
+	// engineArgs are additional arguments of every engine.
 	engineArgs []string
-	// graceSeconds is how long a draining instance still takes requests.
+	// graceSeconds is how long a draining instance still accepts requests.
 	graceSeconds int
-	// seeds are further peer addresses that each instance tries at its start.
+	// seeds are additional peer addresses that each instance contacts when it starts.
 	seeds []string
-	// firstPeers is the address for other instances of the first one; empty takes a free port.
+	// firstPeerAddress is the peer address of the first instance; if empty, a free port is used.
 	firstPeerAddress string
 }
 
-// newFleet starts everything and waits until each instance is ready.
+// newFleet starts the simulated platform, the upstreams and the instances, and waits until each
+// instance is ready.
 func newFleet(t testing.TB, cfg fleetConfig) *fleet {
 	t.Helper()
 	f := &fleet{t: t, keys: map[string]string{"alpha": "key-of-alpha", "beta": "key-of-beta"}, upstreams: map[string]*process{}}
@@ -91,7 +94,7 @@
 func (f *fleet) newObjectSet(cfg fleetConfig) object.Set {
 	limit := cfg.limit
 	if limit.TokensPerSecond == 0 {
-		// Buckets start empty; at this rate they hold enough a microsecond later.
+		// Buckets start empty; at this rate they contain enough tokens after a microsecond.
 		limit = object.Limit{TokensPerSecond: 1_000_000_000, Burst: 10_000_000_000}
 	}
 	limit.Name = "member"
@@ -142,7 +145,7 @@
 	return u
 }
 
-// publish publishes the fleet's set on top of the last version.
+// publish publishes the fleet's object set as the successor of the latest version.
 func (f *fleet) publish() {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
@@ -154,8 +157,8 @@
 
 func (f *fleet) newLogClient() port.Log { return httpport.NewLog(f.logAddress, nil) }
 
-// startInstance starts instance n with the others as its seeds; adjust changes its settings,
-// unless it is nil.
+// startInstance starts instance n with all earlier instances as its seeds. adjust, unless it is
+// nil, modifies the settings.
 func (f *fleet) startInstance(n int, adjust func(*settings.Settings)) *daemon {
 	f.t.Helper()
 	s := settings.Default()
@@ -180,12 +183,13 @@
 	return d
 }
 
-// withGrace sets how many seconds a draining instance still takes requests.
+// withDrainGrace returns a function that sets for how many seconds a draining instance still
+// accepts requests.
 func withDrainGrace(seconds int) func(*settings.Settings) {
 	return func(s *settings.Settings) { s.DrainGraceSeconds = seconds }
 }
 
-// waitReady waits until every instance is ready and sees all the others.
+// waitReady waits until every instance reports that it is ready.
 func (f *fleet) waitReady() {
 	f.t.Helper()
 	for _, d := range f.instances {
@@ -193,6 +197,7 @@
 	}
 }
 
+// probeStatus returns the HTTP status code of a GET request, or 0 if the request failed.
 func probeStatus(address, path string) int {
 	resp, err := http.Get("http://" + address + path)
 	if err != nil {
@@ -202,7 +207,7 @@
 	return resp.StatusCode
 }
 
-// fault switches a fault on at a stand-in.
+// setFaults replaces the injected faults of a simulated upstream or log.
 func (f *fleet) setFaults(upstream string, faults any) {
 	f.t.Helper()
 	data, err := json.Marshal(faults)
@@ -213,7 +218,7 @@
 	assert.Equal(f.t, resp.StatusCode/100, 2, upstream)
 }
 
-// stats reads what a stand-in saw.
+// readStats reads the statistics of a simulated upstream or log.
 func (f *fleet) readStats(upstream string, target any) {
 	f.t.Helper()
 	resp, err := http.Get("http://" + f.upstreamAddress(upstream) + "/stats")
--- a/e2e/gone_test.go
+++ b/e2e/gone_test.go
@@ -13,7 +13,7 @@
 	"github.com/cairnworks/cairnworks/stand"
 )
 
-// held sums what all engines hold.
+// heldByEngines returns the number of streams and KV caches that all engines hold.
 func (f *fleet) heldByEngines() int {
 	total := 0
 	for name := range f.upstreams {
@@ -27,8 +27,8 @@
 	return total
 }
 
-// openStreams opens n long streams through an instance and returns once all of
-// them have received a token.
+// openStreams opens n long streams through an instance and returns once each of them has received
+// a token or ended. wait waits for the end of all streams; the responses are valid after that.
 func (f *fleet) openStreams(ctx context.Context, d *daemon, n int) (responses []response, wait func()) {
 	responses = make([]response, n)
 	var started, finished sync.WaitGroup
@@ -47,11 +47,11 @@
 	return responses, finished.Wait
 }
 
-// longAnswer is an output bound that no answer reaches.
+// longMaxTokens is an output limit that no response reaches.
 const longMaxTokens = 900
 
-// longPrompt is the k-th prompt that engines answer with so many tokens that no stream ends before
-// a test has acted.
+// longPrompt returns the k-th prompt whose response is so long that no stream ends before the test
+// has acted.
 func longPrompt(k int) string {
 	const leastTokens = 200
 	for n := 0; ; n++ {
@@ -66,9 +66,9 @@
 	}
 }
 
-// Callers hang up in the middle of long answers. Their streams hold slots and
-// memory on the decode engines; if nobody cancels them, the pool fills with work
-// for people who have left, and those who stayed are refused.
+// Callers disconnect during long responses. Their streams hold slots and memory on the decode
+// engines. Unless they are cancelled, the pool fills with work for callers that have disconnected,
+// and the requests of the remaining callers are refused.
 func TestEngineMemoryIsFreedWhenCallersDisconnect(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 1, prefill: 1, decode: 1, plain: 1, tokenTime: 50 * time.Millisecond})
@@ -77,13 +77,13 @@
 	assert.Equal(t, f.heldByEngines(), 6)
 	disconnect()
 	wait()
-	eventually(t, "engines hold nothing", func() bool { return f.heldByEngines() == 0 })
+	eventually(t, "engines hold no streams or KV caches", func() bool { return f.heldByEngines() == 0 })
 }
 
-// An instance is killed while it streams. Nobody is left who knows of its
-// requests, and the engines would hold their memory until their own time-out,
-// which is set far beyond the test. Its grants lapse and their streams are
-// cancelled by the scheduler, wherever that runs by then.
+// An instance is killed while it streams. No other instance tracks its requests, and the engines
+// would hold the memory until their own timeout, which is set far beyond the duration of the test.
+// The scheduler, on whichever instance it then runs, must cancel the streams once their grants have
+// expired.
 func TestEngineMemoryIsFreedWhenInstanceIsKilled(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{
@@ -95,14 +95,13 @@
 		f.instances[0].kill()
 		f.instances = f.instances[1:]
 		wait()
-		eventually(t, "engines hold nothing", func() bool { return f.heldByEngines() == 0 })
+		eventually(t, "engines hold no streams or KV caches", func() bool { return f.heldByEngines() == 0 })
 	}
 }
 
-// An instance is stopped for longer than its leases, as when its machine is
-// moved, and then goes on as if nothing had happened. Its slots have been given
-// to others by then. Its callers must not be told that half an answer is whole,
-// and the engines must not work for requests that were given up.
+// An instance is paused for longer than its leases, as during the migration of its machine, and
+// then resumes without noticing. Its slots have been granted to other requests by then. It must not
+// present a partial response as complete, and the engines must not work on abandoned requests.
 func TestPausedInstanceLosesItsStreams(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{
@@ -111,19 +110,18 @@
 	})
 	responses, wait := f.openStreams(context.Background(), f.instances[0], 4)
 	f.instances[0].signal(syscall.SIGSTOP)
-	eventually(t, "engines hold nothing", func() bool { return f.heldByEngines() == 0 })
+	eventually(t, "engines hold no streams or KV caches", func() bool { return f.heldByEngines() == 0 })
 	f.instances[0].signal(syscall.SIGCONT)
 	wait()
 	for k := range responses {
 		problem := responses[k].problem(longPrompt(k), longMaxTokens)
-		assert.Assert(t, problem == "" || !responses[k].complete, "a broken answer looked whole: %s", problem)
+		assert.Assert(t, problem == "" || !responses[k].complete, "an incorrect response is marked as complete: %s", problem)
 	}
-	eventually(t, "engines hold nothing at the end", func() bool { return f.heldByEngines() == 0 })
+	eventually(t, "engines hold no streams or KV caches at the end", func() bool { return f.heldByEngines() == 0 })
 }
 
-// A decode stream breaks off without its terminator, again and again, as behind
-// a broken network element. The caller must receive every token once, in order,
-// and no sign of the break.
+// A decode stream repeatedly ends without its terminator, as behind a faulty network device. The
+// caller must receive every token once and in order, and no error.
 func TestTruncatedStreamsAreResumedWithoutLossOrRepetition(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 1, prefill: 1, decode: 1, plain: 1, tokenTime: 2 * time.Millisecond})
--- a/e2e/keys_test.go
+++ b/e2e/keys_test.go
@@ -13,9 +13,9 @@
 	"github.com/cairnworks/cairnworks/stand"
 )
 
-// A key is withdrawn while its holder has streams open through every instance.
-// The streams must end with the reason, new requests must be refused, and other
-// organisations must not notice.
+// A key is withdrawn while its organisation has open streams through every instance. The streams
+// must end with the code key_withdrawn, new requests must be refused, and other organisations must
+// not be affected.
 func TestWithdrawnKeyEndsOpenStreamsOnAllInstances(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 2, plain: 1, tokenTime: 50 * time.Millisecond})
@@ -41,11 +41,11 @@
 		resp = chat(context.Background(), d.callerAddress, f.keys["beta"], "still here", 5, nil)
 		assert.Equal(t, resp.problem("still here", 5), "")
 	}
-	eventually(t, "engines hold nothing", func() bool { return f.heldByEngines() == 0 })
+	eventually(t, "engines hold no streams or KV caches", func() bool { return f.heldByEngines() == 0 })
 }
 
-// A caller's key is a credential; an upstream that sees it can act for the
-// organisation. Callers also send it in places where it does not belong.
+// Guards against forwarding a caller's key. It is a credential: an upstream that receives it could
+// act on behalf of the organisation. Callers also send the key in places where it does not belong.
 func TestCallerKeysAreNotForwardedToUpstreams(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 1, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond})
@@ -64,7 +64,7 @@
 	}
 }
 
-// withdraw publishes a set in which an organisation's keys are withdrawn.
+// withdrawKeys publishes an object set in which all keys of an organisation are withdrawn.
 func (f *fleet) withdrawKeys(organisation string) {
 	f.t.Helper()
 	for i := range f.objectSet.Keys {
--- a/e2e/leaving_test.go
+++ b/e2e/leaving_test.go
@@ -14,21 +14,21 @@
 	"github.com/cairnworks/cairnworks/stand"
 )
 
-// An upstream is taken out of service. The platform's list says so late, and the
-// published set not at all; an engine says so itself, a plain service does not.
-// New work that still goes there is cut off when it stops.
+// An upstream is taken out of service. An engine reports this itself. For a plain service it appears
+// only in the platform's list, with a delay. The published object set does not show it. Requests
+// that are still sent to the upstream would be cut off when it stops.
 func TestLeavingUpstreamsGetNoNewWork(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 2, prefill: 1, decode: 2, plain: 2, tokenTime: time.Millisecond})
 	f.setFaults("decode-0", stand.Faults{Leaving: true})
 	f.markLeavingInList("plain-0")
-	eventually(t, "the leaving engine gets nothing", func() bool {
+	eventually(t, "the leaving engine receives no requests", func() bool {
 		return !f.receivesWork("decode-0", func() {
 			resp := chat(context.Background(), f.instances[0].callerAddress, f.keys["alpha"], "leaving", 5, nil)
 			assert.Equal(t, resp.problem("leaving", 5), "")
 		})
 	})
-	eventually(t, "the leaving service gets nothing", func() bool {
+	eventually(t, "the leaving plain upstream receives no requests", func() bool {
 		return !f.receivesWork("plain-0", func() {
 			resp, _ := callPlain(context.Background(), f.instances[1].callerAddress, f.keys["alpha"], http.MethodGet, "/roster/x", "", "")
 			assert.Equal(t, resp.status, http.StatusOK)
@@ -36,7 +36,7 @@
 	})
 }
 
-// worked reports whether an upstream was given any work by ten requests.
+// receivesWork sends ten requests and reports whether the upstream executed any work meanwhile.
 func (f *fleet) receivesWork(upstream string, request func()) bool {
 	work := func() int {
 		var stats struct {
@@ -53,7 +53,7 @@
 	return work() != before
 }
 
-// listLeaving marks an upstream as leaving in the platform's list.
+// markLeavingInList marks an upstream as leaving in the platform's list.
 func (f *fleet) markLeavingInList(upstream string) {
 	f.t.Helper()
 	data, err := json.Marshal([]wire.Listed{{Name: upstream, Address: f.upstreamAddress(upstream), Leaving: true}})
--- a/e2e/measure_bench_test.go
+++ b/e2e/measure_bench_test.go
@@ -14,13 +14,13 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// measureRounds is how often each time is measured.
+// measureRounds is the number of measurements of each time.
 const measureRounds = 20
 
-// measurePoll is how finely a time is measured.
+// measurePollInterval is the resolution of the measured times.
 const measurePollInterval = 5 * time.Millisecond
 
-// report writes the median and the worst of measured times.
+// reportTimes reports the median and the maximum of the measured times.
 func reportTimes(b *testing.B, what string, times []time.Duration) {
 	b.Helper()
 	slices.Sort(times)
@@ -28,19 +28,19 @@
 	b.ReportMetric(float64(times[len(times)-1].Milliseconds()), what+"-worst-ms")
 }
 
-// until measures how long a condition takes to come about.
+// waitUntil waits for a condition and returns the time since start.
 func waitUntil(b *testing.B, start time.Time, condition func() bool) time.Duration {
 	b.Helper()
 	for !condition() {
 		if time.Since(start) > waitTimeout {
-			b.Fatal("never came about")
+			b.Fatalf("condition not met within %v", waitTimeout)
 		}
 		time.Sleep(measurePollInterval)
 	}
 	return time.Since(start)
 }
 
-// BenchmarkPublishInForce measures from a publish to its version being in force
+// BenchmarkPublishInForce measures the time from the publication of a version until it is in force
 // on all nine instances, a hundred times.
 func BenchmarkPublishInForce(b *testing.B) {
 	f := newFleet(b, fleetConfig{instances: 9, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond})
@@ -66,8 +66,8 @@
 	}
 }
 
-// BenchmarkKeyWithdrawal measures from the publish of a withdrawal to the last
-// of nine instances refusing the key.
+// BenchmarkKeyWithdrawal measures the time from the publication of a key's withdrawal until the last
+// of nine instances refuses the key.
 func BenchmarkKeyWithdrawal(b *testing.B) {
 	f := newFleet(b, fleetConfig{instances: 9, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond})
 	for b.Loop() {
@@ -90,6 +90,7 @@
 	}
 }
 
+// forEachInstance calls do for all instances concurrently and waits for the calls to return.
 func (f *fleet) forEachInstance(do func(*daemon)) {
 	var wg sync.WaitGroup
 	for _, d := range f.instances {
@@ -98,14 +99,15 @@
 	wg.Wait()
 }
 
+// lookupStatus returns the HTTP status code of a lookup through an instance.
 func (f *fleet) lookupStatus(d *daemon) int {
 	resp, _ := callPlain(context.Background(), d.callerAddress, f.keys["alpha"], http.MethodGet, "/roster/x", "", "")
 	return resp.status
 }
 
-// BenchmarkTakeover kills the scheduler of the model service and measures until
-// another instance's next request is answered, and until the engines have freed
-// what the dead instance's callers held.
+// BenchmarkTakeover kills the instance that schedules the model service. It measures the time until
+// the next request through another instance is answered, and the time until the engines have freed
+// the memory of the killed instance's requests.
 func BenchmarkTakeover(b *testing.B) {
 	for b.Loop() {
 		var served, freed []time.Duration
@@ -131,8 +133,8 @@
 	}
 }
 
-// BenchmarkCancel measures from a caller's departure to the engine holding
-// nothing of its request.
+// BenchmarkCancel measures the time from a caller's disconnect until the engines hold no stream or
+// KV cache of its request.
 func BenchmarkCancel(b *testing.B) {
 	f := newFleet(b, fleetConfig{instances: 1, prefill: 1, decode: 1, plain: 1, tokenTime: 20 * time.Millisecond})
 	for b.Loop() {
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -13,7 +13,7 @@
 	"github.com/cairnworks/cairnworks/stand"
 )
 
-// runs returns how often each idempotency key ran, over all plain upstreams.
+// runsByKey returns the number of executions of each idempotency key over all plain upstreams.
 func (f *fleet) runsByKey() map[string]int {
 	total := map[string]int{}
 	for name := range f.upstreams {
@@ -29,16 +29,17 @@
 	return total
 }
 
-// A keeper's client does not hear back in time and sends its swap again, to
-// whichever instance the balancer picks, while the first is still on its way. A
-// swap that ran twice leaves one enclosure double-staffed and another unwatched.
+// A client times out and resends its swap of shifts, to any instance that the load balancer picks,
+// while the first request is still in flight. A swap that runs twice leaves one enclosure with two
+// keepers and another with none.
 //
-// Once a swap did, while the tests of several fleets ran at the same time, and callers were told
-// in_progress for seconds. The survivor of another fleet had reached an instance of this one at
-// a port that its own dead peer had before, became a member, and claimed keys on its own log.
-// The log told it by "member changed member=instance-2" at two addresses in turn, eight lines
-// "declared dead, new incarnation" in four seconds, and "recorded answer has left the log" for
-// swaps just made. TestSurvivorOfAnotherFleetTakesNoPart brings it about.
+// This test once failed while tests of several fleets ran at the same time: a swap ran twice, and
+// callers received in_progress for seconds. The surviving instance of another fleet had contacted
+// an instance of this fleet at a port that its own dead peer had used before, became a member, and
+// claimed keys in its own log. The symptoms were log lines "member changed member=instance-2" with
+// two addresses in turn, eight lines "declared dead, new incarnation" in four seconds, and errors
+// that the recorded responses of recent swaps were no longer in the log.
+// TestSurvivorOfAnotherFleetIsRejected reproduces it.
 func TestResentSwapsRunOnce(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 2, tokenTime: time.Millisecond})
@@ -46,13 +47,14 @@
 	reused, _ := callPlain(context.Background(), f.instances[0].callerAddress, f.keys["alpha"], http.MethodPost, "/swaps", "swap-0", `{"swap":"another"}`)
 	assert.Equal(t, reused.code, "idempotency_key_reused")
 	assert.Equal(t, reused.ran, "not_run")
-	// Another organisation's key of the same text is another key.
+	// Idempotency keys of different organisations are independent, even if they are equal.
 	otherOrganisation, _ := callPlain(context.Background(), f.instances[0].callerAddress, f.keys["beta"], http.MethodPost, "/swaps", "swap-0", `{"swap":0}`)
 	assert.Equal(t, otherOrganisation.status, http.StatusOK)
 }
 
-// resendSwaps sends each of twenty swaps to every instance at the same time, again and
-// again until it is answered, and checks that each ran once.
+// resendSwaps sends each of twenty swaps to all instances concurrently, with retries until it
+// succeeds or 50 attempts have failed. It checks that each swap ran once and that all instances
+// returned the same response.
 func resendSwaps(t *testing.T, f *fleet) {
 	t.Helper()
 	const swaps = 20
@@ -80,18 +82,18 @@
 	for k := range swaps {
 		assert.Equal(t, runs[fmt.Sprintf("swap-%d", k)], 1, "swap %d", k)
 		for n := range f.instances {
-			assert.Assert(t, bodies[k][n] != "", "swap %d at instance %d got no answer", k, n)
-			assert.Equal(t, bodies[k][n], bodies[k][0], "swap %d got two different answers", k)
+			assert.Assert(t, bodies[k][n] != "", "swap %d did not succeed through instance %d", k, n)
+			assert.Equal(t, bodies[k][n], bodies[k][0], "swap %d has two different responses", k)
 		}
 	}
 }
 
-// A second fleet, on a log of its own, reaches this one: a seed's address has been given to
-// another fleet's instance since, as happens when a test system is set up beside the real one
-// with the same secret or none. Were its instances taken for members, they would decide on
-// idempotency keys by a log that this fleet does not read: each of the two logs lets a swap run
-// once, and a keeper's enclosure is double-staffed. Two instances of one name would also declare
-// one another dead without end.
+// The instances of a second fleet with its own log contact this fleet, because the address of one of
+// their seeds has been reassigned to it. This happens if a test system runs beside the production
+// system with the same secret or without one. If they were accepted as members, they would decide on
+// idempotency keys from a log that this fleet does not read: a swap could run once by each log, and
+// an enclosure would have two keepers. Two instances with the same name would also declare each
+// other dead indefinitely.
 func TestInstancesOfAnotherFleetAreRejected(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 2, tokenTime: time.Millisecond})
@@ -103,19 +105,21 @@
 	resendSwaps(t, f)
 }
 
-// Two of the three instances of a fleet die, and the survivor goes on pinging their addresses,
-// as it must to find them again after a partition. Meanwhile the port of one of them is given to
-// an instance of a second fleet, with the same secret or none. Once the survivor became a member
-// of the second fleet, and the owner of a third of its idempotency keys, which it claimed on its
-// own log. The instances that asked it let a swap run once, those that asked their own log once
-// more: a keeper's enclosure was double-staffed.
+// Two of the three instances of a fleet are killed. The survivor continues to ping their addresses,
+// since it has to find them again after a network partition. Meanwhile the port of one of them is
+// assigned to an instance of a second fleet with the same secret or without one. In an earlier
+// version the survivor became a member of the second fleet and the owner of a third of its
+// idempotency keys, which it claimed in its own log. A swap ran once through the instances that
+// asked the survivor and a second time through those that used their own log, so that an enclosure
+// had two keepers.
 //
-// Three lines of the second fleet told it: "member changed" with one name at two addresses in
-// turn, "declared dead, new incarnation" twice a second, and "recorded answer has left the log"
-// for swaps that were seconds old, since the offset was one of the other log.
+// The instances of the second fleet logged "member changed" for one name with two addresses in turn
+// and "declared dead, new incarnation" twice a second. They also reported that recorded responses of
+// swaps that were seconds old were no longer in the log, since the offsets belonged to the other
+// log.
 func TestSurvivorOfAnotherFleetIsRejected(t *testing.T) {
 	t.Parallel()
-	// Of this loopback address no other process of the tests takes ports.
+	// No other process of the tests uses ports of this loopback address.
 	other := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond, firstPeerAddress: "127.0.0.2:0"})
 	other.instances[0].kill()
 	other.instances[1].kill()
@@ -126,9 +130,9 @@
 	resendSwaps(t, f)
 }
 
-// The service books and then its answer is lost, as when its process dies at the
-// wrong moment. Nobody can know the outcome; the caller must be told that the
-// booking may have run, and sending it again must never run it a second time.
+// The service executes a swap but its response is lost, as when its process crashes before it
+// responds. The outcome is unknown: the caller must be told that the swap may have run, and a
+// resent request must never run it a second time.
 func TestSwapWithLostResponseIsNeverRunAgain(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 2, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond})
@@ -142,9 +146,9 @@
 	assert.Equal(t, f.runsByKey()["lost"], 1)
 }
 
-// The log is down. A booking cannot be claimed, so it must be refused as not run
-// with a time to come back, while lookups and summaries go on; and once the log
-// is back the same booking goes through.
+// The log is down, so a swap cannot be claimed. It must be refused as not_run with a Retry-After
+// header, while lookups and completions are still served. Once the log is back, the same swap must
+// succeed.
 func TestSwapsWhileLogIsDown(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 2, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond})
@@ -160,7 +164,7 @@
 	assert.Equal(t, completion.problem("log down", 5), "")
 	assert.Equal(t, f.runsByKey()["later"], 0)
 	f.setFaults("log", stand.Faults{})
-	eventually(t, "the booking goes through", func() bool {
+	eventually(t, "the swap succeeds", func() bool {
 		swap, _ := callPlain(context.Background(), d.callerAddress, f.keys["alpha"], http.MethodPost, "/swaps", "later", "{}")
 		return swap.status == http.StatusOK
 	})
--- a/e2e/onelog_test.go
+++ b/e2e/onelog_test.go
@@ -12,10 +12,10 @@
 	"github.com/cairnworks/cairnworks/settings"
 )
 
-// Half of the instances reach the log at another address, or were given another name of the
-// fleet. All use one log and know addresses of one another, so they are one fleet. When the
-// name decided, they refused one another, and each half took the homes of rates from the other
-// as soon as it saw them taken: of 12,000 requests none was served, and no line told why.
+// Half of the instances use another address of the log, or are configured with another fleet name.
+// All of them use one log and know addresses of each other, so they are one fleet. When the name
+// determined the fleet, the halves rejected each other, and each claimed the rate homes as soon as
+// the other had claimed them: none of 12,000 requests was served, and no log line gave the reason.
 func TestInstancesWithOneLogAndTwoFleetNamesAreOneFleet(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 2, tokenTime: time.Millisecond})
@@ -27,11 +27,11 @@
 	resendSwaps(t, f)
 }
 
-// Two groups of instances are started with seeds of their own group only, by two operators or
-// from two lists. They share one log, so that they are one fleet, whether they were told of one
-// another or not: the log names the homes of rates and with them where the others are. Unless
-// they meet there, each group takes all homes from the other without end, and every caller of
-// both is refused.
+// Two groups of instances are started with seeds of their own group only, by two operators or from
+// two lists. They share one log and are therefore one fleet, even if they do not know each other:
+// the log records the rate homes and thus the addresses of the other group. Unless they discover
+// each other from it, each group repeatedly claims all rate homes from the other, and every request
+// to either group is refused.
 func TestGroupsThatShareOnlyTheirLogDiscoverEachOther(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 2, tokenTime: time.Millisecond})
@@ -45,12 +45,12 @@
 	resendSwaps(t, f)
 }
 
-// serveEverywhere waits until every instance lists all, and then until each of them answers a
-// lookup and a booking ten times in a row.
+// waitServedByAll waits until every instance reports all instances as alive, and then until each
+// of them serves a lookup and a swap ten times in a row.
 func (f *fleet) waitServedByAll(what string) {
 	f.t.Helper()
 	for _, d := range f.instances {
-		eventually(f.t, d.name+" lists all", func() bool {
+		eventually(f.t, d.name+" reports all instances as alive", func() bool {
 			alive := 0
 			for _, state := range f.memberStates(d) {
 				if state == "alive" {
@@ -62,7 +62,7 @@
 	}
 	for _, d := range f.instances {
 		for attempt, consecutive := 0, 0; consecutive < 10; attempt++ {
-			assert.Assert(f.t, attempt < 400, "%s is not served at %s", what, d.name)
+			assert.Assert(f.t, attempt < 400, "%s: %s does not serve requests", what, d.name)
 			if f.serves(d, fmt.Sprintf("%s-%s-%d", what, d.name, attempt)) {
 				consecutive++
 				continue
@@ -73,7 +73,7 @@
 	}
 }
 
-// served reports whether an instance answers a lookup and a booking.
+// serves reports whether a lookup and a swap succeed through an instance.
 func (f *fleet) serves(d *daemon, idempotencyKey string) bool {
 	lookup, _ := callPlain(context.Background(), d.callerAddress, f.keys["alpha"], http.MethodGet, "/roster/today", "", "")
 	swap, _ := callPlain(context.Background(), d.callerAddress, f.keys["beta"], http.MethodPost, "/swaps", idempotencyKey, "{}")
--- a/e2e/overhead_bench_test.go
+++ b/e2e/overhead_bench_test.go
@@ -28,19 +28,20 @@
 	"github.com/cairnworks/cairnworks/port/httpport/wire"
 )
 
-// overheadTokens is the length of a measured answer.
+// benchResponseTokens is the number of tokens of a measured response.
 const benchResponseTokens = 200
 
-// requestsAtOnce is how many requests a core has open in BenchmarkRequestsPerCore.
+// concurrentRequestsPerCore is the number of open requests per core in BenchmarkRequestsPerCore.
 const concurrentRequestsPerCore = 16
 
-// sample is what one request cost.
+// sample is the measurement of one request: the time to the first token, the total time and the
+// number of tokens.
 type sample struct {
 	firstToken, total time.Duration
 	tokens            int
 }
 
-// benchPath is one in-process instance with fast engines behind it.
+// benchSetup is an in-process instance with two engines that respond immediately.
 type benchSetup struct {
 	callerAddress, key            string
 	prefillAddress, decodeAddress string
@@ -70,15 +71,15 @@
 	p.callerAddress = i.Addresses().Callers
 	for deadline := time.Now().Add(waitTimeout); probeStatus(i.Addresses().Operators, "/readyz") != http.StatusOK; {
 		if time.Now().After(deadline) {
-			b.Fatal("the instance is not ready")
+			b.Fatalf("instance not ready within %v", waitTimeout)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	return p
 }
 
-// serveInstantEngine serves an engine that answers everything at once, so that
-// what is measured is the path and not the pace of a model.
+// startInstantEngine starts an engine that responds immediately, so that the benchmarks measure the
+// request path and not the speed of a model. It returns the engine's address.
 func startInstantEngine(b *testing.B) string {
 	b.Helper()
 	mux := http.NewServeMux()
@@ -110,7 +111,7 @@
 	return listener.Addr().String()
 }
 
-// direct runs one request as the path does, but without the daemon.
+// runDirect makes the same calls to the engines as the request path, but without the daemon.
 func (p benchSetup) runDirect(n int) (sample, error) {
 	ctx, start := context.Background(), time.Now()
 	id := port.StreamID{RequestID: "direct-" + strconv.Itoa(n), Attempt: 1}
@@ -148,7 +149,7 @@
 	s.tokens++
 }
 
-// through sends the same request through the daemon.
+// runThroughDaemon sends the same request through the daemon.
 func (p benchSetup) runThroughDaemon(n int) (sample, error) {
 	start := time.Now()
 	body := `{"model":"pisar-small","stream":true,"max_tokens":` + strconv.Itoa(benchResponseTokens) + `,"prompt":"` + benchPrompt(n) + `"}`
@@ -183,9 +184,9 @@
 
 func benchPrompt(n int) string { return "a ledger of gilded frames, number " + strconv.Itoa(n) }
 
-// BenchmarkOverhead runs requests in turn directly and through the daemon, all in
-// this process, and reports what the daemon adds. Allocations are those of the
-// whole process, stand-ins and client included, so their difference is the daemon's.
+// BenchmarkOverhead alternates requests directly to the engines and through the daemon, all in this
+// process, and reports the overhead of the daemon. Allocations are counted for the whole process,
+// including the simulated engines and the client, so the difference is the daemon's share.
 func BenchmarkOverhead(b *testing.B) {
 	p := newBenchSetup(b)
 	kinds := []func(int) (sample, error){p.runDirect, p.runThroughDaemon}
@@ -216,8 +217,8 @@
 	b.ReportMetric(float64(allocated[1])/float64(tokens[1])-float64(allocated[0])/float64(tokens[0]), "allocs-added/token")
 }
 
-// BenchmarkRequestsPerCore measures short answers in parallel; run it with -cpu 1
-// for the rate on one core, stand-ins and clients included.
+// BenchmarkRequestsPerCore measures the rate of concurrent requests with short responses. Run it
+// with -cpu 1 for the rate on one core, including the simulated engines and the clients.
 func BenchmarkRequestsPerCore(b *testing.B) {
 	for _, kind := range []string{"direct", "through"} {
 		b.Run(kind, func(b *testing.B) {
@@ -227,7 +228,7 @@
 				run = p.runThroughDaemon
 			}
 			var next atomic.Int64
-			// Enough requests at once that waiting for one leaves work for the core.
+			// Enough concurrent requests to keep the core busy while some of them wait.
 			b.SetParallelism(concurrentRequestsPerCore)
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -10,9 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// An instance dies in the middle of its streams. The callers connected to it see
-// their streams break without a terminator; everybody else's answers go on, whole
-// and their own, through the instances that are left.
+// An instance is killed while it streams. Its callers see their streams end without a terminator.
+// The responses through the other instances must be complete and correct.
 func TestStreamsOfOtherInstancesSurviveInstanceCrash(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 2, decode: 2, plain: 1, tokenTime: 20 * time.Millisecond})
@@ -40,17 +39,18 @@
 		for k := range perInstance {
 			problem := responses[n][k].problem(prompt(n, k), maxTokens)
 			if n == 0 {
-				assert.Assert(t, !responses[n][k].complete || problem == "", "a cut answer looked whole: %s", problem)
+				assert.Assert(t, !responses[n][k].complete || problem == "", "an incorrect response is marked as complete: %s", problem)
 				continue
 			}
 			assert.Equal(t, problem, "", "instance %d request %d", n, k)
 		}
 	}
-	// The fleet goes on serving.
+	// The remaining instances must still serve new requests.
 	resp := chat(context.Background(), f.instances[1].callerAddress, f.keys["beta"], "after the death", maxTokens, nil)
 	assert.Equal(t, resp.problem("after the death", maxTokens), "")
 }
 
+// prompt returns a prompt that differs for each pair of n and k.
 func prompt(n, k int) string {
 	return fmt.Sprintf("rota of house %d on day %d with feeding at eight and cleaning at ten", n, k)
 }
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -1,5 +1,5 @@
-// Package e2e builds the programs, runs them as processes on loopback and judges
-// them by what callers receive.
+// Package e2e builds the programs, runs them as processes on the loopback interface and checks the
+// responses that callers receive.
 package e2e
 
 import (
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// patience bounds every wait for a condition. It is long, because a loaded
-// machine may take its time and no test asserts speed.
+// waitTimeout limits every wait for a condition. It is long because a loaded machine may be slow and
+// no test asserts speed.
 const waitTimeout = 60 * time.Second
 
 var binaries struct {
@@ -25,7 +25,7 @@
 	err  error
 }
 
-// TestMain removes the built programs.
+// TestMain runs the tests and removes the programs that they built.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if binaries.dir != "" {
@@ -34,7 +34,7 @@
 	os.Exit(code)
 }
 
-// build compiles the programs once for all tests.
+// buildPrograms compiles the programs once for all tests and returns their directory.
 func buildPrograms(t testing.TB) string {
 	t.Helper()
 	binaries.once.Do(func() {
@@ -53,7 +53,7 @@
 	return binaries.dir
 }
 
-// process is one running program and the key=value lines it prints.
+// process is a running program and its output, which consists of lines of key=value pairs.
 type process struct {
 	name string
 	cmd  *exec.Cmd
@@ -63,7 +63,7 @@
 	lines []string
 }
 
-// start runs a program until the test ends.
+// startProcess runs a program until the end of the test.
 func startProcess(t testing.TB, name, program string, args ...string) *process {
 	t.Helper()
 	p := &process{name: name, cmd: exec.Command(filepath.Join(buildPrograms(t), program), args...), done: make(chan struct{})}
@@ -97,13 +97,14 @@
 	close(p.done)
 }
 
+// outputLines returns the lines printed so far.
 func (p *process) outputLines() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.lines...)
 }
 
-// field waits for a line that contains marker and returns the value of a key in it.
+// outputField waits for a line that contains marker and returns the value of a key in it.
 func (p *process) outputField(t testing.TB, marker, key string) string {
 	t.Helper()
 	var value string
@@ -126,25 +127,25 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// kill ends the process at once and waits for it.
+// kill terminates the process with SIGKILL and waits for its end.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// exitCode waits for the process to end by itself.
+// exitCode waits for the process to exit on its own and returns its exit code.
 func (p *process) exitCode(t testing.TB) int {
 	t.Helper()
 	select {
 	case <-p.done:
 		return p.cmd.ProcessState.ExitCode()
 	case <-time.After(waitTimeout):
-		t.Fatalf("%s did not exit", p.name)
+		t.Fatalf("%s did not exit within %v", p.name, waitTimeout)
 		return -1
 	}
 }
 
-// eventually waits for a condition.
+// eventually waits for a condition and fails the test if it is not met within waitTimeout.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(20 * time.Millisecond) {
@@ -152,7 +153,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("never came about: %s", what)
+			t.Fatalf("condition not met within %v: %s", waitTimeout, what)
 		}
 	}
 }
--- a/e2e/rate_test.go
+++ b/e2e/rate_test.go
@@ -13,9 +13,9 @@
 	"github.com/cairnworks/cairnworks/object"
 )
 
-// An organisation sends several times its rate through every instance at once,
-// and one instance dies on the way. What the instances admit together must stay
-// within rate and burst; the other organisation is served all the while.
+// An organisation sends several times its rate through all instances concurrently, and one instance
+// is killed meanwhile. The requests that all instances admit together must stay within the rate and
+// the burst. The refusals of the other organisation are logged but not asserted.
 func TestRateLimitHoldsAcrossInstancesWhileOneIsKilled(t *testing.T) {
 	t.Parallel()
 	limit := object.Limit{TokensPerSecond: 30 * lookupCost, Burst: 60 * lookupCost}
@@ -45,14 +45,14 @@
 			time.Sleep(200 * time.Millisecond)
 		}
 	})
-	eventually(t, "the burst is used up", func() bool { return admitted.Load() >= 30 })
+	eventually(t, "30 requests are admitted", func() bool { return admitted.Load() >= 30 })
 	f.instances[0].kill()
 	admittedAtKill := admitted.Load()
-	eventually(t, "the rate flows on after the death", func() bool { return admitted.Load() > admittedAtKill+60 })
+	eventually(t, "60 more requests are admitted after the instance was killed", func() bool { return admitted.Load() > admittedAtKill+60 })
 	total, elapsed := admitted.Load(), time.Since(start)
 	cancel()
 	wg.Wait()
 	bound := (float64(limit.Burst) + float64(limit.TokensPerSecond)*elapsed.Seconds()) / lookupCost
-	assert.Assert(t, float64(total) <= bound, "admitted %d in %v, the bound is %.0f", total, elapsed, bound)
-	t.Logf("admitted %d of at most %.0f in %v; the other organisation was refused %d times", total, bound, elapsed, refusedOther.Load())
+	assert.Assert(t, float64(total) <= bound, "admitted %d requests in %v, want at most %.0f", total, elapsed, bound)
+	t.Logf("admitted %d of at most %.0f requests in %v; %d requests of the other organisation were refused", total, bound, elapsed, refusedOther.Load())
 }
--- a/e2e/renamed_test.go
+++ b/e2e/renamed_test.go
@@ -13,7 +13,7 @@
 	"github.com/cairnworks/cairnworks/settings"
 )
 
-// logRelay stands before a log and refuses calls on one stream while it is shut.
+// logProxy forwards requests to a log, and refuses those for one stream while it is blocked.
 type logProxy struct {
 	logAddress, stream string
 	blocked            atomic.Bool
@@ -45,8 +45,9 @@
 	_, _ = io.Copy(w, resp.Body)
 }
 
-// Guards against an instance of a renamed fleet that takes callers before it has read its fleet's
-// id: all others refuse its calls until then, and each request was refused for want of a rate home.
+// Guards against an instance of a renamed fleet that accepts callers before it has read the fleet
+// ID. All other instances reject its calls until then, so each request was refused because no rate
+// home was available.
 func TestRenamedInstanceIsNotReadyWithoutFleetID(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 1})
@@ -57,12 +58,12 @@
 	d := f.startInstance(3, func(s *settings.Settings) {
 		s.Fleet, s.Platform.Log = "renamed", server.Listener.Addr().String()
 	})
-	eventually(t, "the id is asked for again and again", func() bool {
+	eventually(t, "the fleet ID has been requested at least six times", func() bool {
 		assert.Assert(t, probeStatus(d.operatorAddress, "/readyz") != http.StatusOK, "ready after %d refused reads", proxy.refused.Load())
 		return proxy.refused.Load() >= 6
 	})
 	proxy.blocked.Store(false)
-	eventually(t, "it is ready", func() bool { return probeStatus(d.operatorAddress, "/readyz") == http.StatusOK })
+	eventually(t, "the instance is ready", func() bool { return probeStatus(d.operatorAddress, "/readyz") == http.StatusOK })
 	for n := range 10 {
 		assert.Equal(t, f.sendMixedRequest(d, 0, 3*n+1), "")
 	}
--- a/e2e/rolling_test.go
+++ b/e2e/rolling_test.go
@@ -16,23 +16,24 @@
 	"github.com/cairnworks/cairnworks/settings"
 )
 
-// balancer sends callers to instances as the platform's does: to those that were
-// ready when it last looked.
+// loadBalancer selects instances like the platform's load balancer: those that were ready at its
+// latest poll.
 type loadBalancer struct {
 	mu    sync.Mutex
 	rand  *rand.Rand
 	ready []*daemon
-	// looked is when it began to look for what it knows.
+	// polledAt is the start of the latest completed poll.
 	polledAt time.Time
 }
 
-// balancerInterval is how often the balancer looks, balancerLag how late it learns at most. The
-// instances' grace is above it.
+// balancerPollInterval is the interval of the load balancer's polls and balancerMaxAge the maximum
+// age of the results it uses. The drain grace of the instances exceeds it.
 const (
 	balancerPollInterval = 300 * time.Millisecond
 	balancerMaxAge       = 2 * balancerPollInterval
 )
 
+// poll polls the readiness of the instances until ctx is cancelled.
 func (b *loadBalancer) poll(ctx context.Context, instances func() []*daemon) {
 	for ctx.Err() == nil {
 		var ready []*daemon
@@ -49,8 +50,9 @@
 	}
 }
 
-// pick returns an instance, and when the balancer began to look for it. On a machine that is too
-// busy for the balancer to look in time, callers wait until it has.
+// pick returns an instance that was ready at the latest poll, or nil if there is none, and the start
+// of that poll. If the machine is too busy for the load balancer to poll in time, pick waits for the
+// next poll.
 func (b *loadBalancer) pick() (*daemon, time.Time) {
 	for {
 		b.mu.Lock()
@@ -67,20 +69,19 @@
 	}
 }
 
-// All nine instances are replaced one after the other while callers stream,
-// look up and book. No caller may see an error: not a cut stream, not a refused
-// connection, not a refusal because a scheduler or a rate home is on the move.
+// All nine instances are replaced one after the other while callers send streams, lookups and swaps.
+// No caller may see an error: no interrupted stream, no refused connection, and no refusal because a
+// scheduler or a rate home is moving.
 func TestRollingReplacementWithoutCallerErrors(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 9, prefill: 2, decode: 3, plain: 2, tokenTime: 5 * time.Millisecond, graceSeconds: 1})
 	rollOver(t, f, withDrainGrace(1))
 }
 
-// The fleet's name is set, or another address of its log, by a rolling restart: for its time
-// half of the instances give one name and half another. They use one log, so they are one
-// fleet. Taken for strangers, both halves took the homes of rates from one another without
-// end, and every caller was refused ("rate_home_unavailable") until the last instance was
-// replaced.
+// A rolling restart sets the fleet's name, or another address of its log. Until it ends, some
+// instances use the old name and some the new one. They use one log, so they are one fleet. When
+// they were treated as two fleets, the two groups repeatedly claimed the rate homes from each other,
+// and every request was refused with rate_home_unavailable until the last instance was replaced.
 func TestFleetIsRenamedWithoutCallerErrors(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 4, prefill: 1, decode: 2, plain: 2, tokenTime: 5 * time.Millisecond, graceSeconds: 1})
@@ -90,8 +91,9 @@
 	})
 }
 
-// rollOver replaces all instances one after the other under callers, and checks that none of
-// them sees an error and each booking ran once. adjust changes the new ones' settings.
+// rollOver replaces all instances one after the other while callers send requests. It checks that no
+// caller sees an error and that each swap ran once. adjust modifies the settings of the new
+// instances.
 func rollOver(t *testing.T, f *fleet, adjust func(*settings.Settings)) {
 	t.Helper()
 	size := len(f.instances)
@@ -104,7 +106,7 @@
 		defer mu.Unlock()
 		return append([]*daemon(nil), running...)
 	})
-	eventually(t, "the balancer sees instances", func() bool { picked, _ := b.pick(); return picked != nil })
+	eventually(t, "the load balancer finds ready instances", func() bool { picked, _ := b.pick(); return picked != nil })
 
 	var errors sync.Map
 	var answered atomic.Int64
@@ -114,7 +116,7 @@
 			for k := 0; ctx.Err() == nil; k++ {
 				target, polledAt := b.pick()
 				if problem := f.sendMixedRequest(target, n, k); problem != "" {
-					errors.Store(fmt.Sprintf("%d/%d", n, k), fmt.Sprintf("%s: %s, by a look %v old", target.name, problem, time.Since(polledAt)))
+					errors.Store(fmt.Sprintf("%d/%d", n, k), fmt.Sprintf("%s: %s, polled %v ago", target.name, problem, time.Since(polledAt)))
 					continue
 				}
 				answered.Add(1)
@@ -142,15 +144,16 @@
 		t.Logf("request %v: %v", key, problem)
 		return true
 	})
-	t.Logf("%d answered, %d errors", answered.Load(), count)
+	t.Logf("%d requests succeeded, %d failed", answered.Load(), count)
 	assert.Equal(t, count, 0)
-	assert.Assert(t, answered.Load() >= int64(size), "the balancer looked too seldom for callers to ask")
+	assert.Assert(t, answered.Load() >= int64(size), "the load balancer polled too rarely: fewer than %d requests succeeded", size)
 	for key, runs := range f.runsByKey() {
 		assert.Equal(t, runs, 1, key)
 	}
 }
 
-// mixedRequest sends a stream, a lookup or a booking and says what was wrong.
+// sendMixedRequest sends a streamed completion, a lookup or a swap, depending on k, and returns a
+// description of the failure or an empty string.
 func (f *fleet) sendMixedRequest(d *daemon, n, k int) string {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
@@ -168,6 +171,7 @@
 	}
 }
 
+// plainProblem describes why a call of the plain service failed, or returns an empty string.
 func plainProblem(resp response) string {
 	if resp.err != nil {
 		return resp.err.Error()
--- a/e2e/slope_bench_test.go
+++ b/e2e/slope_bench_test.go
@@ -18,17 +18,18 @@
 )
 
 const (
-	// settleTime lets a started fleet find itself and take its rate shards.
+	// settleTime is the time given to the instances of a started fleet to discover each other and to
+	// claim the rate shards.
 	settleTime = 15 * time.Second
-	// windowTime is over what a process is measured.
+	// measurementTime is the time over which the processes are measured.
 	measurementTime = 20 * time.Second
-	// clockTick is the unit of processor time in /proc/PID/stat.
+	// clockTick is the unit of CPU time in /proc/PID/stat.
 	clockTick = 10 * time.Millisecond
 )
 
-// usage is what a process has used so far. Bytes and calls are those of read and
-// write, which is how the daemon speaks TCP; its UDP goes by other system calls and
-// is not among them.
+// processUsage is the resource usage of a process so far. Bytes and calls are those of the read and
+// write system calls, which the daemon uses for TCP. Its UDP traffic uses other system calls and is
+// not included.
 type processUsage struct {
 	cpu                     time.Duration
 	received, sent          float64
@@ -36,12 +37,12 @@
 	residentMB              float64
 }
 
-// usageOf reads the kernel's record of a process.
+// readProcessUsage reads the resource usage of a process from /proc.
 func readProcessUsage(b *testing.B, pid int) processUsage {
 	b.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	assert.NilError(b, err)
-	// The program's name in brackets may contain spaces.
+	// The program name in parentheses may contain spaces.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	user, err := strconv.Atoi(fields[11])
 	assert.NilError(b, err)
@@ -55,8 +56,8 @@
 	}
 }
 
-// gossipOf sums the daemons' own counts of UDP bytes sent, headers included. They
-// receive as many.
+// gossipBytesSent returns the sum of the UDP bytes sent, including headers, as counted by the
+// daemons. They receive the same number of bytes.
 func gossipBytesSent(b *testing.B, f *fleet) float64 {
 	b.Helper()
 	sum := 0.0
@@ -66,7 +67,8 @@
 	return sum
 }
 
-// metric reads one counter of a daemon by the end of its name.
+// readMetric reads a counter of a daemon whose name has the given suffix. It returns 0 if there is
+// none.
 func readMetric(b *testing.B, d *daemon, name string) float64 {
 	b.Helper()
 	resp, err := http.Get("http://" + d.operatorAddress + "/metrics")
@@ -85,7 +87,7 @@
 	return 0
 }
 
-// procValues reads a file of "name: number" lines.
+// readProcFile reads a file that consists of lines of the form "name: number".
 func readProcFile(b *testing.B, file string) map[string]float64 {
 	b.Helper()
 	data, err := os.ReadFile(file)
@@ -100,7 +102,8 @@
 	return values
 }
 
-// slopeFleet starts a fleet whose set holds so many organisations, with two keys each.
+// newScalingFleet starts a fleet whose object set contains the given number of additional
+// organisations with two keys each.
 func newScalingFleet(b *testing.B, cfg fleetConfig, organisations int) *fleet {
 	b.Helper()
 	instances := cfg.instances
@@ -125,11 +128,11 @@
 	return f
 }
 
-// reportUsage measures the daemons over a window and reports what one of them uses,
-// as the mean over all and for processor time and memory also the largest.
+// reportUsage measures the daemons for measurementTime and reports the mean usage of a daemon, and
+// for CPU time and memory also the maximum.
 func reportUsage(b *testing.B, f *fleet) {
 	b.Helper()
-	// Scrapes are kept out of the window in which TCP is counted.
+	// Metrics are scraped outside the time in which TCP traffic is counted.
 	gossipBefore := gossipBytesSent(b, f)
 	before := make([]processUsage, len(f.instances))
 	for n, d := range f.instances {
@@ -164,9 +167,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkIdleInstances measures daemons without any request, by fleet size. What
-// grows with the size is the cost of membership, the rate's fence and the log's
-// followers.
+// BenchmarkIdleInstances measures daemons without requests, by fleet size. The costs that grow with
+// the size are those of membership, of the rate leases' fence sets and of following the log.
 func BenchmarkIdleInstances(b *testing.B) {
 	for _, instances := range []int{9, 18, 36} {
 		b.Run(strconv.Itoa(instances), func(b *testing.B) {
@@ -190,8 +192,8 @@
 	}
 }
 
-// BenchmarkIdleUpstreams measures one idle daemon, which schedules every service, by
-// the number of engines it polls.
+// BenchmarkIdleUpstreams measures one idle daemon, which schedules all services, by the number of
+// engines that it polls.
 func BenchmarkIdleUpstreams(b *testing.B) {
 	for _, engines := range []int{4, 8, 16} {
 		b.Run(strconv.Itoa(engines), func(b *testing.B) {
@@ -203,10 +205,10 @@
 	}
 }
 
-// BenchmarkHeldStreams measures one daemon that holds so many open streams, all
-// scheduled by itself. Each passes on a token every two seconds, so that TCP counts
-// callers and engines too and only memory and processor time are of use. A few
-// answers are short and end before the window does.
+// BenchmarkHeldStreams measures one daemon by the number of its open streams, which it schedules
+// itself. Each stream forwards a token every two seconds. TCP traffic therefore includes that of
+// callers and engines, and only memory and CPU time are meaningful. A few responses are short and
+// end before the measurement does.
 func BenchmarkHeldStreams(b *testing.B) {
 	for _, streams := range []int{30, 60, 120} {
 		b.Run(strconv.Itoa(streams), func(b *testing.B) {
@@ -217,7 +219,7 @@
 				open.Go(func() {
 					resp := chat(ctx, f.instances[0].callerAddress, f.keys["alpha"], "held "+strconv.Itoa(n), longMaxTokens, nil)
 					if ctx.Err() == nil && !resp.complete {
-						b.Errorf("stream %d was cut: status %d, code %q, %v", n, resp.status, resp.code, resp.err)
+						b.Errorf("stream %d is incomplete: status %d, code %q, %v", n, resp.status, resp.code, resp.err)
 					}
 				})
 			}
@@ -233,8 +235,8 @@
 	}
 }
 
-// BenchmarkOperatorQueries reports the bytes of one answer to each of the operators'
-// queries that grow with the fleet.
+// BenchmarkOperatorQueries reports the size of the response to each operator query whose response
+// grows with the fleet.
 func BenchmarkOperatorQueries(b *testing.B) {
 	for _, instances := range []int{9, 18, 36} {
 		b.Run(strconv.Itoa(instances), func(b *testing.B) {
--- a/e2e/takeover_test.go
+++ b/e2e/takeover_test.go
@@ -16,12 +16,12 @@
 	"github.com/cairnworks/cairnworks/stand"
 )
 
-// scheduler returns the instance that schedules the model service, once all
-// instances name the same one.
+// agreedScheduler waits until all instances report the same scheduler of the model service and
+// returns it.
 func (f *fleet) agreedScheduler() *daemon {
 	f.t.Helper()
 	var found *daemon
-	eventually(f.t, "all instances name one scheduler", func() bool {
+	eventually(f.t, "all instances report the same scheduler", func() bool {
 		names := map[string]bool{}
 		for _, d := range f.instances {
 			names[f.schedulerSeenBy(d)] = true
@@ -37,7 +37,7 @@
 	return found
 }
 
-// schedulerBy returns the name of the scheduler by one instance's view.
+// schedulerSeenBy returns the name of the model service's scheduler as reported by one instance.
 func (f *fleet) schedulerSeenBy(d *daemon) string {
 	resp, err := http.Get("http://" + d.operatorAddress + "/queues")
 	if err != nil {
@@ -56,7 +56,7 @@
 	return ""
 }
 
-// without returns the instances but one.
+// instancesExcept returns all instances except one.
 func (f *fleet) instancesExcept(d *daemon) []*daemon {
 	var others []*daemon
 	for _, other := range f.instances {
@@ -67,10 +67,9 @@
 	return others
 }
 
-// The instance that hands out the decode slots dies, or is stopped, while some
-// requests run on its grants and others wait in its queue. Those who wait must
-// get a place from its successor, those who run must not be cut, and the
-// successor must not give the running ones' slots away twice.
+// The scheduler that grants the decode slots is killed or paused while some requests run on its
+// grants and others wait in its queue. The waiting requests must get a slot from its successor, the
+// running ones must not be interrupted, and the successor must not grant their slots a second time.
 func TestRequestsSurviveSchedulerFailure(t *testing.T) {
 	for _, fault := range []syscall.Signal{syscall.SIGKILL, syscall.SIGSTOP} {
 		t.Run(fault.String(), func(t *testing.T) {
@@ -86,23 +85,23 @@
 					responses[k] = chat(context.Background(), others[k%2].callerAddress, f.keys["alpha"], prompt(3, k), maxTokens, nil)
 				})
 			}
-			eventually(t, "the slots are full", func() bool { return f.heldByEngines() >= 4 })
+			eventually(t, "all slots are in use", func() bool { return f.heldByEngines() >= 4 })
 			scheduler.signal(fault)
 			wg.Wait()
 			for k := range responses {
 				assert.Equal(t, responses[k].problem(prompt(3, k), maxTokens), "", "request %d", k)
 			}
-			eventually(t, "engines hold nothing", func() bool { return f.heldByEngines() == 0 })
+			eventually(t, "engines hold no streams or KV caches", func() bool { return f.heldByEngines() == 0 })
 			var stats stand.EngineStats
 			f.readStats("decode-0", &stats)
-			assert.Equal(t, stats.SlotRefusals, 0, "slots were given away twice")
+			assert.Equal(t, stats.SlotRefusals, 0, "slots were granted twice")
 		})
 	}
 }
 
-// The platform's log is down, so that no home can move, and then an instance
-// dies. Callers of the others go on being served, by the shares that are left;
-// when the log is back everything moves on.
+// The platform's log is down, so that no rate home can move, and then an instance is killed. The
+// other instances must continue to serve callers from the remaining shares of the rate. Once the log
+// is back, swaps must succeed too.
 func TestInstanceKilledWhileLogIsDown(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond})
@@ -118,18 +117,17 @@
 		}
 		return true
 	}
-	eventually(t, "the others serve while the log is down", allServe)
+	eventually(t, "the other instances serve while the log is down", allServe)
 	f.setFaults("log", stand.Faults{})
-	eventually(t, "a booking goes through with the log back", func() bool {
+	eventually(t, "a swap succeeds after the log is back", func() bool {
 		resp, _ := callPlain(context.Background(), survivors[0].callerAddress, f.keys["alpha"], http.MethodPost, "/swaps", "after", "{}")
 		return resp.status == http.StatusOK
 	})
 	assert.Assert(t, allServe())
 }
 
-// An instance is stopped with open streams of a key, the key is withdrawn, and
-// the instance comes back as if nothing had happened. The key must stop working
-// there too, for its open streams and for new requests.
+// An instance with open streams of a key is paused, the key is withdrawn, and the instance resumes
+// without noticing the pause. It must also end the open streams of the key and refuse new requests.
 func TestKeyWithdrawnWhileInstanceIsPaused(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 3, prefill: 1, decode: 2, plain: 1, tokenTime: 50 * time.Millisecond})
@@ -137,41 +135,42 @@
 	responses, wait := f.openStreams(context.Background(), paused, 3)
 	paused.signal(syscall.SIGSTOP)
 	f.withdrawKeys("alpha")
-	eventually(t, "refused elsewhere", func() bool { return f.refusesWithdrawnKey(f.instances[0]) })
+	eventually(t, "another instance refuses the withdrawn key", func() bool { return f.refusesWithdrawnKey(f.instances[0]) })
 	paused.signal(syscall.SIGCONT)
-	eventually(t, "refused after the pause", func() bool { return f.refusesWithdrawnKey(paused) })
+	eventually(t, "the resumed instance refuses the withdrawn key", func() bool { return f.refusesWithdrawnKey(paused) })
 	wait()
 	for k := range responses {
-		assert.Assert(t, !responses[k].complete, "stream %d went on to its end", k)
+		assert.Assert(t, !responses[k].complete, "stream %d completed with a withdrawn key", k)
 	}
-	eventually(t, "engines hold nothing", func() bool { return f.heldByEngines() == 0 })
+	eventually(t, "engines hold no streams or KV caches", func() bool { return f.heldByEngines() == 0 })
 }
 
+// refusesWithdrawnKey reports whether an instance refuses a request with the code key_withdrawn.
 func (f *fleet) refusesWithdrawnKey(d *daemon) bool {
 	resp := chat(context.Background(), d.callerAddress, f.keys["alpha"], "again", 5, nil)
 	return resp.code == "key_withdrawn"
 }
 
-// An instance is paused until the others declare it dead, and comes back under a
-// new incarnation. Later another instance dies. The shards of rates that then
-// belong to the one that came back must be taken up by it; left to nobody, their
-// organisations would miss a third of their rate until it is restarted.
+// An instance is paused until the others declare it dead, and resumes with a new incarnation. Then
+// another instance is killed. The resumed instance must claim the rate shards that are then assigned
+// to it. Otherwise they would have no home, and their organisations would lose a third of their rate
+// until the instance is restarted.
 func TestPausedInstanceBecomesRateHomeAgain(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetConfig{instances: 4, prefill: 1, decode: 1, plain: 1, tokenTime: time.Millisecond})
 	paused := f.instances[1]
 	heldShards := func() int { return paused.countLines("msg=\"rate shard held\"") }
 	paused.signal(syscall.SIGSTOP)
-	eventually(t, "the others go on without it", func() bool { return f.memberStates(f.instances[0])[paused.name] == "dead" })
+	eventually(t, "the others declare the paused instance dead", func() bool { return f.memberStates(f.instances[0])[paused.name] == "dead" })
 	paused.signal(syscall.SIGCONT)
-	eventually(t, "it is back under a new incarnation", func() bool { return paused.countLines("declared dead while paused") > 0 })
-	eventually(t, "the others see it again", func() bool { return f.memberStates(f.instances[0])[paused.name] == "alive" })
+	eventually(t, "the resumed instance has a new incarnation", func() bool { return paused.countLines("declared dead while paused") > 0 })
+	eventually(t, "the others report the resumed instance as alive", func() bool { return f.memberStates(f.instances[0])[paused.name] == "alive" })
 	before := heldShards()
 	f.instances[0].kill()
-	eventually(t, "it takes homes of the dead one", func() bool { return heldShards() > before })
+	eventually(t, "the resumed instance claims shards of the killed one", func() bool { return heldShards() > before })
 }
 
-// count returns how many lines a process printed with a text.
+// countLines returns the number of printed lines that contain a text.
 func (p *process) countLines(text string) int {
 	n := 0
 	for _, line := range p.outputLines() {
@@ -182,7 +181,7 @@
 	return n
 }
 
-// states returns the state of each instance by the view of one of them.
+// memberStates returns the state of each instance as reported by one of them.
 func (f *fleet) memberStates(d *daemon) map[string]string {
 	resp, err := http.Get("http://" + d.operatorAddress + "/instances")
 	if err != nil {
