--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -1,5 +1,5 @@
-// Package e2e builds the programs, runs them as processes on loopback and judges
-// them by what callers receive.
+// Package e2e builds the programs, runs them as processes on the loopback interface and checks the
+// responses that callers receive.
 package e2e
 
 import (
@@ -15,9 +15,9 @@
 	"time"
 )
 
-// patience bounds every wait for a condition. It is long, because a loaded
-// machine may take its time and no test asserts speed.
-const patience = 60 * time.Second
+// waitTimeout limits every wait for a condition. It is long because a loaded machine may be slow and
+// no test asserts speed.
+const waitTimeout = 60 * time.Second
 
 var binaries struct {
 	once sync.Once
@@ -25,7 +25,7 @@
 	err  error
 }
 
-// TestMain removes the built programs.
+// TestMain runs the tests and removes the programs that they built.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if binaries.dir != "" {
@@ -34,8 +34,8 @@
 	os.Exit(code)
 }
 
-// build compiles the programs once for all tests.
-func build(t testing.TB) string {
+// buildPrograms compiles the programs once for all tests and returns their directory.
+func buildPrograms(t testing.TB) string {
 	t.Helper()
 	binaries.once.Do(func() {
 		binaries.dir, binaries.err = os.MkdirTemp("", "cairnworks-e2e-")
@@ -53,7 +53,7 @@
 	return binaries.dir
 }
 
-// process is one running program and the key=value lines it prints.
+// process is a running program and its output, which consists of lines of key=value pairs.
 type process struct {
 	name string
 	cmd  *exec.Cmd
@@ -63,10 +63,10 @@
 	lines []string
 }
 
-// start runs a program until the test ends.
-func start(t testing.TB, name, program string, args ...string) *process {
+// startProcess runs a program until the end of the test.
+func startProcess(t testing.TB, name, program string, args ...string) *process {
 	t.Helper()
-	p := &process{name: name, cmd: exec.Command(filepath.Join(build(t), program), args...), done: make(chan struct{})}
+	p := &process{name: name, cmd: exec.Command(filepath.Join(buildPrograms(t), program), args...), done: make(chan struct{})}
 	out, err := p.cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 		p.signal(syscall.SIGCONT)
 		p.kill()
 		if t.Failed() {
-			t.Logf("--- %s\n%s", name, strings.Join(p.printed(), "\n"))
+			t.Logf("--- %s\n%s", name, strings.Join(p.outputLines(), "\n"))
 		}
 	})
 	return p
@@ -97,18 +97,19 @@
 	close(p.done)
 }
 
-func (p *process) printed() []string {
+// outputLines returns the lines printed so far.
+func (p *process) outputLines() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.lines...)
 }
 
-// field waits for a line that contains marker and returns the value of a key in it.
-func (p *process) field(t testing.TB, marker, key string) string {
+// outputField waits for a line that contains marker and returns the value of a key in it.
+func (p *process) outputField(t testing.TB, marker, key string) string {
 	t.Helper()
 	var value string
 	eventually(t, p.name+" prints "+marker, func() bool {
-		for _, line := range p.printed() {
+		for _, line := range p.outputLines() {
 			if !strings.Contains(line, marker) {
 				continue
 			}
@@ -126,33 +127,33 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// kill ends the process at once and waits for it.
+// kill terminates the process with SIGKILL and waits for its end.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// exitCode waits for the process to end by itself.
+// exitCode waits for the process to exit on its own and returns its exit code.
 func (p *process) exitCode(t testing.TB) int {
 	t.Helper()
 	select {
 	case <-p.done:
 		return p.cmd.ProcessState.ExitCode()
-	case <-time.After(patience):
-		t.Fatalf("%s did not exit", p.name)
+	case <-time.After(waitTimeout):
+		t.Fatalf("%s did not exit within %v", p.name, waitTimeout)
 		return -1
 	}
 }
 
-// eventually waits for a condition.
+// eventually waits for a condition and fails the test if it is not met within waitTimeout.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(20 * time.Millisecond) {
 		if condition() {
 			return
 		}
-		if time.Now().After(end) {
-			t.Fatalf("never came about: %s", what)
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met within %v: %s", waitTimeout, what)
 		}
 	}
 }
