--- a/cmd/cairnworksd/routed.go
+++ b/cmd/cairnworksd/routed.go
@@ -47,7 +47,7 @@
 	log, atomic := observe.NewLogger(out, level)
 	i, err := routed.New(s, platform.Outside(s), log)
 	if err != nil {
-		log.Error("not started", zap.Error(err))
+		log.Error("cannot start", zap.Error(err))
 		return err
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
@@ -69,7 +69,7 @@
 		}
 		s, err := settings.LoadRouted(file)
 		if err != nil {
-			log.Error("settings not reloaded; those before stay in force", zap.Error(err))
+			log.Error("cannot reload settings; keeping the previous ones", zap.Error(err))
 			continue
 		}
 		if parsed, err := zapcore.ParseLevel(s.LogLevel); err == nil {
--- a/fleet/ask.go
+++ b/fleet/ask.go
@@ -62,11 +62,11 @@
 	r.Instance, r.Incarnation, r.Fleet = x.self.Name, x.self.Incarnation, x.identity()
 	data, err := r.marshal()
 	if err != nil {
-		x.logger.Error("datagram not sent", zap.String("peer", to), zap.Error(err))
+		x.logger.Error("cannot send datagram", zap.String("peer", to), zap.Error(err))
 		return
 	}
 	if _, err := x.conn.WriteToUDPAddrPort(data, address); err != nil {
-		x.logger.Debug("datagram not sent", zap.String("peer", to), zap.Error(err))
+		x.logger.Debug("cannot send datagram", zap.String("peer", to), zap.Error(err))
 	}
 }
 
--- a/fleet/exchange.go
+++ b/fleet/exchange.go
@@ -157,7 +157,7 @@
 	for _, m := range members {
 		address, err := netip.ParseAddrPort(m.Address)
 		if err != nil {
-			x.logger.Warn("unreadable address of an instance", zap.String("peer", m.Name), zap.Error(err))
+			x.logger.Warn("invalid instance address", zap.String("peer", m.Name), zap.Error(err))
 			continue
 		}
 		run := RunOf(m.Name, m.Incarnation)
@@ -298,7 +298,7 @@
 		err = errReportTooLarge
 	}
 	if err != nil {
-		x.logger.Error("report not sent", zap.Error(err))
+		x.logger.Error("cannot send report", zap.Error(err))
 		return
 	}
 	compare := x.compareDue(now)
@@ -310,7 +310,7 @@
 		x.handler.FillFor(now, p.run, one)
 		data, err := one.appendTo(common)
 		if err != nil {
-			x.logger.Error("report not sent", zap.Error(err))
+			x.logger.Error("cannot send report", zap.Error(err))
 			return
 		}
 		x.writeReport(now, p, data)
@@ -381,7 +381,7 @@
 	address := p.address
 	x.mu.Unlock()
 	if _, err := x.conn.WriteToUDPAddrPort(data, address); err != nil {
-		x.logger.Debug("report not sent", zap.String("peer", p.Name), zap.Error(err))
+		x.logger.Debug("cannot send report", zap.String("peer", p.Name), zap.Error(err))
 	}
 }
 
@@ -393,7 +393,7 @@
 	defer x.mu.Unlock()
 	if now-x.lastWake > stallThreshold {
 		x.dropUntil = now + stallDropWindow
-		x.logger.Warn("process stood still", zap.Duration("gap", now-x.lastWake))
+		x.logger.Warn("process stalled", zap.Duration("gap", now-x.lastWake))
 	}
 	x.lastWake = now
 	return now
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -125,7 +125,7 @@
 		return skipEntryRecheck
 	}
 	if err := m.writeEntry(ctx); err != nil {
-		m.logger.Warn("entry not renewed", zap.Error(err))
+		m.logger.Warn("cannot renew own instance entry", zap.Error(err))
 		if !m.hasEntry.Load() {
 			return firstRenewRetry
 		}
@@ -163,7 +163,7 @@
 		return
 	}
 	if err := m.log.Put(ctx, port.TopicInstances, m.self.Name, nil); err != nil {
-		m.logger.Warn("entry not dropped; it lapses", zap.Error(err))
+		m.logger.Warn("cannot delete own instance entry; it will expire", zap.Error(err))
 	}
 }
 
@@ -238,7 +238,7 @@
 			if m.GoneLogger != nil {
 				tell = m.GoneLogger()
 			}
-			tell("instance gone", zap.String("peer", name), zap.Duration("silent", silent))
+			tell("instance expired", zap.String("peer", name), zap.Duration("silent", silent))
 		}
 	}
 	return gone
@@ -267,7 +267,7 @@
 	}
 	if !m.fullLogged {
 		m.fullLogged = true
-		m.logger.Error("too many instances that the store does not list", zap.Int("unlisted", unlisted))
+		m.logger.Error("too many unlisted instances; ignoring new ones", zap.Int("unlisted", unlisted))
 	}
 	return true
 }
@@ -327,7 +327,7 @@
 	}
 	var member Member
 	if err := json.Unmarshal(record.Value, &member); err != nil {
-		m.logger.Warn("unreadable entry of an instance", zap.String("instance", record.Key), zap.Error(err))
+		m.logger.Warn("invalid instance entry", zap.String("instance", record.Key), zap.Error(err))
 		return
 	}
 	old, known := m.others[record.Key]
--- a/fleet/receive.go
+++ b/fleet/receive.go
@@ -17,13 +17,13 @@
 		n, from, err := x.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			if ctx.Err() == nil {
-				x.logger.Error("reports not received", zap.Error(err))
+				x.logger.Error("cannot receive reports", zap.Error(err))
 			}
 			return
 		}
 		r, err := unmarshal(buffer[:n])
 		if err != nil {
-			x.logger.Warn("unreadable report", zap.Error(err))
+			x.logger.Warn("invalid report", zap.Error(err))
 			continue
 		}
 		now := boottime.Now()
@@ -86,11 +86,11 @@
 		err = errReportTooLarge
 	}
 	if err != nil {
-		x.logger.Error("answer not sent", zap.Error(err))
+		x.logger.Error("cannot send poll answer", zap.Error(err))
 		return
 	}
 	if _, err := x.conn.WriteToUDPAddrPort(data, to); err != nil {
-		x.logger.Debug("answer not sent", zap.String("peer", poll.Instance), zap.Error(err))
+		x.logger.Debug("cannot send poll answer", zap.String("peer", poll.Instance), zap.Error(err))
 	}
 }
 
--- a/fleetid/keeper.go
+++ b/fleetid/keeper.go
@@ -94,7 +94,7 @@
 	wait(ctx, time.Duration(rand.Float64()*float64(v.cfg.Spread)), nil)
 	for ctx.Err() == nil {
 		if err := v.load(ctx); err != nil {
-			v.cfg.Logger.Warn("fleet id not read", zap.Stringer("fleet_id", v.Identity().ID), zap.Error(err))
+			v.cfg.Logger.Warn("cannot read fleet ID", zap.Stringer("fleet_id", v.Identity().ID), zap.Error(err))
 			wait(ctx, pause.NextBackOff(), nil)
 			continue
 		}
@@ -137,7 +137,7 @@
 		return err
 	}
 	if before := ID(v.id.Swap(uint64(id))); before != id {
-		v.cfg.Logger.Info("fleet known", zap.String("fleet", v.cfg.Name), zap.Stringer("fleet_id", id), zap.Stringer("before", before))
+		v.cfg.Logger.Info("fleet ID loaded", zap.String("fleet", v.cfg.Name), zap.Stringer("fleet_id", id), zap.Stringer("before", before))
 		if before == 0 {
 			close(v.known)
 		}
@@ -165,7 +165,7 @@
 		}
 	}
 	if v.logDue(other) {
-		v.cfg.Logger.Error("instance of another fleet is not heard", zap.Stringer("relation", relation),
+		v.cfg.Logger.Error("ignoring instance of another fleet", zap.Stringer("relation", relation),
 			zap.String("fleet", own.Name), zap.Stringer("fleet_id", own.ID),
 			zap.String("other_fleet", other.Name), zap.Stringer("other_id", other.ID),
 			zap.String("other", instance), zap.String("address", address))
--- a/fleetid/keeper_test.go
+++ b/fleetid/keeper_test.go
@@ -94,7 +94,7 @@
 		loads := store.loads
 		store.mu.Unlock()
 		assert.Assert(t, loads <= int(time.Minute/reloadInterval)+1, "%d reads in a minute", loads)
-		lines := logs.FilterMessage("instance of another fleet is not heard").All()
+		lines := logs.FilterMessage("ignoring instance of another fleet").All()
 		assert.Assert(t, len(lines) >= 1 && len(lines) <= 2, "%d lines in a minute", len(lines))
 		fields := lines[0].ContextMap()
 		assert.Equal(t, fields["fleet"], "rota")
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -150,7 +150,7 @@
 	}
 	records, next, err := f.Log.Since(ctx, f.Topic, next, wait)
 	if errors.Is(err, port.ErrForgotten) {
-		f.Logger.Info("history forgotten", zap.Stringer("topic", f.Topic), zap.Uint64("from", next))
+		f.Logger.Info("records expired; reading snapshot", zap.Stringer("topic", f.Topic), zap.Uint64("from", next))
 		return f.readSnapshot(ctx, begun)
 	}
 	if err != nil {
@@ -226,7 +226,7 @@
 	}
 	if f.failedCalls == 0 {
 		f.failingSince = f.Now()
-		f.Logger.Warn("store lost", zap.Stringer("topic", f.Topic), zap.Error(err))
+		f.Logger.Warn("store reads failing", zap.Stringer("topic", f.Topic), zap.Error(err))
 	}
 	f.failedCalls++
 	f.mu.Lock()
@@ -238,7 +238,7 @@
 
 func (f *Follower) handleSuccess() {
 	if f.failedCalls > 0 {
-		f.Logger.Info("store regained", zap.Stringer("topic", f.Topic), zap.Int("failed_calls", f.failedCalls),
+		f.Logger.Info("store reads recovered", zap.Stringer("topic", f.Topic), zap.Int("failed_calls", f.failedCalls),
 			zap.Duration("after", f.Now()-f.failingSince))
 	}
 	f.failedCalls = 0
--- a/follow/share.go
+++ b/follow/share.go
@@ -232,7 +232,7 @@
 		return
 	}
 	f.active = active
-	f.Logger.Info("reads for all", zap.Stringer("topic", f.Topic), zap.Bool("reads", active))
+	f.Logger.Info("active reader state changed", zap.Stringer("topic", f.Topic), zap.Bool("reads", active))
 }
 
 // defaultMark treats the whole topic as new if no other instance has said which part is. f.mu
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -32,7 +32,7 @@
 	}
 	body, err := json.Marshal(refusalBody{v.Reason, v.Ran.String(), v.Detail})
 	if err != nil {
-		g.log.Error("refusal not encoded", zap.Error(err))
+		g.log.Error("cannot encode refusal", zap.Error(err))
 	}
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -93,7 +93,7 @@
 			return
 		}
 		t.recordCrash(boottime.Now(), fleet.Crash{Fingerprint: hash, Upstream: fleet.HashOf(fmt.Sprintf("%s/%d", entry.ID, entry.Started))}, true)
-		t.log.Info("request ended with its upstream", zap.String("request", c.ID), zap.String("upstream", entry.ID), zap.Uint64("fingerprint", hash))
+		t.log.Info("upstream crashed while running request", zap.String("request", c.ID), zap.String("upstream", entry.ID), zap.Uint64("fingerprint", hash))
 		onCrash()
 	})
 }
--- a/gateway/placement.go
+++ b/gateway/placement.go
@@ -93,7 +93,7 @@
 	place, err := d.gateway.placementHomes.Claim(ctx, home.Name, c)
 	if err != nil && ctx.Err() == nil {
 		d.gateway.placementHomes.Suspect(home.Name)
-		d.gateway.log.Info("home of places silent", zap.String("service", d.service), zap.String("home", home.Name), zap.Error(err))
+		d.gateway.log.Info("placement home did not answer", zap.String("service", d.service), zap.String("home", home.Name), zap.Error(err))
 	}
 	return place, err == nil
 }
--- a/gateway/reachcheck.go
+++ b/gateway/reachcheck.go
@@ -66,7 +66,7 @@
 		defer cancel()
 		if err := d.gateway.Upstreams.CheckReachable(ctx, entry); err != nil {
 			d.gateway.outliers.recordUnreachable(entry, err)
-			d.gateway.log.Info("doubted upstream not reached", zap.String("upstream", id), zap.Error(err))
+			d.gateway.log.Info("upstream failed reachability check", zap.String("upstream", id), zap.Error(err))
 		}
 	}
 	p.setOpen(id, true)
--- a/gateway/roles.go
+++ b/gateway/roles.go
@@ -134,7 +134,7 @@
 	defer cancel()
 	records, _, err := c.Log.Newest(call, port.TopicRoles)
 	if err != nil {
-		c.gateway.log.Info("holders of orders not read", zap.Error(err))
+		c.gateway.log.Info("cannot read role lease holders", zap.Error(err))
 		return
 	}
 	for _, record := range records {
@@ -157,12 +157,12 @@
 	}
 	c.confirmations[d.service] = 0
 	work := d.workload()
-	c.gateway.log.Info("role change wanted", zap.String("service", d.service), zap.Stringer("to", to), zap.Int("engines", count),
+	c.gateway.log.Info("role change planned", zap.String("service", d.service), zap.Stringer("to", to), zap.Int("engines", count),
 		zap.Float64("samples", work.Samples), zap.Float64("prompt_tokens", work.MeanPrompt), zap.Float64("prefill_tokens_per_s", work.PrefillSpeed),
 		zap.Float64("decode_engine_s", work.MeanDecodeWork))
 	if err := c.applyChange(ctx, d, to, count); err != nil {
 		c.pausedUntil[d.service] = boottime.Now() + takeoverLeases*c.Lease
-		c.gateway.log.Info("role not changed", zap.String("service", d.service), zap.Stringer("to", to), zap.Error(err))
+		c.gateway.log.Info("role change failed", zap.String("service", d.service), zap.Stringer("to", to), zap.Error(err))
 	}
 }
 
@@ -213,7 +213,7 @@
 			return err
 		}
 		if err != nil {
-			c.gateway.log.Info("engine passed over", zap.String("service", d.service), zap.String("upstream", entry.ID), zap.Error(err))
+			c.gateway.log.Info("engine skipped for role change", zap.String("service", d.service), zap.String("upstream", entry.ID), zap.Error(err))
 			lastErr = err
 			continue
 		}
@@ -256,7 +256,7 @@
 	pool.withdraw(entry.ID, roleChangeWithdrawal)
 	c.gateway.triggerReport()
 	err = c.Engines.Order(call, entry, Order{Role: to, Holder: c.Holder, Token: token, Expect: state.Orders})
-	c.gateway.log.Info("role ordered", zap.String("service", d.service), zap.String("upstream", entry.ID), zap.Stringer("to", to),
+	c.gateway.log.Info("role change order sent", zap.String("service", d.service), zap.String("upstream", entry.ID), zap.Stringer("to", to),
 		zap.Uint64("token", token), zap.Int64("expect", state.Orders), zap.Error(err))
 	switch {
 	case err == nil:
--- a/instance/routed/readers.go
+++ b/instance/routed/readers.go
@@ -181,7 +181,7 @@
 	if !r.instance.state.Directory.Evacuate(dataCentre, evacuated) {
 		return false
 	}
-	r.instance.log.Info("data centre evacuated", zap.String("data_centre", dataCentre), zap.Bool("evacuated", evacuated))
+	r.instance.log.Info("data centre evacuation changed", zap.String("data_centre", dataCentre), zap.Bool("evacuated", evacuated))
 	return true
 }
 
@@ -193,7 +193,7 @@
 	}
 	c, ok, err := i.adapters.Configuration(record)
 	if err != nil {
-		i.log.Error("configuration not readable; the one before stays in force", zap.Error(err))
+		i.log.Error("invalid configuration; keeping the previous one", zap.Error(err))
 		return false
 	}
 	if !ok {
@@ -297,7 +297,7 @@
 
 func (r *upstreamReader) drop(id string) {
 	if logChange := r.instance.changeLogger(); r.instance.state.Directory.Remove(id) {
-		logChange("upstream gone", zap.String("upstream", id))
+		logChange("upstream removed", zap.String("upstream", id))
 	}
 }
 
--- a/instance/routed/routed.go
+++ b/instance/routed/routed.go
@@ -388,7 +388,7 @@
 	server := &http.Server{Addr: i.settings.Metrics, Handler: mux, ReadHeaderTimeout: defaultRequestLimits.HeaderTimeout}
 	group.Go(func() error {
 		if err := ignoreServerClosed(server.ListenAndServe()); err != nil {
-			i.log.Error("metrics not served", zap.Error(err))
+			i.log.Error("metrics server failed", zap.Error(err))
 		}
 		return nil
 	})
@@ -408,7 +408,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), grace-linger-exitMargin)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		i.log.Warn("requests cut off at the end of the grace", zap.Error(err))
+		i.log.Warn("requests cut off at the end of the grace period", zap.Error(err))
 	}
 	leave, done := context.WithTimeout(context.Background(), exitMargin/2)
 	defer done()
