--- a/instance/routed/events_test.go
+++ b/instance/routed/events_test.go
@@ -45,7 +45,7 @@
 	}
 	assert.Assert(t, len(written) > 20, "%d events found", len(written))
 	metric := regexp.MustCompile(`\.(?:Counter|Gauge|Histogram)\("([^"]+)"`)
-	for _, file := range []string{"../../observe/metrics.go", "../../fleetid/keeper.go"} {
+	for _, file := range []string{"../../observe/metrics.go", "../../fleetid/verifier.go"} {
 		text, err := os.ReadFile(file)
 		assert.NilError(t, err)
 		for _, match := range metric.FindAllStringSubmatch(string(text), -1) {
