--- a/follow/explore_test.go
+++ b/follow/explore_test.go
@@ -47,7 +47,7 @@
 	instance *modelInstance
 	records  []port.KeyedRecord
 	next     uint64
-	begun    time.Duration
+	started  time.Duration
 	snapshot bool
 }
 
@@ -87,7 +87,7 @@
 	e.follower.mu.Lock()
 	next, known := e.follower.next, e.follower.known
 	e.follower.mu.Unlock()
-	p := pendingRead{instance: e, next: uint64(len(x.records)), begun: x.now, snapshot: snapshot || !known}
+	p := pendingRead{instance: e, next: uint64(len(x.records)), started: x.now, snapshot: snapshot || !known}
 	if p.snapshot {
 		newest := make(map[string]port.KeyedRecord)
 		for _, r := range x.records {
@@ -105,13 +105,13 @@
 // finish delivers the response of a read, as Run does.
 func (x *model) finish(p pendingRead) {
 	if !p.snapshot {
-		p.instance.follower.applyRecords(p.records, p.next, p.begun)
+		p.instance.follower.applyRecords(p.records, p.next, p.started)
 		return
 	}
 	f := p.instance.follower
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.applySnapshot(p.records, p.next, p.begun)
+	f.applySnapshot(p.records, p.next, p.started)
 }
 
 // check fails if an instance claims to be caught up as of a time but lacks a record written
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -118,8 +118,8 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		begun := f.Now()
-		if err := f.readOnce(ctx, begun); err != nil {
+		started := f.Now()
+		if err := f.readOnce(ctx, started); err != nil {
 			f.handleFailure(ctx, err)
 			continue
 		}
@@ -135,7 +135,7 @@
 }
 
 // readOnce makes one call and processes its result.
-func (f *Follower) readOnce(ctx context.Context, begun time.Duration) error {
+func (f *Follower) readOnce(ctx context.Context, started time.Duration) error {
 	f.mu.Lock()
 	known, next := f.known, f.next
 	wait := f.Timing.Wait
@@ -146,38 +146,38 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeoutMargin)
 	defer cancel()
 	if !known {
-		return f.readSnapshot(ctx, begun)
+		return f.readSnapshot(ctx, started)
 	}
 	records, next, err := f.Log.Since(ctx, f.Topic, next, wait)
 	if errors.Is(err, port.ErrForgotten) {
 		f.Logger.Info("records expired; reading snapshot", zap.Stringer("topic", f.Topic), zap.Uint64("from", next))
-		return f.readSnapshot(ctx, begun)
+		return f.readSnapshot(ctx, started)
 	}
 	if err != nil {
 		return err
 	}
-	f.applyRecords(records, next, begun)
+	f.applyRecords(records, next, started)
 	return nil
 }
 
 // readSnapshot reads the newest record of each key.
-func (f *Follower) readSnapshot(ctx context.Context, begun time.Duration) error {
+func (f *Follower) readSnapshot(ctx context.Context, started time.Duration) error {
 	records, next, err := f.Log.Newest(ctx, f.Topic)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.applySnapshot(records, next, begun)
+	f.applySnapshot(records, next, started)
 	return nil
 }
 
 // applySnapshot processes the newest record of each key. f.mu must be held.
-func (f *Follower) applySnapshot(records []port.KeyedRecord, next uint64, begun time.Duration) {
+func (f *Follower) applySnapshot(records []port.KeyedRecord, next uint64, started time.Duration) {
 	if f.known && next < f.next {
 		// Other instances have relayed records since this response was produced. Applying it
 		// would remove them permanently, since they are not read again.
-		f.noteCaughtUp(begun)
+		f.noteCaughtUp(started)
 		return
 	}
 	changed := f.Handler.Replace(records)
@@ -188,11 +188,11 @@
 	if changed && f.markKnown {
 		f.mark, f.relay = f.next, relay{}
 	}
-	f.noteCaughtUp(begun)
+	f.noteCaughtUp(started)
 }
 
 // applyRecords processes the records of a read. Some may have been relayed in the meantime.
-func (f *Follower) applyRecords(records []port.KeyedRecord, next uint64, begun time.Duration) {
+func (f *Follower) applyRecords(records []port.KeyedRecord, next uint64, started time.Duration) {
 	var changed []port.KeyedRecord
 	f.mu.Lock()
 	for _, record := range records {
@@ -202,7 +202,7 @@
 	}
 	f.next = max(f.next, next)
 	f.queueRelay(changed)
-	f.noteCaughtUp(begun)
+	f.noteCaughtUp(started)
 	announce := f.Rank != nil && (len(changed) > 0 || !f.active)
 	f.mu.Unlock()
 	if announce && f.Announce != nil {
@@ -212,11 +212,11 @@
 
 // noteCaughtUp records that a read of this instance reached the end of the topic. f.mu must be
 // held.
-func (f *Follower) noteCaughtUp(begun time.Duration) {
-	f.asOf = max(f.asOf, begun)
+func (f *Follower) noteCaughtUp(started time.Duration) {
+	f.asOf = max(f.asOf, started)
 	f.lastRead = f.Now()
 	f.behind = false
-	f.Handler.CaughtUp(begun)
+	f.Handler.CaughtUp(started)
 }
 
 // handleFailure reports a failed call and waits before the next one.
