--- a/fleet/ask.go
+++ b/fleet/ask.go
@@ -18,8 +18,8 @@
 // the tokens is unknown; the caller must not spend them.
 var ErrUnanswered = errors.New("the instance asked did not answer")
 
-// Ask requests tokens from a hub.
-func (x *Exchange) Ask(ctx context.Context, hub string, a Ask) (Grant, error) {
+// RequestTokens asks a hub for tokens.
+func (x *Exchange) RequestTokens(ctx context.Context, hub string, a Ask) (Grant, error) {
 	a.ID = rand.Uint64()
 	grants := make(chan Grant, 1)
 	x.mu.Lock()
--- a/fleet/exchange.go
+++ b/fleet/exchange.go
@@ -232,21 +232,21 @@
 	defer timer.Stop()
 	var expired time.Duration
 	for {
-		kick := x.trigger
+		trigger := x.trigger
 		if x.large() {
-			kick = nil
+			trigger = nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-timer.C:
 			timer.Reset(x.send(false))
-		case <-kick:
+		case <-trigger:
 			timer.Reset(x.send(true))
 		case <-x.announce:
 			timer.Reset(x.send(true))
 		}
-		if now := boottime.Now(); x.onExpire != nil && now-expired > expireInterval && x.hearsAny(now) {
+		if now := boottime.Now(); x.onExpire != nil && now-expired > expireInterval && x.hasRecentReports(now) {
 			expired = now
 			x.onExpire()
 		}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -207,8 +207,8 @@
 	assert.Equal(t, x.lastHeard(1200*time.Millisecond, RunOf("c", 1)), Heard{})
 }
 
-func record(name string, incarnation, beat uint64) port.KeyedRecord {
-	value, _ := json.Marshal(Member{Incarnation: incarnation, Address: "1.2.3.4:5", Renewals: beat})
+func record(name string, incarnation, renewals uint64) port.KeyedRecord {
+	value, _ := json.Marshal(Member{Incarnation: incarnation, Address: "1.2.3.4:5", Renewals: renewals})
 	return port.KeyedRecord{Key: name, Value: value}
 }
 
--- a/fleet/hubs.go
+++ b/fleet/hubs.go
@@ -62,10 +62,10 @@
 func (x *Exchange) large() bool { return x.Size().Large() }
 
 // Isolated reports whether no other instance was heard recently.
-func (x *Exchange) Isolated() bool { return !x.hearsAny(boottime.Now()) }
+func (x *Exchange) Isolated() bool { return !x.hasRecentReports(boottime.Now()) }
 
-// hearsAny reports whether any other instance was heard recently.
-func (x *Exchange) hearsAny(now time.Duration) bool {
+// hasRecentReports reports whether any other instance was heard recently.
+func (x *Exchange) hasRecentReports(now time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, last := range x.last {
@@ -120,8 +120,8 @@
 	return false
 }
 
-// Suspect marks a hub as silent for suspectDuration because it did not answer.
-func (x *Exchange) Suspect(name string) {
+// MarkSuspect marks a hub as silent for suspectDuration because it did not answer.
+func (x *Exchange) MarkSuspect(name string) {
 	now := boottime.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -215,14 +215,14 @@
 	first := startTime(x.self)
 	for _, m := range members {
 		byName[m.Name] = m
-		if x.everHeard(m) {
+		if x.hasReported(m) {
 			first = min(first, startTime(m))
 		}
 	}
 	now := time.Duration(time.Now().UnixNano())
 	candidates := make([]hub.Candidate, 0, len(members))
 	for _, m := range members {
-		settled := !x.everHeard(m) || startTime(m) <= first+startWindow || now-startTime(m) > settleTime
+		settled := !x.hasReported(m) || startTime(m) <= first+startWindow || now-startTime(m) > settleTime
 		candidates = append(candidates, hub.Candidate{Name: m.Name, Hash: uint64(HashOf(m.Name)), DataCentre: m.Machine.DataCentre, Millicores: m.Machine.Millicores, Settled: settled})
 	}
 	var out []Member
@@ -232,8 +232,8 @@
 	return out
 }
 
-// everHeard reports whether a run has been heard by this instance. x.mu must be held.
-func (x *Exchange) everHeard(m Member) bool {
+// hasReported reports whether a run has been heard by this instance. x.mu must be held.
+func (x *Exchange) hasReported(m Member) bool {
 	_, heard := x.last[RunOf(m.Name, m.Incarnation)]
 	return heard || m.Name == x.self.Name
 }
--- a/fleet/hubs_test.go
+++ b/fleet/hubs_test.go
@@ -62,7 +62,7 @@
 	assert.Assert(t, !contains(x.currentSelection(gone+2*selectionMaxAge), first.Name))
 	x.retryMentioned(gone+mentionRetryDelay, first)
 	assert.Assert(t, contains(x.currentSelection(gone+mentionRetryDelay), first.Name))
-	x.Suspect(first.Name)
+	x.MarkSuspect(first.Name)
 	assert.Assert(t, !contains(x.currentSelection(boottime.Now()), first.Name))
 }
 
@@ -179,13 +179,13 @@
 	defer stop()
 	go func() { _ = a.Run(ctx) }()
 	go func() { _ = b.Run(ctx) }()
-	g, err := a.Ask(ctx, "b", Ask{Organisation: 1, Tokens: 5})
+	g, err := a.RequestTokens(ctx, "b", Ask{Organisation: 1, Tokens: 5})
 	assert.NilError(t, err)
 	assert.Assert(t, g.Granted && g.Level == 5)
 	handler.mu.Lock()
 	assert.Assert(t, handler.asks >= 1)
 	handler.mu.Unlock()
-	_, err = a.Ask(ctx, "nobody", Ask{})
+	_, err = a.RequestTokens(ctx, "nobody", Ask{})
 	assert.ErrorIs(t, err, ErrUnanswered)
 	a.deliverGrant(Grant{ID: 7})
 }
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -84,12 +84,12 @@
 	// changed once the list is in use.
 	SkipEntry func() bool
 	ReadFirst bool
-	// GoneLogger returns the function that logs removed instances; if nil, logger.Info is used.
-	GoneLogger func() func(string, ...zap.Field)
+	// RemovalLogger returns the function that logs removed instances; if nil, logger.Info is used.
+	RemovalLogger func() func(string, ...zap.Field)
 
-	mu        sync.Mutex
-	others    map[string]Member
-	storeLost bool
+	mu               sync.Mutex
+	others           map[string]Member
+	storeUnavailable bool
 	// firstRead is when the list was first read, or 0 before that.
 	firstRead time.Duration
 	// synced means that the members of the fleet are known.
@@ -234,11 +234,11 @@
 		if silent := now - member.lastSeen(); silent > EntryTTL {
 			delete(m.others, name)
 			gone = true
-			tell := m.logger.Info
-			if m.GoneLogger != nil {
-				tell = m.GoneLogger()
+			logChange := m.logger.Info
+			if m.RemovalLogger != nil {
+				logChange = m.RemovalLogger()
 			}
-			tell("instance expired", zap.String("peer", name), zap.Duration("silent", silent))
+			logChange("instance expired", zap.String("peer", name), zap.Duration("silent", silent))
 		}
 	}
 	return gone
@@ -351,14 +351,14 @@
 	now := boottime.Now()
 	m.mu.Lock()
 	for name, member := range m.others {
-		if m.storeLost {
+		if m.storeUnavailable {
 			// No instance could renew its entry while the store was unavailable.
 			member.lastChanged = now
 			m.others[name] = member
 		}
 	}
 	m.dropSilent(now)
-	m.storeLost = false
+	m.storeUnavailable = false
 	m.updateSynced(now)
 	list := m.list()
 	m.mu.Unlock()
@@ -383,6 +383,6 @@
 // ReadFailed implements follow.Handler.
 func (m *Members) ReadFailed() {
 	m.mu.Lock()
-	m.storeLost = true
+	m.storeUnavailable = true
 	m.mu.Unlock()
 }
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -19,8 +19,8 @@
 // are rarely lost.
 const ClaimTTL = 3*claimRefreshInterval + 50*time.Millisecond
 
-// Claim requests a place at an engine from a hub and waits until it is given or refused.
-func (x *Exchange) Claim(ctx context.Context, hub string, c Claim) (Place, error) {
+// RequestPlace requests a place at an engine from a hub and waits until it is given or refused.
+func (x *Exchange) RequestPlace(ctx context.Context, hub string, c Claim) (Place, error) {
 	c.ID = rand.Uint64()
 	answers := make(chan Place, placeBufferSize)
 	x.mu.Lock()
@@ -47,10 +47,10 @@
 // waitForPlace sends a claim until it is decided. The home counts as gone if it does not answer within
 // the timeouts of an ask.
 func (x *Exchange) waitForPlace(ctx context.Context, p *peer, c *Claim, answers <-chan Place) (Place, error) {
-	begun := time.Now()
+	started := time.Now()
 	waited, left := c.Waited, c.Left
 	for tries := 0; tries < len(askTimeouts); tries++ {
-		passed := time.Since(begun)
+		passed := time.Since(started)
 		c.Waited, c.Left = waited+passed, left-passed
 		x.sendSingle(p.Name, p.address, &Report{Claim: c})
 		timer := time.NewTimer(askTimeouts[tries])
@@ -96,8 +96,8 @@
 	}
 }
 
-// TellLoads immediately sends a hub the current loads of some upstreams.
-func (x *Exchange) TellLoads(hub string, loads map[Hash]Load) {
+// SendLoads immediately sends a hub the current loads of some upstreams.
+func (x *Exchange) SendLoads(hub string, loads map[Hash]Load) {
 	x.mu.Lock()
 	p, known := x.peers[hub]
 	x.sequence++
--- a/fleet/place_test.go
+++ b/fleet/place_test.go
@@ -34,7 +34,7 @@
 		}
 		answer(Place{ID: c.ID, State: state, Upstream: 9})
 	})
-	place, err := a.Claim(t.Context(), "b", Claim{Service: 1, Tokens: 5, Left: time.Minute})
+	place, err := a.RequestPlace(t.Context(), "b", Claim{Service: 1, Tokens: 5, Left: time.Minute})
 	assert.NilError(t, err)
 	assert.Equal(t, place.State, PlaceGiven)
 	assert.Equal(t, place.Upstream, Hash(9))
@@ -53,7 +53,7 @@
 			answer(Place{ID: c.ID, State: PlaceRefused, Retry: time.Second})
 		}
 	})
-	place, err := a.Claim(t.Context(), "b", Claim{})
+	place, err := a.RequestPlace(t.Context(), "b", Claim{})
 	assert.NilError(t, err)
 	assert.Equal(t, place.State, PlaceRefused)
 	assert.Equal(t, place.Retry, time.Second)
@@ -62,9 +62,9 @@
 // Guards against requests that hang because their home has ended.
 func TestClaimAtSilentHomeFails(t *testing.T) {
 	a, _ := newClaimPair(t, nil)
-	_, err := a.Claim(t.Context(), "b", Claim{})
+	_, err := a.RequestPlace(t.Context(), "b", Claim{})
 	assert.ErrorIs(t, err, ErrUnanswered)
-	_, err = a.Claim(t.Context(), "nobody", Claim{})
+	_, err = a.RequestPlace(t.Context(), "nobody", Claim{})
 	assert.ErrorIs(t, err, ErrUnanswered)
 	a.deliverPlace(Place{ID: 7})
 }
@@ -76,7 +76,7 @@
 		answer(Place{ID: c.ID, State: PlaceWaiting})
 		leave()
 	})
-	_, err := a.Claim(ctx, "b", Claim{})
+	_, err := a.RequestPlace(ctx, "b", Claim{})
 	assert.ErrorIs(t, err, context.Canceled)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		home.mu.Lock()
--- a/fleet/sender_test.go
+++ b/fleet/sender_test.go
@@ -43,10 +43,10 @@
 func TestReportsOfOtherFleetsAreRejected(t *testing.T) {
 	own, _ := newExchangeOf(t, "a", 7, "10.0.0.1:1")
 	for _, test := range []struct {
-		what  string
-		id    fleetid.ID
-		name  string
-		heard bool
+		what     string
+		id       fleetid.ID
+		name     string
+		accepted bool
 	}{
 		{"same store", 7, "10.0.0.1:1", true},
 		{"same store at another address", 7, "10.9.9.9:1", true},
@@ -55,8 +55,8 @@
 		{"store not reached yet, another address", 0, "10.9.9.9:1", false},
 	} {
 		other, _ := newExchangeOf(t, "b", test.id, test.name)
-		assert.Equal(t, own.inOwnFleet(roundTrip(t, other, false), localAddr(other)), test.heard, test.what)
-		assert.Equal(t, other.inOwnFleet(roundTrip(t, own, false), localAddr(own)), test.heard, test.what)
+		assert.Equal(t, own.inOwnFleet(roundTrip(t, other, false), localAddr(other)), test.accepted, test.what)
+		assert.Equal(t, other.inOwnFleet(roundTrip(t, own, false), localAddr(own)), test.accepted, test.what)
 	}
 	fresh, _ := newExchangeOf(t, "b", 0, "10.0.0.1:1")
 	for _, nameless := range []bool{false, true} {
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -37,10 +37,10 @@
 	log            *zap.Logger
 	checkReachable func(ctx context.Context, to upstream.Entry) error
 
-	mu       sync.Mutex
-	ledger   *quarantine.Tracker
-	toReport []reportedCrash
-	known    map[crashKey]bool
+	mu         sync.Mutex
+	quarantine *quarantine.Tracker
+	toReport   []reportedCrash
+	known      map[crashKey]bool
 }
 
 type reportedCrash struct {
@@ -54,7 +54,7 @@
 }
 
 func newCrashTracker(log *zap.Logger, checkReachable func(context.Context, upstream.Entry) error) *crashTracker {
-	return &crashTracker{log: log, checkReachable: checkReachable, ledger: quarantine.New(quarantine.DefaultConfig()), known: make(map[crashKey]bool)}
+	return &crashTracker{log: log, checkReachable: checkReachable, quarantine: quarantine.New(quarantine.DefaultConfig()), known: make(map[crashKey]bool)}
 }
 
 // fingerprint identifies repetitions of a request by method, target, organisation and body.
@@ -75,10 +75,10 @@
 func (t *crashTracker) quarantineRefusal(c *Call) *verdict.Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ledger.Len() == 0 {
+	if t.quarantine.Len() == 0 {
 		return nil
 	}
-	return t.ledger.Refusal(asTime(boottime.Now()), fingerprint(c))
+	return t.quarantine.Refusal(asTime(boottime.Now()), fingerprint(c))
 }
 
 // recordBrokenOff handles a request whose upstream closed the connection without a complete answer. A
@@ -115,7 +115,7 @@
 	// Each request is charged separately: instances report the requests that they had running, and
 	// no instance knows all requests that ran on the process.
 	process := fmt.Sprintf("%x/%x", c.Upstream, c.Fingerprint)
-	for _, hash := range t.ledger.RecordCrash(at, quarantine.Crash{Upstream: process, Process: process, Running: []uint64{c.Fingerprint}}) {
+	for _, hash := range t.quarantine.RecordCrash(at, quarantine.Crash{Upstream: process, Process: process, Running: []uint64{c.Fingerprint}}) {
 		t.log.Warn("request quarantined", zap.Uint64("fingerprint", hash))
 	}
 }
@@ -124,8 +124,8 @@
 func (t *crashTracker) recordSuccess(c *Call) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ledger.Len() > 0 {
-		t.ledger.RecordSuccess(fingerprint(c))
+	if t.quarantine.Len() > 0 {
+		t.quarantine.RecordSuccess(fingerprint(c))
 	}
 }
 
--- a/gateway/helpers_test.go
+++ b/gateway/helpers_test.go
@@ -179,10 +179,10 @@
 // soloNetwork is the network of an instance without peers.
 type soloNetwork struct{}
 
-func (soloNetwork) Hubs() []fleet.Hub { return nil }
-func (soloNetwork) Size() fleet.Size  { return fleet.SizeOf(1) }
-func (soloNetwork) Suspect(string)    {}
-func (soloNetwork) Ask(context.Context, string, fleet.Ask) (fleet.Grant, error) {
+func (soloNetwork) Hubs() []fleet.Hub  { return nil }
+func (soloNetwork) Size() fleet.Size   { return fleet.SizeOf(1) }
+func (soloNetwork) MarkSuspect(string) {}
+func (soloNetwork) RequestTokens(context.Context, string, fleet.Ask) (fleet.Grant, error) {
 	return fleet.Grant{}, fleet.ErrUnanswered
 }
 
--- a/gateway/model_test.go
+++ b/gateway/model_test.go
@@ -38,7 +38,7 @@
 	assert.Equal(t, rec.Body.String(), events(1, 5))
 	assert.Equal(t, gw.options[0].Reservation, "reservation")
 	assert.Equal(t, gw.options[0].Source.Handle, "handle")
-	assert.Equal(t, len(gw.gateway.dispatchers.all()[0].decode.room.OwnLoads()), 0, "a claim was left behind")
+	assert.Equal(t, len(gw.gateway.dispatchers.all()[0].decode.allocator.OwnLoads()), 0, "a claim was left behind")
 }
 
 // The engine's stream breaks off in the middle of an event. On a resumable route, the caller gets
@@ -102,7 +102,7 @@
 	gw.failWith(refusedError())
 	d := gw.gateway.dispatchers.get(&object.Service{Name: "model", Pool: testObjects().Services[1].Pool})
 	d.sync()
-	for _, e := range d.decode.room.Engines() {
+	for _, e := range d.decode.allocator.Engines() {
 		d.decode.withdraw(e.ID, time.Minute)
 	}
 	started := time.Now()
@@ -211,7 +211,7 @@
 	gw := newTestGateway(t)
 	gw.failWith(refusedError())
 	d := modelDispatcher(gw)
-	engines := d.decode.room.Engines()
+	engines := d.decode.allocator.Engines()
 	d.decode.withdraw(engines[0].ID, time.Minute)
 	gw.request("/draft/1", map[string]string{"Tokens": tokenCounts})
 	assert.DeepEqual(t, gw.sends, []string{engines[1].ID})
--- a/gateway/placement.go
+++ b/gateway/placement.go
@@ -22,12 +22,12 @@
 type PlacementHomes interface {
 	// Home returns the home of a service and whether it is this instance.
 	Home(service string) (fleet.Hub, bool)
-	// Claim asks a home for an engine and waits until it is assigned or refused.
-	Claim(ctx context.Context, hub string, c fleet.Claim) (fleet.Place, error)
-	// TellLoads sends a home this instance's current loads at some engines.
-	TellLoads(hub string, loads map[fleet.Hash]fleet.Load)
-	// Suspect reports a home that does not answer, so that another replaces it.
-	Suspect(hub string)
+	// RequestPlace asks a home for an engine and waits until it is assigned or refused.
+	RequestPlace(ctx context.Context, hub string, c fleet.Claim) (fleet.Place, error)
+	// SendLoads sends a home this instance's current loads at some engines.
+	SendLoads(hub string, loads map[fleet.Hash]fleet.Load)
+	// MarkSuspect reports a home that does not answer, so that another replaces it.
+	MarkSuspect(hub string)
 }
 
 // Connect sets the connection to the homes of services. It must be called before any request.
@@ -90,9 +90,9 @@
 // claimFromHome sends a claim to a home, and reports the home if it does not answer.
 func (d *dispatcher) claimFromHome(ctx context.Context, home fleet.Hub, c fleet.Claim) (fleet.Place, bool) {
 	c.Service = fleet.HashOf(d.service)
-	place, err := d.gateway.placementHomes.Claim(ctx, home.Name, c)
+	place, err := d.gateway.placementHomes.RequestPlace(ctx, home.Name, c)
 	if err != nil && ctx.Err() == nil {
-		d.gateway.placementHomes.Suspect(home.Name)
+		d.gateway.placementHomes.MarkSuspect(home.Name)
 		d.gateway.log.Info("placement home did not answer", zap.String("service", d.service), zap.String("home", home.Name), zap.Error(err))
 	}
 	return place, err == nil
@@ -121,7 +121,7 @@
 // reportLoad sends this instance's load at an engine to the service's home.
 func (d *dispatcher) reportLoad(p *pool, id string) {
 	if home, isLocal := d.gateway.homeOf(d.service); !isLocal {
-		d.gateway.placementHomes.TellLoads(home.Name, map[fleet.Hash]fleet.Load{fleet.ShortHashOf(id): p.ownLoad(id)})
+		d.gateway.placementHomes.SendLoads(home.Name, map[fleet.Hash]fleet.Load{fleet.ShortHashOf(id): p.ownLoad(id)})
 	}
 	d.gateway.triggerReport()
 }
--- a/gateway/placement_test.go
+++ b/gateway/placement_test.go
@@ -39,13 +39,13 @@
 
 func (h fakeHomes) Home(string) (fleet.Hub, bool) { return fleet.Hub{Name: "i0"}, h.index == 0 }
 
-func (h fakeHomes) Suspect(string) {
+func (h fakeHomes) MarkSuspect(string) {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	h.fleet.homeSuspected = true
 }
 
-func (h fakeHomes) Claim(ctx context.Context, _ string, c fleet.Claim) (fleet.Place, error) {
+func (h fakeHomes) RequestPlace(ctx context.Context, _ string, c fleet.Claim) (fleet.Place, error) {
 	f := h.fleet
 	f.mu.Lock()
 	f.claims++
@@ -76,7 +76,7 @@
 	}
 }
 
-func (h fakeHomes) TellLoads(_ string, loads map[fleet.Hash]fleet.Load) {
+func (h fakeHomes) SendLoads(_ string, loads map[fleet.Hash]fleet.Load) {
 	h.fleet.gateways[0].ApplyLoads(boottime.Now(), h.name(), loads)
 }
 
@@ -200,7 +200,7 @@
 		}()
 		d.release(first, 250)
 		assert.Equal(t, <-done, first.ID)
-		assert.Equal(t, f.dispatcher(0).decode.room.Load(first.ID).Requests, 4)
+		assert.Equal(t, f.dispatcher(0).decode.allocator.Load(first.ID).Requests, 4)
 	})
 }
 
@@ -301,7 +301,7 @@
 		loads := func(requests int) map[fleet.Hash]fleet.Load {
 			return map[fleet.Hash]fleet.Load{fleet.ShortHashOf("d0"): {Requests: requests, Tokens: 250 * requests}}
 		}
-		placed := func() int { return home.decode.room.Load("d0").Requests }
+		placed := func() int { return home.decode.allocator.Load("d0").Requests }
 		home.decode.applyReport(boottime.Now(), &fleet.Report{Instance: "hub", Answer: true, Whole: true, Loads: loads(3)})
 		assert.Equal(t, placed(), 3)
 		home.decode.applyReport(boottime.Now(), &fleet.Report{Instance: "i1", Loads: loads(1)})
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -128,11 +128,11 @@
 	// budgetTaken is set if the next retry has already been taken from the retry budget.
 	budgetTaken bool
 	// lastFailure is an upstream's error response, forwarded if no retry gets a better one.
-	lastFailure *bufferedResponse
+	lastFailure *bufferedAnswer
 }
 
-// bufferedResponse is an answer that was read completely or up to maxBufferedAnswer.
-type bufferedResponse struct {
+// bufferedAnswer is an answer that was read completely or up to maxBufferedAnswer.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -143,14 +143,14 @@
 }
 
 // execute makes attempts until there is an answer to forward.
-func (r *plainRun) execute(ctx context.Context) (*bufferedResponse, *verdict.Verdict) {
+func (r *plainRun) execute(ctx context.Context) (*bufferedAnswer, *verdict.Verdict) {
 	for {
-		response, v := r.attempt(ctx)
-		if v == nil && !r.isRetryableFailure(response) {
-			return response, nil
+		buffered, v := r.attempt(ctx)
+		if v == nil && !r.isRetryableFailure(buffered) {
+			return buffered, nil
 		}
 		if v == nil {
-			r.lastFailure = response
+			r.lastFailure = buffered
 		}
 		retry := r.mayRetry(ctx, v)
 		if retry {
@@ -166,8 +166,8 @@
 
 // isRetryableFailure reports whether the answer is a server error that another upstream may not
 // return.
-func (r *plainRun) isRetryableFailure(response *bufferedResponse) bool {
-	return response.status >= http.StatusInternalServerError && r.admitted.route.MayRepeat()
+func (r *plainRun) isRetryableFailure(buffered *bufferedAnswer) bool {
+	return buffered.status >= http.StatusInternalServerError && r.admitted.route.MayRepeat()
 }
 
 // mayRetry decides whether the request is sent again. v is nil if an upstream answered with a
@@ -207,7 +207,7 @@
 }
 
 // attempt sends the request to one upstream.
-func (r *plainRun) attempt(ctx context.Context) (*bufferedResponse, *verdict.Verdict) {
+func (r *plainRun) attempt(ctx context.Context) (*bufferedAnswer, *verdict.Verdict) {
 	g, a := r.gateway, r.admitted
 	r.pool.sync(g.state.Directory, a.service.Name, upstream.Plain, poolShape{near: g.DataCentre}, g.plainEngine)
 	r.pool.setSampling(g.reportsViaHubs())
@@ -241,7 +241,7 @@
 		r.recordFailure(ctx, entry, v)
 		return nil, v
 	}
-	response, err := bufferAnswer(answer)
+	buffered, err := bufferAnswer(answer)
 	if err != nil {
 		v := verdict.Fail(verdict.MayHaveRun, verdict.ReasonTruncated, err, "the upstream's answer was truncated")
 		r.recordFailure(ctx, entry, v)
@@ -249,7 +249,7 @@
 	}
 	g.outliers.recordSuccess(entry)
 	g.crashes.recordSuccess(a.call)
-	return response, nil
+	return buffered, nil
 }
 
 // errAttemptTimeout cancels an attempt so that the request can be sent to another upstream.
@@ -323,43 +323,43 @@
 }
 
 // bufferAnswer reads an answer up to maxBufferedAnswer bytes.
-func bufferAnswer(answer *Answer) (*bufferedResponse, error) {
-	response := &bufferedResponse{status: answer.Status, header: answer.Header, length: answer.Length}
+func bufferAnswer(answer *Answer) (*bufferedAnswer, error) {
+	buffered := &bufferedAnswer{status: answer.Status, header: answer.Header, length: answer.Length}
 	var buffer bytes.Buffer
 	n, err := io.Copy(&buffer, io.LimitReader(answer.Body, maxBufferedAnswer))
 	if err != nil {
 		_ = answer.Body.Close()
 		return nil, err
 	}
-	response.body = buffer.Bytes()
+	buffered.body = buffer.Bytes()
 	if n == maxBufferedAnswer {
-		response.rest = answer.Body
-		return response, nil
+		buffered.rest = answer.Body
+		return buffered, nil
 	}
 	// Reading to EOF lets the connection be reused.
 	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
 		return nil, err
 	}
-	return response, answer.Body.Close()
+	return buffered, answer.Body.Close()
 }
 
 // writeAnswer forwards an answer to the caller.
-func (g *Gateway) writeAnswer(w http.ResponseWriter, a *admittedCall, response *bufferedResponse) {
-	copyHeader(w.Header(), &Answer{Header: response.header})
-	if response.rest == nil {
-		w.Header().Set("Content-Length", strconv.Itoa(len(response.body)))
-	} else if response.length >= 0 {
-		w.Header().Set("Content-Length", strconv.FormatInt(response.length, 10))
-	}
-	w.WriteHeader(response.status)
-	_, err := w.Write(response.body)
-	if err == nil && response.rest != nil {
-		_, err = io.Copy(w, response.rest)
-	}
-	if response.rest != nil {
-		_ = response.rest.Close()
-	}
-	g.recordEnd(a, response.status, err)
+func (g *Gateway) writeAnswer(w http.ResponseWriter, a *admittedCall, buffered *bufferedAnswer) {
+	copyHeader(w.Header(), &Answer{Header: buffered.header})
+	if buffered.rest == nil {
+		w.Header().Set("Content-Length", strconv.Itoa(len(buffered.body)))
+	} else if buffered.length >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(buffered.length, 10))
+	}
+	w.WriteHeader(buffered.status)
+	_, err := w.Write(buffered.body)
+	if err == nil && buffered.rest != nil {
+		_, err = io.Copy(w, buffered.rest)
+	}
+	if buffered.rest != nil {
+		_ = buffered.rest.Close()
+	}
+	g.recordEnd(a, buffered.status, err)
 	if err != nil {
 		// Abort the connection so that a truncated answer does not look complete.
 		panic(http.ErrAbortHandler)
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -23,8 +23,8 @@
 // pool holds the upstreams of one service and role with the loads of all instances. It is safe for
 // concurrent use.
 type pool struct {
-	mu   sync.Mutex
-	room *room.Allocator
+	mu        sync.Mutex
+	allocator *room.Allocator
 	// entries are keyed by ID; ids maps the short hashes used in reports to IDs.
 	entries    map[string]upstream.Entry
 	ids        map[fleet.Hash]string
@@ -38,7 +38,7 @@
 }
 
 func newPool() *pool {
-	return &pool{room: room.New(), entries: make(map[string]upstream.Entry), ids: make(map[fleet.Hash]string), lastReport: make(map[string]time.Duration), fullReport: make(map[string]bool), withdrawn: make(map[string]int)}
+	return &pool{allocator: room.New(), entries: make(map[string]upstream.Entry), ids: make(map[fleet.Hash]string), lastReport: make(map[string]time.Duration), fullReport: make(map[string]bool), withdrawn: make(map[string]int)}
 }
 
 // poolShape holds the inputs of sync besides the directory: the data centre to prefer and the
@@ -71,7 +71,7 @@
 			engines = append(engines, toEngine(e))
 		}
 	}
-	p.room.SetEngines(engines)
+	p.allocator.SetEngines(engines)
 	for id := range p.withdrawn {
 		if _, still := p.entries[id]; !still {
 			p.restoreLocked(id)
@@ -85,10 +85,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if sample {
-		p.room.SetSampler(rand.IntN)
+		p.allocator.SetSampler(rand.IntN)
 		return
 	}
-	p.room.SetSampler(nil)
+	p.allocator.SetSampler(nil)
 }
 
 // claim places a request; see room.Allocator.Claim.
@@ -96,7 +96,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.expirePeers()
-	id, ok := p.room.Claim(n, except)
+	id, ok := p.allocator.Claim(n, except)
 	return p.entries[id], ok
 }
 
@@ -105,7 +105,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.expirePeers()
-	id, ok := p.room.ClaimFor(instance, n, except)
+	id, ok := p.allocator.ClaimFor(instance, n, except)
 	if _, known := p.lastReport[instance]; ok && !known {
 		p.lastReport[instance] = boottime.Now()
 	}
@@ -116,8 +116,8 @@
 func (p *pool) releaseFor(instance, id string, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if load := p.room.PeerLoad(instance, id); load.Requests > 0 && load.Tokens >= tokens {
-		p.room.SetPeerLoad(instance, id, room.Load{Requests: load.Requests - 1, Tokens: load.Tokens - tokens})
+	if load := p.allocator.PeerLoad(instance, id); load.Requests > 0 && load.Tokens >= tokens {
+		p.allocator.SetPeerLoad(instance, id, room.Load{Requests: load.Requests - 1, Tokens: load.Tokens - tokens})
 	}
 }
 
@@ -125,10 +125,10 @@
 func (p *pool) recordPlacement(hash fleet.Hash, n room.Demand) (upstream.Entry, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.room.Advance(boottime.Now())
+	p.allocator.Advance(boottime.Now())
 	entry, known := p.entries[p.ids[hash]]
 	if known {
-		p.room.RecordClaim(entry.ID, n)
+		p.allocator.RecordClaim(entry.ID, n)
 	}
 	return entry, known
 }
@@ -137,7 +137,7 @@
 func (p *pool) ownLoad(id string) fleet.Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.room.OwnLoads()[id]
+	l := p.allocator.OwnLoads()[id]
 	return fleet.Load{Requests: l.Requests, Tokens: l.Tokens}
 }
 
@@ -158,10 +158,10 @@
 func (p *pool) applyLoads(now time.Duration, instance string, loads map[fleet.Hash]fleet.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.room.Advance(now)
+	p.allocator.Advance(now)
 	for hash, l := range loads {
 		if id, known := p.ids[hash]; known {
-			p.room.SetPeerLoad(instance, id, room.Load{Requests: l.Requests, Tokens: l.Tokens})
+			p.allocator.SetPeerLoad(instance, id, room.Load{Requests: l.Requests, Tokens: l.Tokens})
 			p.lastReport[instance] = now
 		}
 	}
@@ -170,12 +170,12 @@
 // expirePeers drops the loads of instances that no longer report.
 func (p *pool) expirePeers() {
 	now := boottime.Now()
-	p.room.Advance(now)
+	p.allocator.Advance(now)
 	for instance, at := range p.lastReport {
 		if now-at > peerLoadTTL {
 			delete(p.lastReport, instance)
 			delete(p.fullReport, instance)
-			p.room.SetPeer(instance, nil)
+			p.allocator.SetPeer(instance, nil)
 		}
 	}
 }
@@ -183,24 +183,24 @@
 func (p *pool) release(id string, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.room.Advance(boottime.Now())
-	p.room.Release(id, tokens)
+	p.allocator.Advance(boottime.Now())
+	p.allocator.Release(id, tokens)
 }
 
 func (p *pool) resize(id string, by int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.room.Resize(id, by)
+	p.allocator.Resize(id, by)
 }
 
 func (p *pool) setOpen(id string, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if open {
-		p.room.Enable(id)
+		p.allocator.Enable(id)
 		return
 	}
-	p.room.Disable(id)
+	p.allocator.Disable(id)
 }
 
 // leastLoaded returns the engine with the lowest load that is not in except.
@@ -208,7 +208,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.expirePeers()
-	id, ok := p.room.LeastLoaded(except)
+	id, ok := p.allocator.LeastLoaded(except)
 	return p.entries[id], ok
 }
 
@@ -232,7 +232,7 @@
 	if _, already := p.withdrawn[id]; already {
 		return
 	}
-	p.withdrawn[id] = p.room.ClaimEngine(id)
+	p.withdrawn[id] = p.allocator.ClaimEngine(id)
 	time.AfterFunc(limit, func() { p.restore(id) })
 }
 
@@ -241,7 +241,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for _, e := range p.room.Engines() {
+	for _, e := range p.allocator.Engines() {
 		if _, isWithdrawn := p.withdrawn[e.ID]; !isWithdrawn {
 			n++
 		}
@@ -258,7 +258,7 @@
 
 func (p *pool) restoreLocked(id string) {
 	if tokens, withdrawn := p.withdrawn[id]; withdrawn {
-		p.room.Release(id, tokens)
+		p.allocator.Release(id, tokens)
 		delete(p.withdrawn, id)
 	}
 }
@@ -267,28 +267,28 @@
 func (p *pool) freeShare() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.room.FreeShare()
+	return p.allocator.FreeShare()
 }
 
 // engineRequests returns the number of requests placed at an engine by all instances.
 func (p *pool) engineRequests(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.room.Load(id).Requests
+	return p.allocator.Load(id).Requests
 }
 
 // totalRequests returns the number of requests placed by all instances.
 func (p *pool) totalRequests() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.room.Requests()
+	return p.allocator.Requests()
 }
 
 // addOwnLoads adds this instance's loads to a report.
 func (p *pool) addOwnLoads(loads map[fleet.Hash]fleet.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, l := range p.room.OwnLoads() {
+	for id, l := range p.allocator.OwnLoads() {
 		loads[fleet.ShortHashOf(id)] = fleet.Load{Requests: l.Requests, Tokens: l.Tokens}
 	}
 }
@@ -297,7 +297,7 @@
 // hold the lock.
 func (p *pool) dropPeers() {
 	for instance := range p.lastReport {
-		p.room.SetPeer(instance, nil)
+		p.allocator.SetPeer(instance, nil)
 	}
 	clear(p.lastReport)
 	clear(p.fullReport)
@@ -309,7 +309,7 @@
 	defer p.mu.Unlock()
 	p.expirePeers()
 	for id := range p.entries {
-		l, excluded := p.room.Load(id), p.room.PeerLoad(except, id)
+		l, excluded := p.allocator.Load(id), p.allocator.PeerLoad(except, id)
 		if l.Requests > excluded.Requests {
 			loads[fleet.ShortHashOf(id)] = fleet.Load{Requests: l.Requests - excluded.Requests, Tokens: l.Tokens - excluded.Tokens}
 		}
@@ -320,7 +320,7 @@
 func (p *pool) applyReport(now time.Duration, r *fleet.Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.room.Advance(now)
+	p.allocator.Advance(now)
 	from := r.Instance
 	if r.Answer {
 		from = allPeers
@@ -337,8 +337,8 @@
 		// reporting instance's loads were counted both in that sum and separately, all engines
 		// would look full until the sum expires.
 		p.fullReport[from] = true
-		p.room.SubtractPeer(allPeers, loads)
+		p.allocator.SubtractPeer(allPeers, loads)
 	}
 	p.lastReport[from] = now
-	p.room.SetPeer(from, loads)
+	p.allocator.SetPeer(from, loads)
 }
--- a/gateway/quota.go
+++ b/gateway/quota.go
@@ -63,9 +63,9 @@
 	Hubs() []fleet.Hub
 	// Size returns the size of the fleet. While it is unknown, the homes are unknown too.
 	Size() fleet.Size
-	Ask(ctx context.Context, hub string, a fleet.Ask) (fleet.Grant, error)
-	// Suspect reports a hub that does not answer, so that another replaces it.
-	Suspect(hub string)
+	RequestTokens(ctx context.Context, hub string, a fleet.Ask) (fleet.Grant, error)
+	// MarkSuspect reports a hub that does not answer, so that another replaces it.
+	MarkSuspect(hub string)
 }
 
 // Quotas enforces the organisations' quotas together with the other instances. It is safe for
@@ -259,10 +259,10 @@
 		return QuotaDecision{Admitted: d.Granted, Retry: d.Retry, Home: home.Name, Level: d.Level, Part: d.Part}
 	}
 	q.mu.Unlock()
-	g, err := q.network.Ask(ctx, home.Name, fleet.Ask{Organisation: org, Tokens: tokens})
+	g, err := q.network.RequestTokens(ctx, home.Name, fleet.Ask{Organisation: org, Tokens: tokens})
 	if err != nil {
 		if ctx.Err() == nil {
-			q.network.Suspect(home.Name)
+			q.network.MarkSuspect(home.Name)
 		}
 		return QuotaDecision{Unanswered: true, Retry: unansweredQuotaRetry, Home: home.Name}
 	}
--- a/gateway/quota_restart_test.go
+++ b/gateway/quota_restart_test.go
@@ -94,9 +94,9 @@
 	return out
 }
 
-func (m *restartMember) Suspect(string) {}
+func (m *restartMember) MarkSuspect(string) {}
 
-func (m *restartMember) Ask(_ context.Context, to string, a fleet.Ask) (fleet.Grant, error) {
+func (m *restartMember) RequestTokens(_ context.Context, to string, a fleet.Ask) (fleet.Grant, error) {
 	for _, other := range m.fleet.members {
 		if other.self.Name == to && m.fleet.now >= other.up {
 			m.fleet.asks++
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -75,10 +75,10 @@
 	return out
 }
 
-func (m *quotaMember) Size() fleet.Size    { return fleet.SizeOf(len(m.fleet.members)) }
-func (m *quotaMember) Suspect(name string) { m.suspects[name] = true }
+func (m *quotaMember) Size() fleet.Size        { return fleet.SizeOf(len(m.fleet.members)) }
+func (m *quotaMember) MarkSuspect(name string) { m.suspects[name] = true }
 
-func (m *quotaMember) Ask(_ context.Context, to string, a fleet.Ask) (fleet.Grant, error) {
+func (m *quotaMember) RequestTokens(_ context.Context, to string, a fleet.Ask) (fleet.Grant, error) {
 	for _, other := range m.fleet.members {
 		if other.hub.Name == to && !other.unresponsive {
 			m.fleet.asks++
@@ -162,7 +162,7 @@
 	assert.Assert(t, d.Unanswered && !d.Admitted, "%+v", d)
 	assert.Assert(t, m.suspects[home.hub.Name])
 	for _, other := range f.members {
-		other.Suspect(home.hub.Name)
+		other.MarkSuspect(home.hub.Name)
 	}
 	f.run(time.Second)
 	d = m.Take(t.Context(), "wide", 50_000, 0)
--- a/gateway/roles_test.go
+++ b/gateway/roles_test.go
@@ -53,15 +53,15 @@
 	before func()
 	// unreachable is the ID of an engine that does not answer.
 	unreachable string
-	// asked holds the IDs of the engines whose state was read.
-	asked []string
+	// stateReads holds the IDs of the engines whose state was read.
+	stateReads []string
 }
 
 func (o *fakeEngines) State(_ context.Context, e upstream.Entry) (EngineState, error) {
 	if o.before != nil {
 		o.before()
 	}
-	o.asked = append(o.asked, e.ID)
+	o.stateReads = append(o.stateReads, e.ID)
 	if e.ID == o.unreachable {
 		return EngineState{}, errors.New("connection refused")
 	}
@@ -99,10 +99,10 @@
 	assert.Equal(t, len(engines.orders), 1)
 	// An engine that failed other requests is not asked.
 	gw.gateway.outliers.recordFailure(crashed)
-	engines.asked = nil
+	engines.stateReads = nil
 	assert.NilError(t, c.applyChange(t.Context(), d, upstream.Decode, 1))
-	assert.Equal(t, len(engines.asked), 1)
-	assert.Assert(t, engines.asked[0] != crashed.ID)
+	assert.Equal(t, len(engines.stateReads), 1)
+	assert.Assert(t, engines.stateReads[0] != crashed.ID)
 }
 
 // An engine changes its role. Until its entry shows the new role it refuses all requests, with or
@@ -128,7 +128,7 @@
 	gw.state.Directory.Put(e)
 	d.sync()
 	assert.Equal(t, len(d.prefill.withdrawn), 0)
-	assert.Equal(t, len(d.decode.room.Engines()), 3)
+	assert.Equal(t, len(d.decode.allocator.Engines()), 3)
 }
 
 // Two instances want to change engines at once. If both gave orders, engines would switch back and
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -96,12 +96,12 @@
 
 // copyErrorAnswer forwards an engine's error response as a whole.
 func (s *stream) copyErrorAnswer(answer *Answer) *verdict.Verdict {
-	response, err := bufferAnswer(answer)
+	buffered, err := bufferAnswer(answer)
 	if err != nil {
 		return verdict.Fail(verdict.MayHaveRun, verdict.ReasonTruncated, err, "the engine's answer was truncated")
 	}
-	s.started, s.status = true, response.status
-	s.gateway.writeAnswer(s.w, s.admitted, response)
+	s.started, s.status = true, buffered.status
+	s.gateway.writeAnswer(s.w, s.admitted, buffered)
 	return nil
 }
 
--- a/instance/routed/events_test.go
+++ b/instance/routed/events_test.go
@@ -28,7 +28,7 @@
 		}
 	}
 	written := map[string]bool{}
-	call := regexp.MustCompile(`(?:\.(?:Info|Warn|Error)|\b(?:tell|logChange))\("([^"]+)"`)
+	call := regexp.MustCompile(`(?:\.(?:Info|Warn|Error)|\blogChange)\("([^"]+)"`)
 	for _, folder := range []string{"../../gateway", "../../fleet", "../../follow", "../../fleetid", ".", "../../cmd/cairnworksd"} {
 		files, err := filepath.Glob(filepath.Join(folder, "*.go"))
 		assert.NilError(t, err)
--- a/instance/routed/readers.go
+++ b/instance/routed/readers.go
@@ -26,10 +26,10 @@
 	// upstreamGapFraction is the pause between two reads of the list of upstreams. Upstreams renew
 	// their entries continuously, so a waiting call would return for every renewal.
 	upstreamGapFraction = 0.25
-	// spareFraction is the age of a proof from which other instances read as well. It exceeds the
+	// takeoverAgeFraction is the age of a proof from which other instances read as well. It exceeds the
 	// age that results from two regular readers and one lost report, and leaves a third of the
 	// bound for the read, the report and the reads of the others.
-	spareFraction = 0.6
+	takeoverAgeFraction = 0.6
 	// staggerFraction is the time over which the reads of all other instances are spread, so that
 	// the first reads make the remaining ones unnecessary.
 	staggerFraction = 0.15
@@ -47,10 +47,10 @@
 	largeFleetGapFactor, isolatedGapFactor, initialGapFactor = 15, 0.4, 0.1
 )
 
-// unlisted reports whether this instance needs no entry in the list of instances. In a large fleet,
+// skipsEntry reports whether this instance needs no entry in the list of instances. In a large fleet,
 // a starting instance only needs to find the hubs, and the hubs learn of the others from their
 // reports.
-func (i *Instance) unlisted() bool {
+func (i *Instance) skipsEntry() bool {
 	return i.fleetSize().Large() && !i.exchange.IsHub()
 }
 
@@ -72,13 +72,13 @@
 // given time.
 func (i *Instance) newSharedFollower(topic port.Topic, within time.Duration, reader follow.Handler) *follow.Follower {
 	fractionOf := func(fraction float64) time.Duration { return time.Duration(fraction * float64(within)) }
-	pace := follow.PollTiming{TakeoverAge: fractionOf(spareFraction), Stagger: fractionOf(staggerFraction) / maxStaggerRank}
+	timing := follow.PollTiming{TakeoverAge: fractionOf(takeoverAgeFraction), Stagger: fractionOf(staggerFraction) / maxStaggerRank}
 	if topic == port.TopicConfiguration {
-		pace.Wait, pace.Gap = fractionOf(configWaitFraction), configReadGap
+		timing.Wait, timing.Gap = fractionOf(configWaitFraction), configReadGap
 	} else {
-		pace.Gap = fractionOf(upstreamGapFraction)
+		timing.Gap = fractionOf(upstreamGapFraction)
 	}
-	f := follow.NewFollower(topic, pace, reader)
+	f := follow.NewFollower(topic, timing, reader)
 	f.Rank = func() int { return min(i.exchange.Rank(topic.String()), maxStaggerRank) }
 	f.Announce = func() { i.exchange.Announce() }
 	return f
@@ -230,8 +230,8 @@
 // upstreamReader applies the entries of upstreams.
 type upstreamReader struct {
 	instance *Instance
-	// lost is set if the last call to the store failed.
-	lost bool
+	// storeUnavailable is set if the last call to the store failed.
+	storeUnavailable bool
 	// keepRemovedUntil is the time until which removed entries are kept, because entries that
 	// expired during a store outage are registered again.
 	keepRemovedUntil time.Duration
@@ -303,8 +303,8 @@
 
 // noteStoreReachable starts the time for re-registration if the store was unreachable before.
 func (r *upstreamReader) noteStoreReachable() {
-	if r.lost {
-		r.lost = false
+	if r.storeUnavailable {
+		r.storeUnavailable = false
 		r.keepRemovedUntil = boottime.Now() + reregistrationTime
 	}
 }
@@ -323,4 +323,4 @@
 }
 
 // ReadFailed implements follow.Handler.
-func (r *upstreamReader) ReadFailed() { r.lost = true }
+func (r *upstreamReader) ReadFailed() { r.storeUnavailable = true }
--- a/instance/routed/routed.go
+++ b/instance/routed/routed.go
@@ -67,10 +67,10 @@
 	memoryLimitFraction = 0.5
 	// bodyMemoryFraction is the fraction of the memory that request bodies may use.
 	bodyMemoryFraction = 0.2
-	// proofAgeFraction is the fraction of the bound on withdrawn keys after which an instance that
+	// refuseAgeFraction is the fraction of the bound on withdrawn keys after which an instance that
 	// has not reached the store refuses requests with a key. The rest covers the time that a
 	// request takes to reach its engine.
-	proofAgeFraction = 0.85
+	refuseAgeFraction = 0.85
 	// readyAgeFraction is the fraction of the same bound up to which an instance reports that it is
 	// ready. Requests that arrive in response can then still be authenticated.
 	readyAgeFraction = 0.6
@@ -120,7 +120,7 @@
 	if s.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryLimitFraction * 1e6))
 	}
-	i.state = gateway.NewState(boottime.Now, time.Duration(float64(s.RevokeMS)*proofAgeFraction)*time.Millisecond)
+	i.state = gateway.NewState(boottime.Now, time.Duration(float64(s.RevokeMS)*refuseAgeFraction)*time.Millisecond)
 	self := fleet.Member{
 		Name: s.Instance, Incarnation: fleet.NewIncarnation(i.createdAt), Address: s.Reports,
 		Machine: fleet.Machine{DataCentre: s.DataCentre, Millicores: int(s.Cores * millicoresPerCore)},
@@ -145,8 +145,8 @@
 	i.quotas.Connect(exchange)
 	i.gateway.Connect(exchange)
 	i.members = fleet.NewMembers(self, adapters.Log, log, i.setMembers)
-	i.members.SkipEntry, i.members.ReadFirst = i.unlisted, !s.FirstStart
-	i.members.GoneLogger = i.changeLogger
+	i.members.SkipEntry, i.members.ReadFirst = i.skipsEntry, !s.FirstStart
+	i.members.RemovalLogger = i.changeLogger
 	exchange.OnReport(i.members.RecordReport)
 	exchange.OnMention(i.members.RecordMention)
 	exchange.OnExpire(i.members.Expire)
