--- a/fleet/ask.go
+++ b/fleet/ask.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 )
 
-// askTimeouts are the timeouts of the attempts of an ask. An answer normally arrives within one or
-// two milliseconds; the second attempt covers a slow machine or a lost datagram.
+// askTimeouts are the timeouts of the successive attempts of an ask. An answer normally arrives within
+// one or two milliseconds; the second attempt covers a slow machine or a lost datagram.
 var askTimeouts = []time.Duration{25 * time.Millisecond, 50 * time.Millisecond}
 
 // ErrUnanswered is returned if a hub did not answer an ask or a claim. Whether the hub has deducted
@@ -50,7 +50,7 @@
 	return Grant{}, ErrUnanswered
 }
 
-// answerAsk answers an ask.
+// answerAsk sends the handler's grant to the instance that sent an ask.
 func (x *Exchange) answerAsk(now time.Duration, r *Report, from netip.AddrPort) {
 	g := x.handler.HandleAsk(now, r.run(), *r.Ask)
 	x.sendSingle(r.Instance, from, &Report{Grant: &g})
--- a/fleet/claim.go
+++ b/fleet/claim.go
@@ -6,11 +6,11 @@
 	fleetv1 "github.com/cairnworks/cairnworks/gen/cairnworks/fleet/v1"
 )
 
-// Claim requests a place at an engine from the home instance of a service's engines.
+// Claim asks the home of a service for a place at one of the service's engines.
 type Claim struct {
 	ID      uint64
 	Service Hash
-	// Prefill requests a place for prefill, which is given or refused immediately.
+	// Prefill requests a place at a prefill engine, which is assigned or refused immediately.
 	Prefill      bool
 	Organisation Hash
 	// Priority 0 is the highest.
@@ -23,8 +23,8 @@
 	Waited, Objective, Left time.Duration
 	// Point spreads the retry times of refused requests.
 	Point uint64
-	// Except are engines that must not be given, Avoid those that are given only as a last resort, and
-	// Full those that have just refused to reserve memory; all are short hashes of engine IDs.
+	// Except are engines that must not be assigned, Avoid those that are assigned only as a last resort,
+	// and Full those that have just refused to reserve memory; all are short hashes of engine IDs.
 	Except, Avoid, Full []Hash
 	// Over means that the sender no longer needs the place.
 	Over bool
--- a/fleet/codec.go
+++ b/fleet/codec.go
@@ -203,7 +203,7 @@
 }
 
 func marshalNote(n follow.Note) *fleetv1.Note {
-	// Ages are rounded up so that a proof never appears newer than it is.
+	// Ages are rounded up so that the sender's as-of time never appears later than it is.
 	age := uint32((n.Age + time.Millisecond - 1).Milliseconds())
 	m := &fleetv1.Note{Topic: uint32(n.Topic), Mark: n.Mark, Next: n.Next, AgeMs: age, From: n.From}
 	for _, record := range n.Records {
--- a/fleet/exchange.go
+++ b/fleet/exchange.go
@@ -111,8 +111,8 @@
 	Member
 	address netip.AddrPort
 	run     Run
-	// unansweredSince is when the first report since the peer was last heard was sent to it, or 0
-	// if there is none.
+	// unansweredSince is when the first report was sent to the peer since it last reported, or 0 if
+	// none was sent.
 	unansweredSince time.Duration
 	// suspectUntil is the time until which the peer counts as silent.
 	suspectUntil time.Duration
@@ -183,7 +183,7 @@
 func (x *Exchange) TriggerReport() { notify(x.trigger) }
 
 // Announce requests an immediate report to all hubs, or to all instances in a small fleet, because
-// there is news that every instance is waiting for.
+// something changed that every instance is waiting for.
 func (x *Exchange) Announce() { notify(x.announce) }
 
 func notify(to chan struct{}) {
@@ -193,7 +193,7 @@
 	}
 }
 
-// Leave makes the other instances select another hub.
+// Leave reports that this instance is about to stop, so that the others select another hub.
 func (x *Exchange) Leave() {
 	x.mu.Lock()
 	x.leaving, x.selection.at = true, 0
@@ -361,7 +361,7 @@
 	return p
 }
 
-// lastHeard returns when a run was last heard.
+// lastHeard describes the last report received from a run.
 func (x *Exchange) lastHeard(now time.Duration, run Run) Heard {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -182,8 +182,8 @@
 }
 
 // A report may be delayed for seconds, in the sender's machine or in transit, and then arrive as if it
-// were new. Its proof that the configuration is current is older by that delay; without this check, a
-// revoked key would still be served.
+// were new. Its as-of times are older by that delay; without this check, a withdrawn key would still be
+// accepted.
 func TestEarliestReportTime(t *testing.T) {
 	x, _ := newExchange(t, "a")
 	defer x.conn.Close()
--- a/fleet/hubs.go
+++ b/fleet/hubs.go
@@ -10,7 +10,7 @@
 
 // Parameters of hub selection.
 const (
-	// peerTimeout is the silence after which an instance that was sent reports counts as silent
+	// peerTimeout is how long an instance may leave reports unanswered before it counts as silent
 	// in a small fleet. With a loss rate of one in forty, three reports in a row are lost once
 	// in 64,000.
 	peerTimeout = 700 * time.Millisecond
@@ -61,10 +61,10 @@
 
 func (x *Exchange) large() bool { return x.Size().Large() }
 
-// Isolated reports whether no other instance was heard recently.
+// Isolated reports whether no report of another instance was received recently.
 func (x *Exchange) Isolated() bool { return !x.hasRecentReports(boottime.Now()) }
 
-// hasRecentReports reports whether any other instance was heard recently.
+// hasRecentReports reports whether a report of any other instance was received recently.
 func (x *Exchange) hasRecentReports(now time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -147,9 +147,9 @@
 	return x.selection
 }
 
-// fleetSize returns the size of the fleet. x.mu must be held. An instance that is not a hub does not
-// hear most others and relies on the size that the hubs report. While it hears nobody, the last
-// reported size remains valid.
+// fleetSize returns the size of the fleet. x.mu must be held. An instance that is not a hub receives no
+// reports from most others and relies on the size that the hubs report. While it receives no reports at
+// all, the last reported size remains valid.
 func (x *Exchange) fleetSize(now time.Duration) Size {
 	if !x.synced() {
 		return Size{}
@@ -198,7 +198,7 @@
 	return out
 }
 
-// resetSilence clears the silence of all instances so that they are retried, because none is heard.
+// resetSilence makes all instances count as responsive, so that they are retried when none reports.
 func (x *Exchange) resetSilence() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -208,7 +208,7 @@
 	x.selection = hubSelection{size: x.selection.size}
 }
 
-// pickHubs selects hubs from members. If a member has not been heard, the listed run may have ended,
+// pickHubs selects hubs from members. If a member has not reported yet, the listed run may have ended,
 // so its start time is ignored: after a power loss of the whole fleet, no listed run is still active.
 func (x *Exchange) pickHubs(members []Member, size, count int) []Member {
 	byName := make(map[string]Member, len(members))
@@ -232,7 +232,8 @@
 	return out
 }
 
-// hasReported reports whether a run has been heard by this instance. x.mu must be held.
+// hasReported reports whether this instance has received a report of a run, or is that run. x.mu must
+// be held.
 func (x *Exchange) hasReported(m Member) bool {
 	_, heard := x.last[RunOf(m.Name, m.Incarnation)]
 	return heard || m.Name == x.self.Name
--- a/fleet/hubs_test.go
+++ b/fleet/hubs_test.go
@@ -77,8 +77,8 @@
 	assert.Assert(t, !contains(x.currentSelection(x.lastWake), "self"))
 }
 
-// Guards against an instance that overestimates its share of the rates because it hears only part of
-// the fleet.
+// Guards against an instance that overestimates its share of the rates because it receives reports from
+// only part of the fleet.
 func TestFleetSizeIsTakenFromHubs(t *testing.T) {
 	x := newFleetExchange(t, 20)
 	now := boottime.Now()
@@ -86,7 +86,7 @@
 	x.recordFleetState(now, &Report{Instance: "i4", Incarnation: 1, Answer: true, Instances: 290})
 	x.selection.at = 0
 	assert.Equal(t, x.currentSelection(now).size, SizeOf(295))
-	// While nobody is heard, the last reported size remains valid.
+	// While no reports are received, the last reported size remains valid.
 	assert.Equal(t, x.currentSelection(now+time.Minute).size, SizeOf(295))
 	x.last[RunOf("i3", 1)] = lastReport{at: now + time.Hour}
 	assert.Equal(t, x.currentSelection(now+time.Hour).size, SizeOf(20))
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -182,7 +182,7 @@
 	m.addRun(now, sender, now)
 }
 
-// RecordMention records an instance that another instance hears.
+// RecordMention records an instance that another instance lists as a hub.
 func (m *Members) RecordMention(mentioned Member) {
 	now := boottime.Now()
 	m.mu.Lock()
@@ -215,8 +215,8 @@
 	m.onChange(list)
 }
 
-// Expire removes instances that have not been seen for longer than EntryTTL. An instance that hears
-// nobody must not call it, because it would remove members that it may be able to reach again.
+// Expire removes instances that have not been seen for longer than EntryTTL. An instance that receives
+// no reports must not call it, because it would remove members that it may be able to reach again.
 func (m *Members) Expire() {
 	now := boottime.Now()
 	m.mu.Lock()
@@ -246,9 +246,9 @@
 
 // replaces reports whether a run takes over an instance's name from the known run. A delayed datagram
 // of an earlier run may arrive when the next run is already active. If it were accepted, all reports
-// would go to the address of a process that has ended, and the active run would hear nothing of its
-// fleet. Incarnations decide, unless the wall clock was set back; then the known run is replaced once
-// it has been silent for replaceSilence. m.mu must be held.
+// would go to the address of a process that has ended, and the active run would receive none.
+// Incarnations decide, unless the wall clock was set back; then the known run is replaced once it has
+// been silent for replaceSilence. m.mu must be held.
 func (m *Members) replaces(incarnation uint64, old Member, now time.Duration) bool {
 	return incarnation > old.Incarnation || now-old.lastSeen() > replaceSilence
 }
--- a/fleet/members_test.go
+++ b/fleet/members_test.go
@@ -13,7 +13,7 @@
 
 // After an instance has restarted, a delayed datagram of its earlier run may arrive. If it were taken
 // for the newer run, all reports would go to an address where nobody listens, and the active run would
-// hear nothing of its fleet and consider itself isolated.
+// receive none and consider itself isolated.
 func TestLateReportOfEarlierRunIsIgnored(t *testing.T) {
 	var last []Member
 	m := NewMembers(Member{Name: "a"}, nil, zap.NewNop(), func(list []Member) { last = list })
@@ -95,7 +95,7 @@
 }
 
 // Guards against powerful machines that are taken for the weakest after a restart because their new run
-// was first heard by an answer, which does not contain the machine.
+// was first known by an answer, which does not contain the machine.
 func TestAnswersKeepMachine(t *testing.T) {
 	strong := Machine{DataCentre: "x", Millicores: 800}
 	var last []Member
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -19,7 +19,7 @@
 // are rarely lost.
 const ClaimTTL = 3*claimRefreshInterval + 50*time.Millisecond
 
-// RequestPlace requests a place at an engine from a hub and waits until it is given or refused.
+// RequestPlace asks a hub for a place at an engine and waits until one is assigned or refused.
 func (x *Exchange) RequestPlace(ctx context.Context, hub string, c Claim) (Place, error) {
 	c.ID = rand.Uint64()
 	answers := make(chan Place, placeBufferSize)
@@ -44,8 +44,8 @@
 	return place, err
 }
 
-// waitForPlace sends a claim until it is decided. The home counts as gone if it does not answer within
-// the timeouts of an ask.
+// waitForPlace sends a claim until it is decided. It returns ErrUnanswered if the home does not answer
+// within the timeouts of an ask.
 func (x *Exchange) waitForPlace(ctx context.Context, p *peer, c *Claim, answers <-chan Place) (Place, error) {
 	started := time.Now()
 	waited, left := c.Waited, c.Left
@@ -108,8 +108,8 @@
 	}
 }
 
-// handleLoads processes loads that have changed at another instance. Proofs of freshness remain dated
-// by the sender's last complete report.
+// handleLoads processes loads that have changed at another instance. It leaves the times of the
+// sender's last complete report unchanged, because as-of times are computed from them.
 func (x *Exchange) handleLoads(now time.Duration, r *Report) {
 	if x.stalled(now) {
 		return
@@ -127,8 +127,8 @@
 	}
 }
 
-// Home returns the hub that decides on a subject and whether it is this instance. Instances that know
-// the same hubs return the same one.
+// Home returns the hub that is responsible for a subject, such as a service, and whether it is this
+// instance. Instances that know the same hubs return the same one.
 func (x *Exchange) Home(subject string) (Hub, bool) {
 	best, lowest := Hub{Name: x.self.Name, Run: RunOf(x.self.Name, x.self.Incarnation)}, Hash(0)
 	for i, h := range x.Hubs() {
--- a/fleet/place_test.go
+++ b/fleet/place_test.go
@@ -24,7 +24,8 @@
 	return a, home
 }
 
-// Guards against a request that goes elsewhere while its home keeps it waiting for capacity.
+// Guards against a request that is sent to another instance although its home has answered that it waits
+// for capacity.
 func TestClaimWaitsUntilDecided(t *testing.T) {
 	var heard atomic.Int32
 	a, home := newClaimPair(t, func(c Claim, answer func(Place)) {
@@ -88,7 +89,7 @@
 	}, poll.WithTimeout(30*time.Second))
 }
 
-// Guards against proofs of freshness that are dated by a datagram that contains only loads.
+// Guards against as-of times that are computed from a datagram that contains only loads.
 func TestPartialLoadsKeepReportTime(t *testing.T) {
 	x, h := newExchange(t, "a")
 	defer x.conn.Close()
--- a/fleet/report.go
+++ b/fleet/report.go
@@ -1,5 +1,6 @@
-// Package fleet exchanges state between the instances of a fleet: which instances there are, and what
-// each of them has spent, placed and heard.
+// Package fleet exchanges state between the instances of a fleet: which instances there are, how much of
+// the quotas each has spent, which loads it has placed at upstreams, and which records of the store it
+// has read.
 package fleet
 
 import (
@@ -35,9 +36,9 @@
 // Load is the work that an instance has placed at an upstream.
 type Load struct{ Requests, Tokens int }
 
-// Heard is when the sender of a report last heard its receiver.
+// Heard describes the last report that the sender of a report received from its receiver.
 type Heard struct {
-	// Run is the run of the receiver, or 0 if it was not heard.
+	// Run is the run of the receiver, or 0 if no report of it was received.
 	Run Run
 	// Age is the age of the last report from the receiver; Made is when that was made, by the
 	// receiver's clock.
@@ -53,7 +54,7 @@
 
 // Poll is a request for an answer to a report.
 type Poll struct {
-	// Whole requests the receiver's state of all instances.
+	// Whole requests the loads and works of all instances, as known to the receiver of the poll.
 	Whole bool
 	// Hubs is the digest of the hubs that the sender has selected.
 	Hubs uint64
@@ -119,11 +120,12 @@
 	Loads   map[Hash]Load
 	Crashes []Crash
 	Notes   []follow.Note
-	// Known are the offsets up to which the sender has the topics of the store.
+	// Known are the offsets up to which the sender knows the topics of the store.
 	Known map[port.Topic]uint64
 	// Works are the observations of the requests of model services, keyed by the hash of the service.
 	Works map[Hash]Work
-	// Shares are totals, by shard, of the time of all rates that were handed to the receiver.
+	// Shares are the totals, by shard, of the credit that the sender has transferred to the receiver.
+	// Credit is a duration; multiplied by an organisation's rate, it is a number of tokens.
 	Shares map[int]time.Duration
 	Bills  []Bill
 	// Short lists the organisations whose buckets at the sender are empty.
@@ -141,8 +143,8 @@
 	// Partial means that the report has only loads, and only those that have just changed.
 	Partial bool
 	// Earliest is the earliest time at which the sender can have made the report, by the receiver's
-	// clock that includes suspensions, or 0 if the sender has not heard the receiver yet. It is not
-	// sent.
+	// clock that includes suspensions, or 0 if the sender has received no report of the receiver yet.
+	// It is not sent.
 	Earliest time.Duration
 }
 
--- a/fleet/sender_test.go
+++ b/fleet/sender_test.go
@@ -66,8 +66,8 @@
 	assert.Assert(t, known.inOwnFleet(roundTrip(t, own, true), localAddr(own)))
 }
 
-// Tests the same over sockets: while the stranger keeps sending, a member joins, and only the member's
-// reports are accepted and recorded.
+// Tests the rejection of other fleets over sockets: while the stranger keeps sending, a member joins,
+// and only the member's reports are accepted and recorded.
 func TestStrangerIsNotRecorded(t *testing.T) {
 	own, handler := newExchangeOf(t, "a", 7, "store")
 	introduced := make(chan string, 100)
