--- a/follow/explore_test.go
+++ b/follow/explore_test.go
@@ -32,7 +32,7 @@
 }
 
 func (e *modelInstance) Add(r port.KeyedRecord) bool {
-	if r.Key == "beat" {
+	if r.Key == "heartbeat" {
 		return false
 	}
 	e.known[r.Key] = max(e.known[r.Key], r.Offset)
@@ -121,7 +121,7 @@
 	for i, e := range x.instances {
 		clear(newest)
 		for offset, r := range x.records {
-			if x.written[offset] < e.asOf && r.Key != "beat" {
+			if x.written[offset] < e.asOf && r.Key != "heartbeat" {
 				newest[r.Key] = uint64(offset)
 			}
 		}
@@ -151,7 +151,7 @@
 			case step == 0:
 				x.write([]string{"a", "b"}[pick(2)])
 			case step == 1:
-				x.write("beat")
+				x.write("heartbeat")
 			case step <= 3:
 				x.read(pick(instances), false)
 			case step == 4 && pick(4) == 0:
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -38,10 +38,10 @@
 
 // Handler processes the content of a topic. Its methods are not called concurrently.
 type Handler interface {
-	// Replace takes the newest record of every key; any other key is gone. Like Add, it
-	// reports whether anything changed that other instances must know.
+	// Replace processes the newest record of every key; other keys no longer exist. Like Add,
+	// it reports whether anything changed that other instances must know.
 	Replace(records []port.KeyedRecord) (changed bool)
-	// Add takes one more record.
+	// Add processes one further record.
 	Add(record port.KeyedRecord) (changed bool)
 	// CaughtUp reports that every record that was in the topic at asOf has been processed.
 	// asOf is a time of the clock that includes suspensions.
@@ -74,8 +74,8 @@
 	// Rank returns the number of instances that precede this one in the order of readers of a
 	// shared topic. If it is nil, the topic is not shared, and each instance reads for itself.
 	Rank func() int
-	// Announce is called when there is something new to tell the other instances. It may be
-	// nil.
+	// Announce is called when there is something new to report to the other instances. It may
+	// be nil.
 	Announce func()
 	// Now is the clock that includes suspensions.
 	Now boottime.Clock
@@ -93,8 +93,8 @@
 	// Note.
 	mark      uint64
 	markKnown bool
-	// asOf is the start time of the latest read, by any instance, that proved that there were
-	// no further records. lastRead is when this instance's own last read ended.
+	// asOf is the start time of the latest read, by any instance, that reached the end of the
+	// topic. lastRead is when this instance's own last read ended.
 	asOf, lastRead time.Duration
 	// behind is set while another instance knows records that are missing here. They end below
 	// behindMark, and are read from the store at catchUpAt unless they arrive earlier.
--- a/follow/share.go
+++ b/follow/share.go
@@ -8,7 +8,7 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// Limits for what instances tell each other about a topic.
+// Limits of the notes that instances exchange about a topic.
 const (
 	// activeReaders is the number of instances that read a shared topic continuously. The
 	// second one covers the time until the loss of the first is noticed.
@@ -36,7 +36,7 @@
 	markTimeout = 1500 * time.Millisecond
 )
 
-// Note is what an instance tells the others about a topic that it follows. An instance that
+// Note reports an instance's state of a topic to the other instances. An instance that
 // has all records up to Mark, from its own reads or from notes, is caught up as of the same
 // time as the sender.
 type Note struct {
--- a/follow/share_test.go
+++ b/follow/share_test.go
@@ -14,7 +14,7 @@
 	"github.com/cairnworks/cairnworks/port"
 )
 
-// sharedTopic is a topic whose records change something unless their key is "beat".
+// sharedTopic is a topic whose records change something unless their key is "heartbeat".
 type sharedTopic struct {
 	port.KeyedLog
 	mu      sync.Mutex
@@ -93,7 +93,7 @@
 func (i *instance) Add(r port.KeyedRecord) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if r.Key == "beat" {
+	if r.Key == "heartbeat" {
 		return false
 	}
 	i.known = r.Key
@@ -232,7 +232,7 @@
 		calls := s.topic.callCount() - before
 		assert.Assert(t, calls <= 2*10*3, "%d calls in ten seconds", calls)
 		assert.Assert(t, oldest < testTiming.TakeoverAge, "an as-of time was %v old", oldest)
-		s.topic.put("beat")
+		s.topic.put("heartbeat")
 		s.topic.put("second")
 		before = s.topic.callCount()
 		time.Sleep(2*noteInterval + 20*time.Millisecond)
