--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -68,7 +68,7 @@
 	return h.Sum64()
 }
 
-// asTime converts the time since boot to the type used by the ledger.
+// asTime converts the time since boot to the type used by the quarantine tracker.
 func asTime(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
 
 // quarantineRefusal returns a refusal if the request has crashed upstreams.
@@ -112,7 +112,7 @@
 		t.toReport = append(t.toReport, reportedCrash{now - c.Age, c})
 	}
 	at := asTime(now - c.Age)
-	// Each request is charged separately: instances report the requests that they had running, and
+	// Each request is recorded separately: instances report the requests that they had running, and
 	// no instance knows all requests that ran on the process.
 	process := fmt.Sprintf("%x/%x", c.Upstream, c.Fingerprint)
 	for _, hash := range t.quarantine.RecordCrash(at, quarantine.Crash{Upstream: process, Process: process, Running: []uint64{c.Fingerprint}}) {
--- a/gateway/model.go
+++ b/gateway/model.go
@@ -48,7 +48,7 @@
 	// for the answer.
 	claimedTokens, estimatedOutput int
 	sends                          int
-	// maxRan is the strongest verdict of all attempts.
+	// maxRan is the highest Ran of all attempts.
 	maxRan verdict.Ran
 	// except holds decode engines that are not tried again; full holds those that have just refused
 	// a reservation.
--- a/gateway/placement.go
+++ b/gateway/placement.go
@@ -26,7 +26,7 @@
 	RequestPlace(ctx context.Context, hub string, c fleet.Claim) (fleet.Place, error)
 	// SendLoads sends a home this instance's current loads at some engines.
 	SendLoads(hub string, loads map[fleet.Hash]fleet.Load)
-	// MarkSuspect reports a home that does not answer, so that another replaces it.
+	// MarkSuspect marks a home that does not answer, so that another replaces it.
 	MarkSuspect(hub string)
 }
 
@@ -87,7 +87,7 @@
 	return entry, nil, known
 }
 
-// claimFromHome sends a claim to a home, and reports the home if it does not answer.
+// claimFromHome sends a claim to a home, and marks the home as suspect if it does not answer.
 func (d *dispatcher) claimFromHome(ctx context.Context, home fleet.Hub, c fleet.Claim) (fleet.Place, bool) {
 	c.Service = fleet.HashOf(d.service)
 	place, err := d.gateway.placementHomes.RequestPlace(ctx, home.Name, c)
--- a/gateway/placement_test.go
+++ b/gateway/placement_test.go
@@ -83,7 +83,7 @@
 func (h fakeHomes) name() string { return fmt.Sprint("i", h.index) }
 
 // runPlacementTest runs a test with instances that share the engines of one service and know of
-// each other's placements only what the home tells them. The test runs in synctest's virtual time.
+// each other's placements only through the home. The test runs in synctest's virtual time.
 func runPlacementTest(t *testing.T, instances, engines int, run func(t *testing.T, f *placementFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -315,8 +315,8 @@
 	})
 }
 
-// Guards against a prefill engine that refuses prompts while it changes its role: unless the home
-// is told, every instance sends it prompts until its entry shows the new role.
+// Guards against a prefill engine that refuses prompts while it changes its role: unless this is
+// reported to the home, every instance sends it prompts until its entry shows the new role.
 func TestRefusingPrefillEngineIsReportedToHome(t *testing.T) {
 	runPlacementTest(t, 20, 3, func(t *testing.T, f *placementFleet) {
 		refusals := 0
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -123,7 +123,7 @@
 	tried            map[string]bool
 	sends            int
 	unreachableCount int
-	// maxRan is the strongest verdict of all attempts.
+	// maxRan is the highest Ran of all attempts.
 	maxRan verdict.Ran
 	// budgetTaken is set if the next retry has already been taken from the retry budget.
 	budgetTaken bool
--- a/gateway/quota.go
+++ b/gateway/quota.go
@@ -20,8 +20,8 @@
 	// asking the home. Such a request is small compared with a bucket's allowed overdraft, and its
 	// caller waits only milliseconds.
 	uncheckedBurstRatio = 0.02
-	// emptyBucketTTL is how long such requests also ask the home after their organisation's bucket
-	// was reported empty.
+	// emptyBucketTTL is how long the home is asked even for such a small request after the
+	// organisation's bucket was reported empty.
 	emptyBucketTTL = time.Second
 	// unansweredQuotaRetry is the Retry-After if the home does not answer. By then another one has
 	// been chosen.
@@ -63,8 +63,9 @@
 	Hubs() []fleet.Hub
 	// Size returns the size of the fleet. While it is unknown, the homes are unknown too.
 	Size() fleet.Size
+	// RequestTokens asks a hub for tokens from one of its buckets.
 	RequestTokens(ctx context.Context, hub string, a fleet.Ask) (fleet.Grant, error)
-	// MarkSuspect reports a hub that does not answer, so that another replaces it.
+	// MarkSuspect marks a hub that does not answer, so that another replaces it.
 	MarkSuspect(hub string)
 }
 
--- a/gateway/quota_restart_test.go
+++ b/gateway/quota_restart_test.go
@@ -32,7 +32,7 @@
 	fleet *restartFleet
 	self  fleet.Member
 	// up is when the instance serves again; listed is when it has read the list of instances;
-	// complete is when the hubs have told it of the instances that are missing from the list.
+	// complete is when it has learned from the hubs of the instances missing from the list.
 	up, listed, complete time.Duration
 }
 
@@ -180,8 +180,8 @@
 		share float64
 		// listed is the maximum time until they have read the list.
 		listed time.Duration
-		// told is the additional time until they learn of the instances missing from the list.
-		told time.Duration
+		// learned is the additional time until they learn of the instances missing from the list.
+		learned time.Duration
 	}{
 		{"all", 1, 300 * time.Millisecond, 0},
 		{"all, slow store", 1, 3 * time.Second, 0},
@@ -196,7 +196,7 @@
 			for _, m := range f.members {
 				if f.rng.Float64() < c.share {
 					m.start(time.Duration(f.rng.Int64N(int64(time.Second))), time.Duration(f.rng.Int64N(int64(c.listed))))
-					m.complete += c.told
+					m.complete += c.learned
 				}
 			}
 			f.run(14*time.Second, 3)
--- a/gateway/workload.go
+++ b/gateway/workload.go
@@ -83,7 +83,7 @@
 }
 
 // workWithout returns the output lengths measured by all instances but one. The other measurements
-// are omitted: the split is decided where all of them are known.
+// are omitted: only hubs decide the split, and they receive every instance's measurements directly.
 func (d *dispatcher) workWithout(except string) fleet.Work {
 	d.mu.Lock()
 	defer d.mu.Unlock()
