--- a/instance/routed/readers.go
+++ b/instance/routed/readers.go
@@ -17,20 +17,20 @@
 // within which all instances must apply a change: activate a new configuration, or assign no more
 // work to a leaving upstream.
 const (
-	// configWaitFraction is how long a call waits at the store for a new configuration. A proof of
-	// freshness dates from the start of its call and is used until the next call ends, so it can
-	// become twice as old.
+	// configWaitFraction is how long a call waits at the store for a new configuration. The as-of
+	// time of a read is the start of its call and is used until the next call ends, so its age can
+	// become twice as long.
 	configWaitFraction = 0.2
 	// configReadGap is the pause between two calls for the configuration.
 	configReadGap = 50 * time.Millisecond
 	// upstreamGapFraction is the pause between two reads of the list of upstreams. Upstreams renew
 	// their entries continuously, so a waiting call would return for every renewal.
 	upstreamGapFraction = 0.25
-	// takeoverAgeFraction is the age of a proof from which other instances read as well. It exceeds the
-	// age that results from two regular readers and one lost report, and leaves a third of the
-	// bound for the read, the report and the reads of the others.
+	// takeoverAgeFraction is the age of the as-of time from which standby instances read as well. It
+	// exceeds the age that results from two active readers and one lost report, and leaves a third
+	// of the bound for the read, the report and the reads of the others.
 	takeoverAgeFraction = 0.6
-	// staggerFraction is the time over which the reads of all other instances are spread, so that
+	// staggerFraction is the time over which the reads of all standby instances are spread, so that
 	// the first reads make the remaining ones unnecessary.
 	staggerFraction = 0.15
 	// memberReadGap is the pause between two reads of the list of instances. It is long because
@@ -41,9 +41,8 @@
 
 // Factors of memberReadGap.
 const (
-	// largeFleetGapFactor applies in a large fleet while other instances are heard,
-	// isolatedGapFactor while none is heard, and initialGapFactor until the members of the fleet
-	// are known.
+	// largeFleetGapFactor applies in a large fleet while other instances report, isolatedGapFactor
+	// while none does, and initialGapFactor until the members of the fleet are known.
 	largeFleetGapFactor, isolatedGapFactor, initialGapFactor = 15, 0.4, 0.1
 )
 
--- a/instance/routed/routed.go
+++ b/instance/routed/routed.go
@@ -67,11 +67,11 @@
 	memoryLimitFraction = 0.5
 	// bodyMemoryFraction is the fraction of the memory that request bodies may use.
 	bodyMemoryFraction = 0.2
-	// refuseAgeFraction is the fraction of the bound on withdrawn keys after which an instance that
-	// has not reached the store refuses requests with a key. The rest covers the time that a
-	// request takes to reach its engine.
+	// refuseAgeFraction is the fraction of the time within which a withdrawn key must be refused,
+	// after which an instance that has not reached the store refuses requests with a key. The rest
+	// covers the time that a request takes to reach its engine.
 	refuseAgeFraction = 0.85
-	// readyAgeFraction is the fraction of the same bound up to which an instance reports that it is
+	// readyAgeFraction is the fraction of the same time up to which an instance reports that it is
 	// ready. Requests that arrive in response can then still be authenticated.
 	readyAgeFraction = 0.6
 	// lingerFraction is the fraction of the grace period after SIGTERM in which new connections are
@@ -81,8 +81,7 @@
 	// exitMargin is the part of the grace period that is reserved for the exit of the process.
 	exitMargin        = 600 * time.Millisecond
 	millicoresPerCore = 1000
-	// sweepInterval is the interval at which idle connections to upstreams are closed and gauges
-	// are updated.
+	// sweepInterval is the interval of runSweep.
 	sweepInterval = time.Second
 )
 
@@ -290,7 +289,8 @@
 	})
 }
 
-// runSweep periodically closes idle connections to upstreams and updates the gauges.
+// runSweep periodically closes idle connections to upstreams, removes expired state, logs changed hubs
+// and updates the gauges.
 func (i *Instance) runSweep(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
