--- a/cmd/cairnworksd/main.go
+++ b/cmd/cairnworksd/main.go
@@ -120,7 +120,7 @@
 const readyPollInterval = 50 * time.Millisecond
 
 // printCurlWhenReady prints an example curl command once the instance is ready. Before that, the
-// command would be refused, because the rate homes are not settled yet.
+// command would be refused, because it is not known yet which instances hold the quotas.
 func printCurlWhenReady(ctx context.Context, addresses instance.Addresses, platform *embedded.Platform) {
 	for ctx.Err() == nil && !ready(ctx, addresses.Operators) {
 		time.Sleep(readyPollInterval)
