--- a/fleet/ask.go
+++ b/fleet/ask.go
@@ -10,16 +10,16 @@
 	"go.uber.org/zap"
 )
 
-// askTimeouts are the timeouts of the attempts of an ask. An answer normally arrives within one or
-// two milliseconds; the second attempt covers a slow machine or a lost datagram.
+// askTimeouts are the timeouts of the successive attempts of an ask. An answer normally arrives within
+// one or two milliseconds; the second attempt covers a slow machine or a lost datagram.
 var askTimeouts = []time.Duration{25 * time.Millisecond, 50 * time.Millisecond}
 
 // ErrUnanswered is returned if a hub did not answer an ask or a claim. Whether the hub has deducted
 // the tokens is unknown; the caller must not spend them.
 var ErrUnanswered = errors.New("the instance asked did not answer")
 
-// Ask requests tokens from a hub.
-func (x *Exchange) Ask(ctx context.Context, hub string, a Ask) (Grant, error) {
+// RequestTokens asks a hub for tokens.
+func (x *Exchange) RequestTokens(ctx context.Context, hub string, a Ask) (Grant, error) {
 	a.ID = rand.Uint64()
 	grants := make(chan Grant, 1)
 	x.mu.Lock()
@@ -50,7 +50,7 @@
 	return Grant{}, ErrUnanswered
 }
 
-// answerAsk answers an ask.
+// answerAsk sends the handler's grant to the instance that sent an ask.
 func (x *Exchange) answerAsk(now time.Duration, r *Report, from netip.AddrPort) {
 	g := x.handler.HandleAsk(now, r.run(), *r.Ask)
 	x.sendSingle(r.Instance, from, &Report{Grant: &g})
@@ -62,11 +62,11 @@
 	r.Instance, r.Incarnation, r.Fleet = x.self.Name, x.self.Incarnation, x.identity()
 	data, err := r.marshal()
 	if err != nil {
-		x.logger.Error("datagram not sent", zap.String("peer", to), zap.Error(err))
+		x.logger.Error("cannot send datagram", zap.String("peer", to), zap.Error(err))
 		return
 	}
 	if _, err := x.conn.WriteToUDPAddrPort(data, address); err != nil {
-		x.logger.Debug("datagram not sent", zap.String("peer", to), zap.Error(err))
+		x.logger.Debug("cannot send datagram", zap.String("peer", to), zap.Error(err))
 	}
 }
 
--- a/fleet/exchange.go
+++ b/fleet/exchange.go
@@ -111,8 +111,8 @@
 	Member
 	address netip.AddrPort
 	run     Run
-	// unansweredSince is when the first report since the peer was last heard was sent to it, or 0
-	// if there is none.
+	// unansweredSince is when the first report was sent to the peer since it last reported, or 0 if
+	// none was sent.
 	unansweredSince time.Duration
 	// suspectUntil is the time until which the peer counts as silent.
 	suspectUntil time.Duration
@@ -157,7 +157,7 @@
 	for _, m := range members {
 		address, err := netip.ParseAddrPort(m.Address)
 		if err != nil {
-			x.logger.Warn("unreadable address of an instance", zap.String("peer", m.Name), zap.Error(err))
+			x.logger.Warn("invalid instance address", zap.String("peer", m.Name), zap.Error(err))
 			continue
 		}
 		run := RunOf(m.Name, m.Incarnation)
@@ -183,7 +183,7 @@
 func (x *Exchange) TriggerReport() { notify(x.trigger) }
 
 // Announce requests an immediate report to all hubs, or to all instances in a small fleet, because
-// there is news that every instance is waiting for.
+// something changed that every instance is waiting for.
 func (x *Exchange) Announce() { notify(x.announce) }
 
 func notify(to chan struct{}) {
@@ -193,7 +193,7 @@
 	}
 }
 
-// Leave makes the other instances select another hub.
+// Leave reports that this instance is about to stop, so that the others select another hub.
 func (x *Exchange) Leave() {
 	x.mu.Lock()
 	x.leaving, x.selection.at = true, 0
@@ -232,21 +232,21 @@
 	defer timer.Stop()
 	var expired time.Duration
 	for {
-		kick := x.trigger
+		trigger := x.trigger
 		if x.large() {
-			kick = nil
+			trigger = nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-timer.C:
 			timer.Reset(x.send(false))
-		case <-kick:
+		case <-trigger:
 			timer.Reset(x.send(true))
 		case <-x.announce:
 			timer.Reset(x.send(true))
 		}
-		if now := boottime.Now(); x.onExpire != nil && now-expired > expireInterval && x.hearsAny(now) {
+		if now := boottime.Now(); x.onExpire != nil && now-expired > expireInterval && x.hasRecentReports(now) {
 			expired = now
 			x.onExpire()
 		}
@@ -298,7 +298,7 @@
 		err = errReportTooLarge
 	}
 	if err != nil {
-		x.logger.Error("report not sent", zap.Error(err))
+		x.logger.Error("cannot send report", zap.Error(err))
 		return
 	}
 	compare := x.compareDue(now)
@@ -310,7 +310,7 @@
 		x.handler.FillFor(now, p.run, one)
 		data, err := one.appendTo(common)
 		if err != nil {
-			x.logger.Error("report not sent", zap.Error(err))
+			x.logger.Error("cannot send report", zap.Error(err))
 			return
 		}
 		x.writeReport(now, p, data)
@@ -361,7 +361,7 @@
 	return p
 }
 
-// lastHeard returns when a run was last heard.
+// lastHeard describes the last report received from a run.
 func (x *Exchange) lastHeard(now time.Duration, run Run) Heard {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -381,7 +381,7 @@
 	address := p.address
 	x.mu.Unlock()
 	if _, err := x.conn.WriteToUDPAddrPort(data, address); err != nil {
-		x.logger.Debug("report not sent", zap.String("peer", p.Name), zap.Error(err))
+		x.logger.Debug("cannot send report", zap.String("peer", p.Name), zap.Error(err))
 	}
 }
 
@@ -393,7 +393,7 @@
 	defer x.mu.Unlock()
 	if now-x.lastWake > stallThreshold {
 		x.dropUntil = now + stallDropWindow
-		x.logger.Warn("process stood still", zap.Duration("gap", now-x.lastWake))
+		x.logger.Warn("process stalled", zap.Duration("gap", now-x.lastWake))
 	}
 	x.lastWake = now
 	return now
--- a/fleet/hubs.go
+++ b/fleet/hubs.go
@@ -10,7 +10,7 @@
 
 // Parameters of hub selection.
 const (
-	// peerTimeout is the silence after which an instance that was sent reports counts as silent
+	// peerTimeout is how long an instance may leave reports unanswered before it counts as silent
 	// in a small fleet. With a loss rate of one in forty, three reports in a row are lost once
 	// in 64,000.
 	peerTimeout = 700 * time.Millisecond
@@ -61,11 +61,11 @@
 
 func (x *Exchange) large() bool { return x.Size().Large() }
 
-// Isolated reports whether no other instance was heard recently.
-func (x *Exchange) Isolated() bool { return !x.hearsAny(boottime.Now()) }
+// Isolated reports whether no report of another instance was received recently.
+func (x *Exchange) Isolated() bool { return !x.hasRecentReports(boottime.Now()) }
 
-// hearsAny reports whether any other instance was heard recently.
-func (x *Exchange) hearsAny(now time.Duration) bool {
+// hasRecentReports reports whether a report of any other instance was received recently.
+func (x *Exchange) hasRecentReports(now time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, last := range x.last {
@@ -120,8 +120,8 @@
 	return false
 }
 
-// Suspect marks a hub as silent for suspectDuration because it did not answer.
-func (x *Exchange) Suspect(name string) {
+// MarkSuspect marks a hub as silent for suspectDuration because it did not answer.
+func (x *Exchange) MarkSuspect(name string) {
 	now := boottime.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -147,9 +147,9 @@
 	return x.selection
 }
 
-// fleetSize returns the size of the fleet. x.mu must be held. An instance that is not a hub does not
-// hear most others and relies on the size that the hubs report. While it hears nobody, the last
-// reported size remains valid.
+// fleetSize returns the size of the fleet. x.mu must be held. An instance that is not a hub receives no
+// reports from most others and relies on the size that the hubs report. While it receives no reports at
+// all, the last reported size remains valid.
 func (x *Exchange) fleetSize(now time.Duration) Size {
 	if !x.synced() {
 		return Size{}
@@ -198,7 +198,7 @@
 	return out
 }
 
-// resetSilence clears the silence of all instances so that they are retried, because none is heard.
+// resetSilence makes all instances count as responsive, so that they are retried when none reports.
 func (x *Exchange) resetSilence() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -208,21 +208,21 @@
 	x.selection = hubSelection{size: x.selection.size}
 }
 
-// pickHubs selects hubs from members. If a member has not been heard, the listed run may have ended,
+// pickHubs selects hubs from members. If a member has not reported yet, the listed run may have ended,
 // so its start time is ignored: after a power loss of the whole fleet, no listed run is still active.
 func (x *Exchange) pickHubs(members []Member, size, count int) []Member {
 	byName := make(map[string]Member, len(members))
 	first := startTime(x.self)
 	for _, m := range members {
 		byName[m.Name] = m
-		if x.everHeard(m) {
+		if x.hasReported(m) {
 			first = min(first, startTime(m))
 		}
 	}
 	now := time.Duration(time.Now().UnixNano())
 	candidates := make([]hub.Candidate, 0, len(members))
 	for _, m := range members {
-		settled := !x.everHeard(m) || startTime(m) <= first+startWindow || now-startTime(m) > settleTime
+		settled := !x.hasReported(m) || startTime(m) <= first+startWindow || now-startTime(m) > settleTime
 		candidates = append(candidates, hub.Candidate{Name: m.Name, Hash: uint64(HashOf(m.Name)), DataCentre: m.Machine.DataCentre, Millicores: m.Machine.Millicores, Settled: settled})
 	}
 	var out []Member
@@ -232,8 +232,9 @@
 	return out
 }
 
-// everHeard reports whether a run has been heard by this instance. x.mu must be held.
-func (x *Exchange) everHeard(m Member) bool {
+// hasReported reports whether this instance has received a report of a run, or is that run. x.mu must
+// be held.
+func (x *Exchange) hasReported(m Member) bool {
 	_, heard := x.last[RunOf(m.Name, m.Incarnation)]
 	return heard || m.Name == x.self.Name
 }
--- a/fleet/hubs_test.go
+++ b/fleet/hubs_test.go
@@ -62,7 +62,7 @@
 	assert.Assert(t, !contains(x.currentSelection(gone+2*selectionMaxAge), first.Name))
 	x.retryMentioned(gone+mentionRetryDelay, first)
 	assert.Assert(t, contains(x.currentSelection(gone+mentionRetryDelay), first.Name))
-	x.Suspect(first.Name)
+	x.MarkSuspect(first.Name)
 	assert.Assert(t, !contains(x.currentSelection(boottime.Now()), first.Name))
 }
 
@@ -77,8 +77,8 @@
 	assert.Assert(t, !contains(x.currentSelection(x.lastWake), "self"))
 }
 
-// Guards against an instance that overestimates its share of the rates because it hears only part of
-// the fleet.
+// Guards against an instance that overestimates its share of the rates because it receives reports from
+// only part of the fleet.
 func TestFleetSizeIsTakenFromHubs(t *testing.T) {
 	x := newFleetExchange(t, 20)
 	now := boottime.Now()
@@ -86,7 +86,7 @@
 	x.recordFleetState(now, &Report{Instance: "i4", Incarnation: 1, Answer: true, Instances: 290})
 	x.selection.at = 0
 	assert.Equal(t, x.currentSelection(now).size, SizeOf(295))
-	// While nobody is heard, the last reported size remains valid.
+	// While no reports are received, the last reported size remains valid.
 	assert.Equal(t, x.currentSelection(now+time.Minute).size, SizeOf(295))
 	x.last[RunOf("i3", 1)] = lastReport{at: now + time.Hour}
 	assert.Equal(t, x.currentSelection(now+time.Hour).size, SizeOf(20))
@@ -179,13 +179,13 @@
 	defer stop()
 	go func() { _ = a.Run(ctx) }()
 	go func() { _ = b.Run(ctx) }()
-	g, err := a.Ask(ctx, "b", Ask{Organisation: 1, Tokens: 5})
+	g, err := a.RequestTokens(ctx, "b", Ask{Organisation: 1, Tokens: 5})
 	assert.NilError(t, err)
 	assert.Assert(t, g.Granted && g.Level == 5)
 	handler.mu.Lock()
 	assert.Assert(t, handler.asks >= 1)
 	handler.mu.Unlock()
-	_, err = a.Ask(ctx, "nobody", Ask{})
+	_, err = a.RequestTokens(ctx, "nobody", Ask{})
 	assert.ErrorIs(t, err, ErrUnanswered)
 	a.deliverGrant(Grant{ID: 7})
 }
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -84,12 +84,12 @@
 	// changed once the list is in use.
 	SkipEntry func() bool
 	ReadFirst bool
-	// GoneLogger returns the function that logs removed instances; if nil, logger.Info is used.
-	GoneLogger func() func(string, ...zap.Field)
+	// RemovalLogger returns the function that logs removed instances; if nil, logger.Info is used.
+	RemovalLogger func() func(string, ...zap.Field)
 
-	mu        sync.Mutex
-	others    map[string]Member
-	storeLost bool
+	mu               sync.Mutex
+	others           map[string]Member
+	storeUnavailable bool
 	// firstRead is when the list was first read, or 0 before that.
 	firstRead time.Duration
 	// synced means that the members of the fleet are known.
@@ -125,7 +125,7 @@
 		return skipEntryRecheck
 	}
 	if err := m.writeEntry(ctx); err != nil {
-		m.logger.Warn("entry not renewed", zap.Error(err))
+		m.logger.Warn("cannot renew own instance entry", zap.Error(err))
 		if !m.hasEntry.Load() {
 			return firstRenewRetry
 		}
@@ -163,7 +163,7 @@
 		return
 	}
 	if err := m.log.Put(ctx, port.TopicInstances, m.self.Name, nil); err != nil {
-		m.logger.Warn("entry not dropped; it lapses", zap.Error(err))
+		m.logger.Warn("cannot delete own instance entry; it will expire", zap.Error(err))
 	}
 }
 
@@ -182,7 +182,7 @@
 	m.addRun(now, sender, now)
 }
 
-// RecordMention records an instance that another instance hears.
+// RecordMention records an instance that another instance lists as a hub.
 func (m *Members) RecordMention(mentioned Member) {
 	now := boottime.Now()
 	m.mu.Lock()
@@ -215,8 +215,8 @@
 	m.onChange(list)
 }
 
-// Expire removes instances that have not been seen for longer than EntryTTL. An instance that hears
-// nobody must not call it, because it would remove members that it may be able to reach again.
+// Expire removes instances that have not been seen for longer than EntryTTL. An instance that receives
+// no reports must not call it, because it would remove members that it may be able to reach again.
 func (m *Members) Expire() {
 	now := boottime.Now()
 	m.mu.Lock()
@@ -234,11 +234,11 @@
 		if silent := now - member.lastSeen(); silent > EntryTTL {
 			delete(m.others, name)
 			gone = true
-			tell := m.logger.Info
-			if m.GoneLogger != nil {
-				tell = m.GoneLogger()
+			logChange := m.logger.Info
+			if m.RemovalLogger != nil {
+				logChange = m.RemovalLogger()
 			}
-			tell("instance gone", zap.String("peer", name), zap.Duration("silent", silent))
+			logChange("instance expired", zap.String("peer", name), zap.Duration("silent", silent))
 		}
 	}
 	return gone
@@ -246,9 +246,9 @@
 
 // replaces reports whether a run takes over an instance's name from the known run. A delayed datagram
 // of an earlier run may arrive when the next run is already active. If it were accepted, all reports
-// would go to the address of a process that has ended, and the active run would hear nothing of its
-// fleet. Incarnations decide, unless the wall clock was set back; then the known run is replaced once
-// it has been silent for replaceSilence. m.mu must be held.
+// would go to the address of a process that has ended, and the active run would receive none.
+// Incarnations decide, unless the wall clock was set back; then the known run is replaced once it has
+// been silent for replaceSilence. m.mu must be held.
 func (m *Members) replaces(incarnation uint64, old Member, now time.Duration) bool {
 	return incarnation > old.Incarnation || now-old.lastSeen() > replaceSilence
 }
@@ -267,7 +267,7 @@
 	}
 	if !m.fullLogged {
 		m.fullLogged = true
-		m.logger.Error("too many instances that the store does not list", zap.Int("unlisted", unlisted))
+		m.logger.Error("too many unlisted instances; ignoring new ones", zap.Int("unlisted", unlisted))
 	}
 	return true
 }
@@ -327,7 +327,7 @@
 	}
 	var member Member
 	if err := json.Unmarshal(record.Value, &member); err != nil {
-		m.logger.Warn("unreadable entry of an instance", zap.String("instance", record.Key), zap.Error(err))
+		m.logger.Warn("invalid instance entry", zap.String("instance", record.Key), zap.Error(err))
 		return
 	}
 	old, known := m.others[record.Key]
@@ -351,14 +351,14 @@
 	now := boottime.Now()
 	m.mu.Lock()
 	for name, member := range m.others {
-		if m.storeLost {
+		if m.storeUnavailable {
 			// No instance could renew its entry while the store was unavailable.
 			member.lastChanged = now
 			m.others[name] = member
 		}
 	}
 	m.dropSilent(now)
-	m.storeLost = false
+	m.storeUnavailable = false
 	m.updateSynced(now)
 	list := m.list()
 	m.mu.Unlock()
@@ -383,6 +383,6 @@
 // ReadFailed implements follow.Handler.
 func (m *Members) ReadFailed() {
 	m.mu.Lock()
-	m.storeLost = true
+	m.storeUnavailable = true
 	m.mu.Unlock()
 }
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -19,8 +19,8 @@
 // are rarely lost.
 const ClaimTTL = 3*claimRefreshInterval + 50*time.Millisecond
 
-// Claim requests a place at an engine from a hub and waits until it is given or refused.
-func (x *Exchange) Claim(ctx context.Context, hub string, c Claim) (Place, error) {
+// RequestPlace asks a hub for a place at an engine and waits until one is assigned or refused.
+func (x *Exchange) RequestPlace(ctx context.Context, hub string, c Claim) (Place, error) {
 	c.ID = rand.Uint64()
 	answers := make(chan Place, placeBufferSize)
 	x.mu.Lock()
@@ -44,13 +44,13 @@
 	return place, err
 }
 
-// waitForPlace sends a claim until it is decided. The home counts as gone if it does not answer within
-// the timeouts of an ask.
+// waitForPlace sends a claim until it is decided. It returns ErrUnanswered if the home does not answer
+// within the timeouts of an ask.
 func (x *Exchange) waitForPlace(ctx context.Context, p *peer, c *Claim, answers <-chan Place) (Place, error) {
-	begun := time.Now()
+	started := time.Now()
 	waited, left := c.Waited, c.Left
 	for tries := 0; tries < len(askTimeouts); tries++ {
-		passed := time.Since(begun)
+		passed := time.Since(started)
 		c.Waited, c.Left = waited+passed, left-passed
 		x.sendSingle(p.Name, p.address, &Report{Claim: c})
 		timer := time.NewTimer(askTimeouts[tries])
@@ -96,8 +96,8 @@
 	}
 }
 
-// TellLoads immediately sends a hub the current loads of some upstreams.
-func (x *Exchange) TellLoads(hub string, loads map[Hash]Load) {
+// SendLoads immediately sends a hub the current loads of some upstreams.
+func (x *Exchange) SendLoads(hub string, loads map[Hash]Load) {
 	x.mu.Lock()
 	p, known := x.peers[hub]
 	x.sequence++
@@ -108,8 +108,8 @@
 	}
 }
 
-// handleLoads processes loads that have changed at another instance. Proofs of freshness remain dated
-// by the sender's last complete report.
+// handleLoads processes loads that have changed at another instance. It leaves the times of the
+// sender's last complete report unchanged, because as-of times are computed from them.
 func (x *Exchange) handleLoads(now time.Duration, r *Report) {
 	if x.stalled(now) {
 		return
@@ -127,8 +127,8 @@
 	}
 }
 
-// Home returns the hub that decides on a subject and whether it is this instance. Instances that know
-// the same hubs return the same one.
+// Home returns the hub that is responsible for a subject, such as a service, and whether it is this
+// instance. Instances that know the same hubs return the same one.
 func (x *Exchange) Home(subject string) (Hub, bool) {
 	best, lowest := Hub{Name: x.self.Name, Run: RunOf(x.self.Name, x.self.Incarnation)}, Hash(0)
 	for i, h := range x.Hubs() {
--- a/fleet/place_test.go
+++ b/fleet/place_test.go
@@ -24,7 +24,8 @@
 	return a, home
 }
 
-// Guards against a request that goes elsewhere while its home keeps it waiting for capacity.
+// Guards against a request that is sent to another instance although its home has answered that it waits
+// for capacity.
 func TestClaimWaitsUntilDecided(t *testing.T) {
 	var heard atomic.Int32
 	a, home := newClaimPair(t, func(c Claim, answer func(Place)) {
@@ -34,7 +35,7 @@
 		}
 		answer(Place{ID: c.ID, State: state, Upstream: 9})
 	})
-	place, err := a.Claim(t.Context(), "b", Claim{Service: 1, Tokens: 5, Left: time.Minute})
+	place, err := a.RequestPlace(t.Context(), "b", Claim{Service: 1, Tokens: 5, Left: time.Minute})
 	assert.NilError(t, err)
 	assert.Equal(t, place.State, PlaceGiven)
 	assert.Equal(t, place.Upstream, Hash(9))
@@ -53,7 +54,7 @@
 			answer(Place{ID: c.ID, State: PlaceRefused, Retry: time.Second})
 		}
 	})
-	place, err := a.Claim(t.Context(), "b", Claim{})
+	place, err := a.RequestPlace(t.Context(), "b", Claim{})
 	assert.NilError(t, err)
 	assert.Equal(t, place.State, PlaceRefused)
 	assert.Equal(t, place.Retry, time.Second)
@@ -62,9 +63,9 @@
 // Guards against requests that hang because their home has ended.
 func TestClaimAtSilentHomeFails(t *testing.T) {
 	a, _ := newClaimPair(t, nil)
-	_, err := a.Claim(t.Context(), "b", Claim{})
+	_, err := a.RequestPlace(t.Context(), "b", Claim{})
 	assert.ErrorIs(t, err, ErrUnanswered)
-	_, err = a.Claim(t.Context(), "nobody", Claim{})
+	_, err = a.RequestPlace(t.Context(), "nobody", Claim{})
 	assert.ErrorIs(t, err, ErrUnanswered)
 	a.deliverPlace(Place{ID: 7})
 }
@@ -76,7 +77,7 @@
 		answer(Place{ID: c.ID, State: PlaceWaiting})
 		leave()
 	})
-	_, err := a.Claim(ctx, "b", Claim{})
+	_, err := a.RequestPlace(ctx, "b", Claim{})
 	assert.ErrorIs(t, err, context.Canceled)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		home.mu.Lock()
@@ -88,7 +89,7 @@
 	}, poll.WithTimeout(30*time.Second))
 }
 
-// Guards against proofs of freshness that are dated by a datagram that contains only loads.
+// Guards against as-of times that are computed from a datagram that contains only loads.
 func TestPartialLoadsKeepReportTime(t *testing.T) {
 	x, h := newExchange(t, "a")
 	defer x.conn.Close()
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -37,10 +37,10 @@
 	log            *zap.Logger
 	checkReachable func(ctx context.Context, to upstream.Entry) error
 
-	mu       sync.Mutex
-	ledger   *quarantine.Tracker
-	toReport []reportedCrash
-	known    map[crashKey]bool
+	mu         sync.Mutex
+	quarantine *quarantine.Tracker
+	toReport   []reportedCrash
+	known      map[crashKey]bool
 }
 
 type reportedCrash struct {
@@ -54,7 +54,7 @@
 }
 
 func newCrashTracker(log *zap.Logger, checkReachable func(context.Context, upstream.Entry) error) *crashTracker {
-	return &crashTracker{log: log, checkReachable: checkReachable, ledger: quarantine.New(quarantine.DefaultConfig()), known: make(map[crashKey]bool)}
+	return &crashTracker{log: log, checkReachable: checkReachable, quarantine: quarantine.New(quarantine.DefaultConfig()), known: make(map[crashKey]bool)}
 }
 
 // fingerprint identifies repetitions of a request by method, target, organisation and body.
@@ -68,17 +68,17 @@
 	return h.Sum64()
 }
 
-// asTime converts the time since boot to the type used by the ledger.
+// asTime converts the time since boot to the type used by the quarantine tracker.
 func asTime(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
 
 // quarantineRefusal returns a refusal if the request has crashed upstreams.
 func (t *crashTracker) quarantineRefusal(c *Call) *verdict.Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ledger.Len() == 0 {
+	if t.quarantine.Len() == 0 {
 		return nil
 	}
-	return t.ledger.Refusal(asTime(boottime.Now()), fingerprint(c))
+	return t.quarantine.Refusal(asTime(boottime.Now()), fingerprint(c))
 }
 
 // recordBrokenOff handles a request whose upstream closed the connection without a complete answer. A
@@ -93,7 +93,7 @@
 			return
 		}
 		t.recordCrash(boottime.Now(), fleet.Crash{Fingerprint: hash, Upstream: fleet.HashOf(fmt.Sprintf("%s/%d", entry.ID, entry.Started))}, true)
-		t.log.Info("request ended with its upstream", zap.String("request", c.ID), zap.String("upstream", entry.ID), zap.Uint64("fingerprint", hash))
+		t.log.Info("upstream crashed while running request", zap.String("request", c.ID), zap.String("upstream", entry.ID), zap.Uint64("fingerprint", hash))
 		onCrash()
 	})
 }
@@ -112,10 +112,10 @@
 		t.toReport = append(t.toReport, reportedCrash{now - c.Age, c})
 	}
 	at := asTime(now - c.Age)
-	// Each request is charged separately: instances report the requests that they had running, and
+	// Each request is recorded separately: instances report the requests that they had running, and
 	// no instance knows all requests that ran on the process.
 	process := fmt.Sprintf("%x/%x", c.Upstream, c.Fingerprint)
-	for _, hash := range t.ledger.RecordCrash(at, quarantine.Crash{Upstream: process, Process: process, Running: []uint64{c.Fingerprint}}) {
+	for _, hash := range t.quarantine.RecordCrash(at, quarantine.Crash{Upstream: process, Process: process, Running: []uint64{c.Fingerprint}}) {
 		t.log.Warn("request quarantined", zap.Uint64("fingerprint", hash))
 	}
 }
@@ -124,8 +124,8 @@
 func (t *crashTracker) recordSuccess(c *Call) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ledger.Len() > 0 {
-		t.ledger.RecordSuccess(fingerprint(c))
+	if t.quarantine.Len() > 0 {
+		t.quarantine.RecordSuccess(fingerprint(c))
 	}
 }
 
--- a/gateway/quota.go
+++ b/gateway/quota.go
@@ -20,8 +20,8 @@
 	// asking the home. Such a request is small compared with a bucket's allowed overdraft, and its
 	// caller waits only milliseconds.
 	uncheckedBurstRatio = 0.02
-	// emptyBucketTTL is how long such requests also ask the home after their organisation's bucket
-	// was reported empty.
+	// emptyBucketTTL is how long the home is asked even for such a small request after the
+	// organisation's bucket was reported empty.
 	emptyBucketTTL = time.Second
 	// unansweredQuotaRetry is the Retry-After if the home does not answer. By then another one has
 	// been chosen.
@@ -63,9 +63,10 @@
 	Hubs() []fleet.Hub
 	// Size returns the size of the fleet. While it is unknown, the homes are unknown too.
 	Size() fleet.Size
-	Ask(ctx context.Context, hub string, a fleet.Ask) (fleet.Grant, error)
-	// Suspect reports a hub that does not answer, so that another replaces it.
-	Suspect(hub string)
+	// RequestTokens asks a hub for tokens from one of its buckets.
+	RequestTokens(ctx context.Context, hub string, a fleet.Ask) (fleet.Grant, error)
+	// MarkSuspect marks a hub that does not answer, so that another replaces it.
+	MarkSuspect(hub string)
 }
 
 // Quotas enforces the organisations' quotas together with the other instances. It is safe for
@@ -259,10 +260,10 @@
 		return QuotaDecision{Admitted: d.Granted, Retry: d.Retry, Home: home.Name, Level: d.Level, Part: d.Part}
 	}
 	q.mu.Unlock()
-	g, err := q.network.Ask(ctx, home.Name, fleet.Ask{Organisation: org, Tokens: tokens})
+	g, err := q.network.RequestTokens(ctx, home.Name, fleet.Ask{Organisation: org, Tokens: tokens})
 	if err != nil {
 		if ctx.Err() == nil {
-			q.network.Suspect(home.Name)
+			q.network.MarkSuspect(home.Name)
 		}
 		return QuotaDecision{Unanswered: true, Retry: unansweredQuotaRetry, Home: home.Name}
 	}
--- a/instance/routed/readers.go
+++ b/instance/routed/readers.go
@@ -17,20 +17,20 @@
 // within which all instances must apply a change: activate a new configuration, or assign no more
 // work to a leaving upstream.
 const (
-	// configWaitFraction is how long a call waits at the store for a new configuration. A proof of
-	// freshness dates from the start of its call and is used until the next call ends, so it can
-	// become twice as old.
+	// configWaitFraction is how long a call waits at the store for a new configuration. The as-of
+	// time of a read is the start of its call and is used until the next call ends, so its age can
+	// become twice as long.
 	configWaitFraction = 0.2
 	// configReadGap is the pause between two calls for the configuration.
 	configReadGap = 50 * time.Millisecond
 	// upstreamGapFraction is the pause between two reads of the list of upstreams. Upstreams renew
 	// their entries continuously, so a waiting call would return for every renewal.
 	upstreamGapFraction = 0.25
-	// spareFraction is the age of a proof from which other instances read as well. It exceeds the
-	// age that results from two regular readers and one lost report, and leaves a third of the
-	// bound for the read, the report and the reads of the others.
-	spareFraction = 0.6
-	// staggerFraction is the time over which the reads of all other instances are spread, so that
+	// takeoverAgeFraction is the age of the as-of time from which standby instances read as well. It
+	// exceeds the age that results from two active readers and one lost report, and leaves a third
+	// of the bound for the read, the report and the reads of the others.
+	takeoverAgeFraction = 0.6
+	// staggerFraction is the time over which the reads of all standby instances are spread, so that
 	// the first reads make the remaining ones unnecessary.
 	staggerFraction = 0.15
 	// memberReadGap is the pause between two reads of the list of instances. It is long because
@@ -41,16 +41,15 @@
 
 // Factors of memberReadGap.
 const (
-	// largeFleetGapFactor applies in a large fleet while other instances are heard,
-	// isolatedGapFactor while none is heard, and initialGapFactor until the members of the fleet
-	// are known.
+	// largeFleetGapFactor applies in a large fleet while other instances report, isolatedGapFactor
+	// while none does, and initialGapFactor until the members of the fleet are known.
 	largeFleetGapFactor, isolatedGapFactor, initialGapFactor = 15, 0.4, 0.1
 )
 
-// unlisted reports whether this instance needs no entry in the list of instances. In a large fleet,
+// skipsEntry reports whether this instance needs no entry in the list of instances. In a large fleet,
 // a starting instance only needs to find the hubs, and the hubs learn of the others from their
 // reports.
-func (i *Instance) unlisted() bool {
+func (i *Instance) skipsEntry() bool {
 	return i.fleetSize().Large() && !i.exchange.IsHub()
 }
 
@@ -72,13 +71,13 @@
 // given time.
 func (i *Instance) newSharedFollower(topic port.Topic, within time.Duration, reader follow.Handler) *follow.Follower {
 	fractionOf := func(fraction float64) time.Duration { return time.Duration(fraction * float64(within)) }
-	pace := follow.PollTiming{TakeoverAge: fractionOf(spareFraction), Stagger: fractionOf(staggerFraction) / maxStaggerRank}
+	timing := follow.PollTiming{TakeoverAge: fractionOf(takeoverAgeFraction), Stagger: fractionOf(staggerFraction) / maxStaggerRank}
 	if topic == port.TopicConfiguration {
-		pace.Wait, pace.Gap = fractionOf(configWaitFraction), configReadGap
+		timing.Wait, timing.Gap = fractionOf(configWaitFraction), configReadGap
 	} else {
-		pace.Gap = fractionOf(upstreamGapFraction)
+		timing.Gap = fractionOf(upstreamGapFraction)
 	}
-	f := follow.NewFollower(topic, pace, reader)
+	f := follow.NewFollower(topic, timing, reader)
 	f.Rank = func() int { return min(i.exchange.Rank(topic.String()), maxStaggerRank) }
 	f.Announce = func() { i.exchange.Announce() }
 	return f
@@ -181,7 +180,7 @@
 	if !r.instance.state.Directory.Evacuate(dataCentre, evacuated) {
 		return false
 	}
-	r.instance.log.Info("data centre evacuated", zap.String("data_centre", dataCentre), zap.Bool("evacuated", evacuated))
+	r.instance.log.Info("data centre evacuation changed", zap.String("data_centre", dataCentre), zap.Bool("evacuated", evacuated))
 	return true
 }
 
@@ -193,7 +192,7 @@
 	}
 	c, ok, err := i.adapters.Configuration(record)
 	if err != nil {
-		i.log.Error("configuration not readable; the one before stays in force", zap.Error(err))
+		i.log.Error("invalid configuration; keeping the previous one", zap.Error(err))
 		return false
 	}
 	if !ok {
@@ -230,8 +229,8 @@
 // upstreamReader applies the entries of upstreams.
 type upstreamReader struct {
 	instance *Instance
-	// lost is set if the last call to the store failed.
-	lost bool
+	// storeUnavailable is set if the last call to the store failed.
+	storeUnavailable bool
 	// keepRemovedUntil is the time until which removed entries are kept, because entries that
 	// expired during a store outage are registered again.
 	keepRemovedUntil time.Duration
@@ -297,14 +296,14 @@
 
 func (r *upstreamReader) drop(id string) {
 	if logChange := r.instance.changeLogger(); r.instance.state.Directory.Remove(id) {
-		logChange("upstream gone", zap.String("upstream", id))
+		logChange("upstream removed", zap.String("upstream", id))
 	}
 }
 
 // noteStoreReachable starts the time for re-registration if the store was unreachable before.
 func (r *upstreamReader) noteStoreReachable() {
-	if r.lost {
-		r.lost = false
+	if r.storeUnavailable {
+		r.storeUnavailable = false
 		r.keepRemovedUntil = boottime.Now() + reregistrationTime
 	}
 }
@@ -323,4 +322,4 @@
 }
 
 // ReadFailed implements follow.Handler.
-func (r *upstreamReader) ReadFailed() { r.lost = true }
+func (r *upstreamReader) ReadFailed() { r.storeUnavailable = true }
--- a/instance/routed/routed.go
+++ b/instance/routed/routed.go
@@ -67,11 +67,11 @@
 	memoryLimitFraction = 0.5
 	// bodyMemoryFraction is the fraction of the memory that request bodies may use.
 	bodyMemoryFraction = 0.2
-	// proofAgeFraction is the fraction of the bound on withdrawn keys after which an instance that
-	// has not reached the store refuses requests with a key. The rest covers the time that a
-	// request takes to reach its engine.
-	proofAgeFraction = 0.85
-	// readyAgeFraction is the fraction of the same bound up to which an instance reports that it is
+	// refuseAgeFraction is the fraction of the time within which a withdrawn key must be refused,
+	// after which an instance that has not reached the store refuses requests with a key. The rest
+	// covers the time that a request takes to reach its engine.
+	refuseAgeFraction = 0.85
+	// readyAgeFraction is the fraction of the same time up to which an instance reports that it is
 	// ready. Requests that arrive in response can then still be authenticated.
 	readyAgeFraction = 0.6
 	// lingerFraction is the fraction of the grace period after SIGTERM in which new connections are
@@ -81,8 +81,7 @@
 	// exitMargin is the part of the grace period that is reserved for the exit of the process.
 	exitMargin        = 600 * time.Millisecond
 	millicoresPerCore = 1000
-	// sweepInterval is the interval at which idle connections to upstreams are closed and gauges
-	// are updated.
+	// sweepInterval is the interval of runSweep.
 	sweepInterval = time.Second
 )
 
@@ -120,7 +119,7 @@
 	if s.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryLimitFraction * 1e6))
 	}
-	i.state = gateway.NewState(boottime.Now, time.Duration(float64(s.RevokeMS)*proofAgeFraction)*time.Millisecond)
+	i.state = gateway.NewState(boottime.Now, time.Duration(float64(s.RevokeMS)*refuseAgeFraction)*time.Millisecond)
 	self := fleet.Member{
 		Name: s.Instance, Incarnation: fleet.NewIncarnation(i.createdAt), Address: s.Reports,
 		Machine: fleet.Machine{DataCentre: s.DataCentre, Millicores: int(s.Cores * millicoresPerCore)},
@@ -145,8 +144,8 @@
 	i.quotas.Connect(exchange)
 	i.gateway.Connect(exchange)
 	i.members = fleet.NewMembers(self, adapters.Log, log, i.setMembers)
-	i.members.SkipEntry, i.members.ReadFirst = i.unlisted, !s.FirstStart
-	i.members.GoneLogger = i.changeLogger
+	i.members.SkipEntry, i.members.ReadFirst = i.skipsEntry, !s.FirstStart
+	i.members.RemovalLogger = i.changeLogger
 	exchange.OnReport(i.members.RecordReport)
 	exchange.OnMention(i.members.RecordMention)
 	exchange.OnExpire(i.members.Expire)
@@ -290,7 +289,8 @@
 	})
 }
 
-// runSweep periodically closes idle connections to upstreams and updates the gauges.
+// runSweep periodically closes idle connections to upstreams, removes expired state, logs changed hubs
+// and updates the gauges.
 func (i *Instance) runSweep(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -388,7 +388,7 @@
 	server := &http.Server{Addr: i.settings.Metrics, Handler: mux, ReadHeaderTimeout: defaultRequestLimits.HeaderTimeout}
 	group.Go(func() error {
 		if err := ignoreServerClosed(server.ListenAndServe()); err != nil {
-			i.log.Error("metrics not served", zap.Error(err))
+			i.log.Error("metrics server failed", zap.Error(err))
 		}
 		return nil
 	})
@@ -408,7 +408,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), grace-linger-exitMargin)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		i.log.Warn("requests cut off at the end of the grace", zap.Error(err))
+		i.log.Warn("requests cut off at the end of the grace period", zap.Error(err))
 	}
 	leave, done := context.WithTimeout(context.Background(), exitMargin/2)
 	defer done()
