--- a/load/attempt.go
+++ b/load/attempt.go
@@ -6,38 +6,38 @@
 	"github.com/cairnworks/cairnworks/stand"
 )
 
-// Outcome is how an attempt ended, as its caller sees it.
+// Outcome is how an attempt ended, as observed by the caller.
 type Outcome string
 
 // Outcomes.
 const (
-	// OutcomeWhole is an answer that claims to be complete.
-	OutcomeWhole Outcome = "whole"
-	// OutcomeRefused is an error response instead of an answer.
+	// OutcomeComplete is an answer that claims to be complete.
+	OutcomeComplete Outcome = "whole"
+	// OutcomeRefused is an error response in place of an answer.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeFailed is an answer that began and ended with an error event.
+	// OutcomeFailed is a streamed answer that ended with an error event.
 	OutcomeFailed Outcome = "failed"
-	// OutcomeBroken is a connection that broke before the outcome.
-	OutcomeBroken Outcome = "broken"
-	// OutcomeCut is an answer that ended in good order without its terminator.
-	OutcomeCut Outcome = "cut"
-	// OutcomeUnreachable is a connection that did not come about.
+	// OutcomeDisconnected is a connection that was lost before the outcome.
+	OutcomeDisconnected Outcome = "broken"
+	// OutcomeTruncated is an answer whose connection closed cleanly before its terminator.
+	OutcomeTruncated Outcome = "cut"
+	// OutcomeUnreachable is a connection that could not be established.
 	OutcomeUnreachable Outcome = "unreachable"
-	// OutcomeCancelled is an attempt that the caller gave up by plan.
+	// OutcomeCancelled is an attempt that the caller cancelled on schedule.
 	OutcomeCancelled Outcome = "cancelled"
-	// OutcomeUnanswered is an attempt without any outcome within patience.
-	OutcomeUnanswered Outcome = "unanswered"
+	// OutcomeTimedOut is an attempt without an outcome within the request timeout.
+	OutcomeTimedOut Outcome = "unanswered"
 )
 
-// Attempt is one sending of a task and what came back. Times count from the start
+// Attempt is one transmission of a task's request and its response. Times are relative to the start
 // of the run.
 type Attempt struct {
 	Instance string
-	Sent     time.Duration
-	// First is when the first token or byte of an answer came; 0 means never.
-	First time.Duration
-	Last  time.Duration
-	// Outcome and, unless the answer is whole, what its error said.
+	SentAt   time.Duration
+	// FirstByteAt is when the first token or byte of an answer arrived; 0 means never.
+	FirstByteAt time.Duration
+	LastByteAt  time.Duration
+	// The fields from Reason to Detail hold the error of an attempt without a complete answer.
 	Outcome    Outcome
 	Status     int
 	RequestID  string
@@ -49,66 +49,65 @@
 	// Tokens is the number of events with text.
 	Tokens int
 	Text   string
-	// Finish is the finish reason; Terminators counts [DONE] lines, and
-	// AfterTerminator is set when anything followed one.
-	Finish          string
+	// Terminators counts [DONE] events; AfterTerminator is set if an event followed one.
+	FinishReason    string
 	Terminators     int
 	AfterTerminator bool
-	// Call is the echo of a plain service; Body its raw form.
-	Call     *stand.PlainAnswer
+	// Echo is the request as echoed by a plain service; Body is the raw response body.
+	Echo     *stand.PlainAnswer
 	Body     string
 	Replayed bool
 }
 
-// Result is a task with its attempts, in the order of sending.
+// Result is a task with its attempts: the first and its retries, then those of a resend.
 type Result struct {
 	Task *Task
-	// Late is how long after its time the task was started.
-	Late     time.Duration
-	Attempts []*Attempt
-	// Prompt hash and expected answer of a model request.
+	// StartDelay is how long after its arrival time the task was started.
+	StartDelay time.Duration
+	Attempts   []*Attempt
+	// PromptHash, WantText and WantFinish are the prompt's hash and the expected answer of a model
+	// request.
 	PromptHash string
 	WantText   string
 	WantFinish string
-	// PromptTokens is the prompt's length as the router estimates it.
+	// PromptTokens is the prompt length as estimated by the router.
 	PromptTokens int
-	// Of a call: its key, its query, its body's hash and its place in the counts
-	// of a stand-in.
+	// The remaining fields describe a call. CallKey is its key in the counters of a stand-in.
 	IdempotencyKey string
 	Query          string
 	CallBodyHash   string
 	CallKey        string
 }
 
-// final returns the attempt that decides what the task's caller got: the first
-// whole answer, or else the last attempt.
+// final returns the attempt that determines the task's outcome: the first with a complete answer,
+// or else the last one.
 func (r *Result) final() *Attempt {
 	for _, a := range r.Attempts {
-		if a.Outcome == OutcomeWhole {
+		if a.Outcome == OutcomeComplete {
 			return a
 		}
 	}
 	return r.Attempts[len(r.Attempts)-1]
 }
 
-// cancelled reports whether the caller gave the task up by plan.
+// cancelled reports whether the caller cancelled the task on schedule.
 func (r *Result) cancelled() bool { return r.final().Outcome == OutcomeCancelled }
 
-// firstByte is the time from the task's scheduled arrival to the answer's first
-// token or byte.
-func (r *Result) firstByte() time.Duration { return r.final().First - r.Task.At }
+// firstByteLatency is the time from the task's scheduled arrival to the first token or byte of the
+// answer.
+func (r *Result) firstByteLatency() time.Duration { return r.final().FirstByteAt - r.Task.Arrival }
 
-// perToken is the mean time between tokens of a streamed answer.
-func (r *Result) perToken() time.Duration {
+// meanTokenInterval is the mean time between tokens of a streamed answer, or 0 for other answers.
+func (r *Result) meanTokenInterval() time.Duration {
 	a := r.final()
 	if !r.Task.Kind.Stream || a.Tokens < 2 {
 		return 0
 	}
-	return (a.Last - a.First) / time.Duration(a.Tokens-1)
+	return (a.LastByteAt - a.FirstByteAt) / time.Duration(a.Tokens-1)
 }
 
-// good reports an answer within both latency targets of its kind.
-func (r *Result) good() bool {
-	return r.final().Outcome == OutcomeWhole &&
-		r.firstByte() <= r.Task.Kind.FirstByte.Duration && r.perToken() <= r.Task.Kind.PerToken.Duration
+// meetsTargets reports whether the answer is complete and within both latency targets of its kind.
+func (r *Result) meetsTargets() bool {
+	return r.final().Outcome == OutcomeComplete &&
+		r.firstByteLatency() <= r.Task.Kind.FirstByteTarget.Duration && r.meanTokenInterval() <= r.Task.Kind.PerTokenTarget.Duration
 }
--- a/load/bind.go
+++ b/load/bind.go
@@ -8,8 +8,8 @@
 	"github.com/samber/oops"
 )
 
-// BindProcesses reads a file with a line "NAME PID" for each running process. The
-// named processes are watched, and faults find their process ids in it.
+// BindProcesses reads a file with a line "NAME PID" for each running process. It adds these to the
+// processes to monitor and sets the process IDs of faults that name them.
 func (s *Scenario) BindProcesses(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/load/check.go
+++ b/load/check.go
@@ -9,51 +9,52 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// Promise names what a violation breaks.
-type Promise string
+// Guarantee names a guarantee of the router in reports.
+type Guarantee string
 
-// Promises that are checked.
+// Guarantees that Check verifies.
 const (
-	// PromiseWhole: an answer that claims to be complete is.
-	PromiseWhole Promise = "whole answer"
-	// PromiseOwn: every token and echo is of the caller's own request.
-	PromiseOwn Promise = "own answer"
-	// PromiseOnce: no token, terminator or outcome comes twice.
-	PromiseOnce Promise = "answered once"
-	// PromiseOutcome: each request gets an outcome, and none is cut off silently.
-	PromiseOutcome Promise = "outcome for every request"
-	// PromiseNotRun: "not run" is said only of what did not run.
-	PromiseNotRun Promise = "not run is true"
-	// PromiseAtMostOnce: a call that may not be repeated runs at most once.
-	PromiseAtMostOnce Promise = "at most once"
-	// PromiseRan: a call that was answered has run.
-	PromiseRan Promise = "answered calls have run"
-	// PromiseKey: no upstream sees a caller's key.
-	PromiseKey Promise = "no upstream sees a key"
-	// PromiseMemory: engines hold nothing for requests that are gone.
-	PromiseMemory Promise = "engine memory is freed"
-	// PromiseRate: no organisation gets more than its rate and burst.
-	PromiseRate Promise = "rate and burst"
+	// GuaranteeCompleteAnswer: an answer that is marked as complete is complete.
+	GuaranteeCompleteAnswer Guarantee = "whole answer"
+	// GuaranteeOwnAnswer: every token and echo belongs to the caller's own request.
+	GuaranteeOwnAnswer Guarantee = "own answer"
+	// GuaranteeNoDuplicate: no token, terminator or outcome is delivered twice.
+	GuaranteeNoDuplicate Guarantee = "answered once"
+	// GuaranteeOutcome: each request gets an outcome, and no answer is truncated without an error.
+	GuaranteeOutcome Guarantee = "outcome for every request"
+	// GuaranteeNotRun: only requests that did not run are reported as "not run".
+	GuaranteeNotRun Guarantee = "not run is true"
+	// GuaranteeAtMostOnce: a call that is not idempotent runs at most once.
+	GuaranteeAtMostOnce Guarantee = "at most once"
+	// GuaranteeExecuted: an answered call has run.
+	GuaranteeExecuted Guarantee = "answered calls have run"
+	// GuaranteeKeySecrecy: no upstream receives a caller's key.
+	GuaranteeKeySecrecy Guarantee = "no upstream sees a key"
+	// GuaranteeMemoryFreed: engines hold no memory for requests that have ended.
+	GuaranteeMemoryFreed Guarantee = "engine memory is freed"
+	// GuaranteeRateLimit: no organisation exceeds its rate and burst.
+	GuaranteeRateLimit Guarantee = "rate and burst"
 )
 
-// Violation is a broken promise, with the request that shows it.
+// Violation is a violated guarantee with the request that shows it; Task is -1 if it is not due to
+// a single request.
 type Violation struct {
-	Promise Promise `json:"promise"`
-	Kind    string  `json:"kind,omitempty"`
-	Task    int     `json:"task"`
-	Request string  `json:"request,omitempty"`
-	Detail  string  `json:"detail"`
+	Guarantee Guarantee `json:"promise"`
+	Kind      string    `json:"kind,omitempty"`
+	Task      int       `json:"task"`
+	Request   string    `json:"request,omitempty"`
+	Detail    string    `json:"detail"`
 }
 
-// String names the promise, the request that shows it, if it is one, and why.
+// String returns a description of the violation on one line.
 func (v Violation) String() string {
 	if v.Task < 0 {
-		return fmt.Sprintf("%s: %s", v.Promise, v.Detail)
+		return fmt.Sprintf("%s: %s", v.Guarantee, v.Detail)
 	}
-	return fmt.Sprintf("%s: %s %d, request %s: %s", v.Promise, v.Kind, v.Task, v.Request, v.Detail)
+	return fmt.Sprintf("%s: %s %d, request %s: %s", v.Guarantee, v.Kind, v.Task, v.Request, v.Detail)
 }
 
-// Check returns every broken promise that results and evidence show.
+// Check returns all violations that results and evidence show.
 func Check(s *Scenario, results []*Result, evidence Evidence) []Violation {
 	c := &checker{scenario: s, evidence: evidence}
 	for _, r := range results {
@@ -62,7 +63,7 @@
 			c.checkAttempt()
 		}
 		c.attempt = r.final()
-		c.checkCall()
+		c.checkCallRuns()
 	}
 	c.result, c.attempt = nil, nil
 	c.checkKeys()
@@ -79,12 +80,12 @@
 	violations []Violation
 }
 
-func (c *checker) broken(promise Promise, format string, args ...any) {
-	v := Violation{Promise: promise, Task: -1, Detail: fmt.Sprintf(format, args...)}
+func (c *checker) addViolation(guarantee Guarantee, format string, args ...any) {
+	v := Violation{Guarantee: guarantee, Task: -1, Detail: fmt.Sprintf(format, args...)}
 	if c.result != nil {
 		v.Kind, v.Task = c.result.Task.Kind.Name, c.result.Task.Index
 		v.Request = c.attempt.RequestID
-		v.Detail += " (through " + c.attempt.Instance + ")"
+		v.Detail += " (via " + c.attempt.Instance + ")"
 	}
 	c.violations = append(c.violations, v)
 }
@@ -99,29 +100,29 @@
 	c.checkText()
 }
 
-// checkOutcome looks at how the attempt ended. A connection may break only when
-// the scenario killed or paused the instance.
+// checkOutcome verifies how the attempt ended. A connection may be lost only if the scenario kills
+// or pauses the instance.
 func (c *checker) checkOutcome() {
 	a := c.attempt
 	switch a.Outcome {
-	case OutcomeCut:
-		c.broken(PromiseOutcome, "the answer ended without terminator or error after %d tokens", a.Tokens)
-	case OutcomeBroken, OutcomeUnanswered:
-		if !c.scenario.mayBreak(a.Instance) {
-			c.broken(PromiseOutcome, "%s after %d tokens: %s", a.Outcome, a.Tokens, a.Detail)
+	case OutcomeTruncated:
+		c.addViolation(GuaranteeOutcome, "the stream ended after %d tokens without a terminator or an error", a.Tokens)
+	case OutcomeDisconnected, OutcomeTimedOut:
+		if !c.scenario.mayDropConnections(a.Instance) {
+			c.addViolation(GuaranteeOutcome, "%s after %d tokens: %s", a.Outcome, a.Tokens, a.Detail)
 		}
-	case OutcomeWhole:
+	case OutcomeComplete:
 		if a.Reason != "" {
-			c.broken(PromiseOnce, "the answer claims to be complete and to have failed with %s", a.Reason)
+			c.addViolation(GuaranteeNoDuplicate, "the answer is marked as complete and as failed with %s", a.Reason)
 		}
 	}
 	if a.Terminators > 1 || a.AfterTerminator {
-		c.broken(PromiseOnce, "something followed the terminator")
+		c.addViolation(GuaranteeNoDuplicate, "an event followed the terminator")
 	}
 }
 
-// mayBreak reports whether the scenario takes an instance away without warning.
-func (s *Scenario) mayBreak(instance string) bool {
+// mayDropConnections reports whether the scenario kills or pauses an instance.
+func (s *Scenario) mayDropConnections(instance string) bool {
 	for _, fault := range s.Faults {
 		if fault.Process == instance && (fault.Signal == "KILL" || fault.Signal == "STOP") {
 			return true
@@ -137,64 +138,65 @@
 	}
 	runs := c.evidence.After.engineRuns(a.RequestID)
 	if c.result.Task.Kind.Form == FormCall {
-		runs = c.evidence.After.callsByRequest(a.RequestID)
+		runs = c.evidence.After.callsByRequestID(a.RequestID)
 	}
 	if runs > 0 {
-		c.broken(PromiseNotRun, "refused with %s as not run, but upstreams ran it %d times", a.Reason, runs)
+		c.addViolation(GuaranteeNotRun, "refused with %s as not run, but run %d times by upstreams", a.Reason, runs)
 	}
 	if a.Tokens > 0 {
-		c.broken(PromiseNotRun, "refused with %s as not run after %d tokens", a.Reason, a.Tokens)
+		c.addViolation(GuaranteeNotRun, "refused with %s as not run after %d tokens", a.Reason, a.Tokens)
 	}
 }
 
-// checkText compares what came with the expected answer. What came of an answer
-// that is not whole must be a beginning of it.
+// checkText compares the received text with the expected answer. The text of an incomplete answer
+// must be a prefix of it.
 func (c *checker) checkText() {
 	a, r := c.attempt, c.result
-	if a.Outcome == OutcomeWhole && a.Text == r.WantText && a.Finish == r.WantFinish {
+	if a.Outcome == OutcomeComplete && a.Text == r.WantText && a.FinishReason == r.WantFinish {
 		return
 	}
-	if a.Outcome != OutcomeWhole && strings.HasPrefix(r.WantText, a.Text) {
+	if a.Outcome != OutcomeComplete && strings.HasPrefix(r.WantText, a.Text) {
 		return
 	}
-	promise, detail := diagnose(r, a)
-	c.broken(promise, "%s", detail)
+	guarantee, detail := diagnoseText(r, a)
+	c.addViolation(guarantee, "%s", detail)
 }
 
-// diagnose says what is wrong with a text; each token names its prompt and place.
-func diagnose(r *Result, a *Attempt) (Promise, string) {
+// diagnoseText finds the first error in a text. Each token of a stand-in's answer consists of the
+// prompt's hash and the token's index.
+func diagnoseText(r *Result, a *Attempt) (Guarantee, string) {
 	want := 0
 	for _, token := range strings.Fields(a.Text) {
 		hash, place, ok := strings.Cut(token, ".")
 		index, err := strconv.Atoi(place)
 		switch {
 		case !ok || err != nil:
-			return PromiseWhole, fmt.Sprintf("unreadable token %q", token)
+			return GuaranteeCompleteAnswer, fmt.Sprintf("malformed token %q", token)
 		case hash != r.PromptHash:
-			return PromiseOwn, fmt.Sprintf("token %q is of another prompt than %s", token, r.PromptHash)
+			return GuaranteeOwnAnswer, fmt.Sprintf("token %q does not belong to prompt %s", token, r.PromptHash)
 		case index < want:
-			return PromiseOnce, fmt.Sprintf("token %d came again after token %d", index, want-1)
+			return GuaranteeNoDuplicate, fmt.Sprintf("token %d was repeated after token %d", index, want-1)
 		case index > want:
-			return PromiseWhole, fmt.Sprintf("token %d came where token %d was due", index, want)
+			return GuaranteeCompleteAnswer, fmt.Sprintf("received token %d, expected token %d", index, want)
 		}
 		want++
 	}
-	return PromiseWhole, fmt.Sprintf("the answer has %d tokens and finish reason %q; expected %d and %q",
-		want, a.Finish, len(strings.Fields(r.WantText)), r.WantFinish)
+	return GuaranteeCompleteAnswer, fmt.Sprintf("the answer has %d tokens and finish reason %q; expected %d and %q",
+		want, a.FinishReason, len(strings.Fields(r.WantText)), r.WantFinish)
 }
 
-// checkKeys looks for callers' keys in the headers that upstreams saw last.
+// checkKeys searches the headers of the upstreams' recent calls for callers' keys.
 func (c *checker) checkKeys() {
-	for address, calls := range c.evidence.After.seen() {
+	for address, calls := range c.evidence.After.recentCalls() {
 		for _, call := range calls {
-			if c.showsKey(call) {
-				c.broken(PromiseKey, "%s saw a key at %s %s", address, call.Method, call.Path)
+			if c.containsKey(call) {
+				c.addViolation(GuaranteeKeySecrecy, "%s received a caller's key in %s %s", address, call.Method, call.Path)
 			}
 		}
 	}
 }
 
-func (c *checker) showsKey(call stand.Seen) bool {
+func (c *checker) containsKey(call stand.Seen) bool {
 	for _, values := range call.Header {
 		for _, o := range c.scenario.Organisations {
 			if o.Key != "" && strings.Contains(strings.Join(values, " "), o.Key) {
@@ -205,14 +207,14 @@
 	return false
 }
 
-// checkMemory looks at what engines hold some time after the last request, and at
-// what only their own timeout has freed.
+// checkMemory verifies that engines hold no streams SettleTimeout after the last request, and that
+// none was freed by the engine's own timeout.
 func (c *checker) checkMemory() {
-	if !c.evidence.Settled {
+	if !c.evidence.Idle {
 		for address, engine := range c.evidence.After.Engines {
 			if engine.Held > 0 {
-				c.broken(PromiseMemory, "%s still holds %d streams in %d pieces %s after the last request",
-					address, engine.Held, engine.PiecesUsed, c.scenario.Settle)
+				c.addViolation(GuaranteeMemoryFreed, "%s holds %d streams in %d pieces %s after the last request",
+					address, engine.Held, engine.PiecesUsed, c.scenario.SettleTimeout)
 			}
 		}
 	}
@@ -222,7 +224,7 @@
 			freed -= before.OrphansFreed
 		}
 		if freed > 0 {
-			c.broken(PromiseMemory, "%s freed %d streams only by its own timeout", address, freed)
+			c.addViolation(GuaranteeMemoryFreed, "%s freed %d streams by its own timeout", address, freed)
 		}
 	}
 }
--- a/load/compare.go
+++ b/load/compare.go
@@ -11,65 +11,65 @@
 	"github.com/samber/oops"
 )
 
-// Comparison is one measure of two sets of runs, B over A. Each pair is the same
-// tenth of the same scenario and seed, so that both sides met the same arrivals.
+// Comparison compares a metric between two sets of runs, A and B. Each pair is the same tenth of
+// the same scenario and seed, so that both sides had the same arrivals.
 type Comparison struct {
-	Measure string
-	// A and B are means over all tenths.
+	Metric string
+	// A and B are the means over all tenths.
 	A, B float64
-	// Pairs counts the tenths in which both values are above zero; the ratio's
-	// median and quartiles are over these.
-	Pairs        int
-	Median       float64
-	Low, High    float64
-	HigherBetter bool
+	// Pairs counts the tenths in which both values are above zero; the median and quartiles of the
+	// ratio B/A are over these.
+	Pairs                        int
+	Median                       float64
+	FirstQuartile, ThirdQuartile float64
+	HigherIsBetter               bool
 }
 
-// measure picks one figure of a tenth.
-type measure struct {
-	name         string
-	higherBetter bool
-	of           func(Slice) float64
+// metric is a value of an interval that Compare compares.
+type metric struct {
+	name           string
+	higherIsBetter bool
+	value          func(Interval) float64
 }
 
-var measures = []measure{
-	{"goodput (answers within targets)", true, func(s Slice) float64 { return float64(s.Good) }},
-	{"good share of the worst-served organisation", true, func(s Slice) float64 { return s.WorstShare }},
-	{"refused though within rate", false, func(s Slice) float64 { return float64(s.RefusedInRate) }},
-	{"first byte, 95th percentile (ms)", false, func(s Slice) float64 { return s.FirstByteP95 }},
+var metrics = []metric{
+	{"goodput (answers within targets)", true, func(s Interval) float64 { return float64(s.Good) }},
+	{"good share of the worst-served organisation", true, func(s Interval) float64 { return s.WorstShare }},
+	{"refused within rate limit", false, func(s Interval) float64 { return float64(s.RefusedWithinRate) }},
+	{"first byte, 95th percentile (ms)", false, func(s Interval) float64 { return s.FirstByteP95 }},
 }
 
-// Compare pairs the reports of two sets of runs by scenario and seed.
+// Compare pairs the reports of two sets of runs by scenario and seed and compares each metric.
 func Compare(a, b []*Report) ([]Comparison, error) {
-	matched, err := match(a, b)
+	matched, err := matchReports(a, b)
 	if err != nil {
 		return nil, err
 	}
-	var pairs []slicePair
+	var pairs []intervalPair
 	for i, ra := range a {
 		for tenth := range ra.Tenths {
-			pairs = append(pairs, slicePair{ra.Tenths[tenth], matched[i].Tenths[tenth]})
+			pairs = append(pairs, intervalPair{ra.Tenths[tenth], matched[i].Tenths[tenth]})
 		}
 	}
 	var out []Comparison
-	for _, m := range measures {
+	for _, m := range metrics {
 		out = append(out, compare(m, pairs))
 	}
 	return append(out, compareWaste(a, matched)), nil
 }
 
-// slicePair is the same tenth on both sides.
-type slicePair struct{ a, b Slice }
+// intervalPair is the same tenth of a run on both sides.
+type intervalPair struct{ a, b Interval }
 
-// match returns for each report of a the one of b that met the same arrivals.
-func match(a, b []*Report) ([]*Report, error) {
+// matchReports returns, for each report in a, the report in b with the same arrivals.
+func matchReports(a, b []*Report) ([]*Report, error) {
 	var out []*Report
 	for _, ra := range a {
 		at := slices.IndexFunc(b, func(rb *Report) bool {
 			return rb.Scenario == ra.Scenario && rb.Seed == ra.Seed && rb.Tasks == ra.Tasks && len(rb.Tenths) == len(ra.Tenths)
 		})
 		if at < 0 {
-			return nil, oops.In("load").Errorf("no run of %s with seed %d and %d requests on the other side",
+			return nil, oops.In("load").Errorf("the second set has no run of %s with seed %d and %d requests",
 				ra.Scenario, ra.Seed, ra.Tasks)
 		}
 		out = append(out, b[at])
@@ -77,24 +77,24 @@
 	return out, nil
 }
 
-func compare(m measure, pairs []slicePair) Comparison {
-	c := Comparison{Measure: m.name, HigherBetter: m.higherBetter}
+func compare(m metric, pairs []intervalPair) Comparison {
+	c := Comparison{Metric: m.name, HigherIsBetter: m.higherIsBetter}
 	var ratios []float64
 	for _, p := range pairs {
-		a, b := m.of(p.a), m.of(p.b)
+		a, b := m.value(p.a), m.value(p.b)
 		c.A += a / float64(len(pairs))
 		c.B += b / float64(len(pairs))
 		if a > 0 && b > 0 {
 			ratios = append(ratios, b/a)
 		}
 	}
-	c.spread(ratios)
+	c.setRatios(ratios)
 	return c
 }
 
-// compareWaste pairs whole runs, as waste is counted once a run.
+// compareWaste compares whole runs, as wasted work is counted per run.
 func compareWaste(a, b []*Report) Comparison {
-	c := Comparison{Measure: "wasted share of prefill work"}
+	c := Comparison{Metric: "wasted share of prefill work"}
 	var ratios []float64
 	for i := range a {
 		wa, wb := a[i].WastedShare(), b[i].WastedShare()
@@ -104,17 +104,17 @@
 			ratios = append(ratios, wb/wa)
 		}
 	}
-	c.spread(ratios)
+	c.setRatios(ratios)
 	return c
 }
 
-func (c *Comparison) spread(ratios []float64) {
+func (c *Comparison) setRatios(ratios []float64) {
 	slices.SortFunc(ratios, cmp.Compare)
 	c.Pairs = len(ratios)
-	c.Median, c.Low, c.High = quantile(ratios, 0.5), quantile(ratios, 0.25), quantile(ratios, 0.75)
+	c.Median, c.FirstQuartile, c.ThirdQuartile = quantile(ratios, 0.5), quantile(ratios, 0.25), quantile(ratios, 0.75)
 }
 
-// quantile interpolates in sorted values; NaN when there are none.
+// quantile interpolates linearly between sorted values; it is NaN if there are none.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return math.NaN()
@@ -125,16 +125,16 @@
 	return sorted[low] + (at-float64(low))*(sorted[high]-sorted[low])
 }
 
-// WriteComparison prints comparisons for people.
+// WriteComparison writes comparisons as a text table.
 func WriteComparison(w io.Writer, all []Comparison) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "measure\tA\tB\tB/A median\tquartiles\tpairs\tbetter when\t")
+	fmt.Fprintln(t, "metric\tA\tB\tB/A median\tquartiles\tpairs\tbetter when\t")
 	for _, c := range all {
 		better := "lower"
-		if c.HigherBetter {
+		if c.HigherIsBetter {
 			better = "higher"
 		}
-		fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f\t%.3f to %.3f\t%d\t%s\t\n", c.Measure, c.A, c.B, c.Median, c.Low, c.High, c.Pairs, better)
+		fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f\t%.3f to %.3f\t%d\t%s\t\n", c.Metric, c.A, c.B, c.Median, c.FirstQuartile, c.ThirdQuartile, c.Pairs, better)
 	}
 	return t.Flush()
 }
--- a/load/events.go
+++ b/load/events.go
@@ -8,12 +8,12 @@
 	"strings"
 )
 
-// terminator is the last line of a streamed answer.
+// terminator is the data of the last event of a streamed answer.
 const terminator = "[DONE]"
 
-var errNoTerminator = errors.New("the answer ended without its terminator")
+var errNoTerminator = errors.New("the stream ended without its terminator")
 
-type errorEvent struct {
+type errorEnvelope struct {
 	Error *errorDetail `json:"error"`
 }
 
@@ -26,12 +26,12 @@
 	RequestID    string `json:"request_id"`
 }
 
-type completionEvent struct {
+type completionResponse struct {
 	Choices []struct {
 		Text    string `json:"text"`
 		Delta   delta  `json:"delta"`
 		Message delta  `json:"message"`
-		// FinishReason is null until the end.
+		// FinishReason is null until the last event of a stream.
 		FinishReason string `json:"finish_reason"`
 	} `json:"choices"`
 }
@@ -40,7 +40,7 @@
 	Content string `json:"content"`
 }
 
-// readEvents reads server-sent events to the end of the response.
+// readEvents reads server-sent events until the end of the response.
 func (s *sender) readEvents(body io.Reader, a *Attempt) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, 1<<20)
@@ -57,14 +57,14 @@
 		a.readEvent(data, &text)
 		if text.Len() > before {
 			a.Tokens++
-			a.Last = s.now()
-			if a.First == 0 {
-				a.First = a.Last
+			a.LastByteAt = s.elapsed()
+			if a.FirstByteAt == 0 {
+				a.FirstByteAt = a.LastByteAt
 			}
 		}
 	}
 	a.Text = text.String()
-	return a.streamEnded(lines.Err())
+	return a.finishStream(lines.Err())
 }
 
 func (a *Attempt) readEvent(data string, text *strings.Builder) {
@@ -72,44 +72,44 @@
 		a.Terminators++
 		return
 	}
-	var failure errorEvent
+	var failure errorEnvelope
 	if json.Unmarshal([]byte(data), &failure) == nil && failure.Error != nil {
 		a.Outcome = OutcomeFailed
-		a.fail(failure.Error)
+		a.setError(failure.Error)
 		return
 	}
-	var event completionEvent
+	var event completionResponse
 	if json.Unmarshal([]byte(data), &event) != nil {
 		return
 	}
 	for _, choice := range event.Choices {
 		text.WriteString(choice.Text + choice.Delta.Content)
 		if choice.FinishReason != "" {
-			a.Finish = choice.FinishReason
+			a.FinishReason = choice.FinishReason
 		}
 	}
 }
 
-// streamEnded decides the outcome of a streamed answer. One that failed by an
-// event keeps that outcome, unless it also claims to be whole.
-func (a *Attempt) streamEnded(err error) error {
+// finishStream sets the outcome of a streamed answer. An answer with an error event remains failed,
+// unless it also has a terminator.
+func (a *Attempt) finishStream(err error) error {
 	switch {
 	case a.Terminators > 0:
-		a.Outcome = OutcomeWhole
+		a.Outcome = OutcomeComplete
 	case a.Outcome == OutcomeFailed:
 	case err != nil:
 		return err
 	default:
-		a.Outcome = OutcomeCut
+		a.Outcome = OutcomeTruncated
 		a.Detail = errNoTerminator.Error()
 	}
 	return nil
 }
 
-// take reads a completion that came in one body.
-func (a *Attempt) take(event *completionEvent) {
+// setCompletion sets the answer from a completion that is not streamed.
+func (a *Attempt) setCompletion(event *completionResponse) {
 	choice := event.Choices[0]
 	a.Text = choice.Text + choice.Message.Content
-	a.Finish = choice.FinishReason
+	a.FinishReason = choice.FinishReason
 	a.Tokens = 1
 }
--- a/load/evidence.go
+++ b/load/evidence.go
@@ -10,32 +10,32 @@
 	"github.com/cairnworks/cairnworks/stand"
 )
 
-// Evidence is what the stand-ins saw, by address, before and after a run.
+// Evidence holds the statistics of the stand-ins before and after a run.
 type Evidence struct {
 	Before, After StandIns
-	// Settled is set when every engine came to hold nothing in time.
-	Settled bool
+	// Idle is set if no engine held a stream by the end of the scenario's SettleTimeout.
+	Idle bool
 }
 
-// StandIns holds the stats of each stand-in that answered.
+// StandIns holds the statistics of each stand-in that responded, by address.
 type StandIns struct {
-	Engines map[string]*stand.EngineStats
-	Plains  map[string]*stand.PlainStats
-	// Missing lists the addresses that did not answer; what they saw is unknown.
-	Missing []string
+	Engines       map[string]*stand.EngineStats
+	PlainServices map[string]*stand.PlainStats
+	// Unreachable lists the addresses whose statistics could not be read.
+	Unreachable []string
 }
 
 const (
-	statsTimeout = 10 * time.Second
-	settlePoll   = 250 * time.Millisecond
+	statsTimeout     = 10 * time.Second
+	idlePollInterval = 250 * time.Millisecond
 )
 
 func readStandIns(ctx context.Context, s *Scenario) StandIns {
-	out := StandIns{Engines: map[string]*stand.EngineStats{}, Plains: map[string]*stand.PlainStats{}}
+	out := StandIns{Engines: map[string]*stand.EngineStats{}, PlainServices: map[string]*stand.PlainStats{}}
 	for _, address := range s.Engines {
 		stats := &stand.EngineStats{}
 		if err := getJSON(ctx, address, stats); err != nil {
-			out.Missing = append(out.Missing, address)
+			out.Unreachable = append(out.Unreachable, address)
 			continue
 		}
 		out.Engines[address] = stats
@@ -43,10 +43,10 @@
 	for _, address := range s.PlainServices {
 		stats := &stand.PlainStats{}
 		if err := getJSON(ctx, address, stats); err != nil {
-			out.Missing = append(out.Missing, address)
+			out.Unreachable = append(out.Unreachable, address)
 			continue
 		}
-		out.Plains[address] = stats
+		out.PlainServices[address] = stats
 	}
 	return out
 }
@@ -69,19 +69,20 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// waitSettled waits until no engine holds anything.
-func waitSettled(ctx context.Context, s *Scenario) bool {
-	for end := time.Now().Add(s.Settle.Duration); ; {
-		if readStandIns(ctx, s).held() == 0 {
+// waitUntilIdle waits until no engine holds a stream and reports whether that was within
+// SettleTimeout.
+func waitUntilIdle(ctx context.Context, s *Scenario) bool {
+	for end := time.Now().Add(s.SettleTimeout.Duration); ; {
+		if readStandIns(ctx, s).heldStreams() == 0 {
 			return true
 		}
-		if time.Now().After(end) || !sleep(ctx, settlePoll) {
+		if time.Now().After(end) || !sleep(ctx, idlePollInterval) {
 			return false
 		}
 	}
 }
 
-func (s StandIns) held() int {
+func (s StandIns) heldStreams() int {
 	held := 0
 	for _, engine := range s.Engines {
 		held += engine.Held
@@ -89,7 +90,7 @@
 	return held
 }
 
-// engineRuns counts prefills and decodes of a request over all engines.
+// engineRuns returns the number of prefills and decodes of a request over all engines.
 func (s StandIns) engineRuns(requestID string) int {
 	runs := 0
 	for _, engine := range s.Engines {
@@ -100,32 +101,33 @@
 	return runs
 }
 
-func (s StandIns) callsByRequest(requestID string) int {
+func (s StandIns) callsByRequestID(requestID string) int {
 	runs := 0
-	for _, plain := range s.Plains {
+	for _, plain := range s.PlainServices {
 		runs += plain.ByRequestID[requestID]
 	}
 	return runs
 }
 
-func (s StandIns) callsByKey(key string) int {
+func (s StandIns) callsByIdempotencyKey(key string) int {
 	runs := 0
-	for _, plain := range s.Plains {
+	for _, plain := range s.PlainServices {
 		runs += plain.ByIdempotencyKey[key]
 	}
 	return runs
 }
 
-func (s StandIns) callsByCall(call string) int {
+func (s StandIns) callsByCallKey(call string) int {
 	runs := 0
-	for _, plain := range s.Plains {
+	for _, plain := range s.PlainServices {
 		runs += plain.ByCall[call]
 	}
 	return runs
 }
 
-// prefill sums up the prefill work in tokens, and how much of it was wasted.
-func (s StandIns) prefill() (tokens, wasted, wastedCount int) {
+// prefillTotals returns the prefill work of all engines in tokens, the wasted part of it, and the
+// number of wasted prefills.
+func (s StandIns) prefillTotals() (tokens, wasted, wastedCount int) {
 	for _, engine := range s.Engines {
 		tokens += engine.PrefillTokens
 		wasted += engine.WastedPrefillTokens
@@ -134,13 +136,13 @@
 	return tokens, wasted, wastedCount
 }
 
-// seen returns the headers of the last calls at every stand-in.
-func (s StandIns) seen() map[string][]stand.Seen {
+// recentCalls returns the headers of the last calls that each stand-in received, by address.
+func (s StandIns) recentCalls() map[string][]stand.Seen {
 	out := map[string][]stand.Seen{}
 	for address, engine := range s.Engines {
 		out[address] = engine.Seen
 	}
-	for address, plain := range s.Plains {
+	for address, plain := range s.PlainServices {
 		out[address] = plain.Seen
 	}
 	return out
--- a/load/faults.go
+++ b/load/faults.go
@@ -13,31 +13,31 @@
 	"time"
 )
 
-// signals that a scenario may send. The processes were started by somebody else.
+// signals are the signals that a scenario may send.
 var signals = map[string]syscall.Signal{
 	"KILL": syscall.SIGKILL, "STOP": syscall.SIGSTOP, "CONT": syscall.SIGCONT, "TERM": syscall.SIGTERM,
 }
 
-// bringAboutFaults works through the scenario's faults until ctx ends.
-func (d *driver) bringAboutFaults(ctx context.Context) {
+// injectFaults injects the scenario's faults at their times until ctx is done.
+func (d *driver) injectFaults(ctx context.Context) {
 	faults := slices.Clone(d.scenario.Faults)
 	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At.Duration, b.At.Duration) })
 	for _, fault := range faults {
-		if !sleep(ctx, time.Until(d.sender.start.Add(fault.At.Duration))) {
+		if !sleep(ctx, time.Until(d.sender.startedAt.Add(fault.At.Duration))) {
 			return
 		}
-		if err := bringAbout(ctx, fault); err != nil {
-			// A fault that did not come about makes the run another one than was asked for.
+		if err := injectFault(ctx, fault); err != nil {
+			// The run continues, but without this fault it is not the run that was requested.
 			fmt.Fprintf(os.Stderr, "fault=%q at=%s error=%q\n", fault.Signal+fault.Process+fault.StandIn, fault.At, err)
 		}
 	}
 }
 
-func bringAbout(ctx context.Context, fault Fault) error {
+func injectFault(ctx context.Context, fault Fault) error {
 	if fault.Process != "" {
-		// Process id 0 would signal this program's own process group.
+		// kill(2) with process ID 0 signals the caller's own process group.
 		if fault.PID <= 0 {
-			return fmt.Errorf("the process id of %s is not known", fault.Process)
+			return fmt.Errorf("the process ID of %s is unknown", fault.Process)
 		}
 		return syscall.Kill(fault.PID, signals[fault.Signal])
 	}
@@ -55,7 +55,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d", resp.StatusCode)
+		return fmt.Errorf("setting faults at %s: status %d", fault.StandIn, resp.StatusCode)
 	}
 	return nil
 }
--- a/load/measure_test.go
+++ b/load/measure_test.go
@@ -12,10 +12,10 @@
 	surge := Surge{From: Duration{10 * time.Second}, To: Duration{20 * time.Second}, Factor: 4}
 	s := &Scenario{
 		Name: "s", Seed: 7, Duration: Duration{40 * time.Second}, Instances: make([]Instance, 9),
-		Organisations: []Organisation{{Name: "a", Share: 1}, {Name: "b", Share: 1, Surges: []Surge{surge}}},
-		Kinds:         []Kind{{Name: "k", Form: FormText, PerSecond: 50, Model: "m", PromptTokens: [2]int{10, 30000}, MaxTokens: [2]int{1, 9}}},
+		Organisations: []Organisation{{Name: "a", RateFactor: 1}, {Name: "b", RateFactor: 1, Surges: []Surge{surge}}},
+		Kinds:         []Kind{{Name: "k", Form: FormText, RequestsPerSecond: 50, Model: "m", PromptTokens: [2]int{10, 30000}, MaxTokens: [2]int{1, 9}}},
 	}
-	s.fillDefaults()
+	s.setDefaults()
 	return s
 }
 
@@ -27,7 +27,7 @@
 	for i, task := range tasks {
 		assert.Equal(t, *task, *again[i])
 		assert.Assert(t, task.PromptTokens >= 10 && task.PromptTokens <= 30000)
-		if task.At >= 10*time.Second && task.At < 20*time.Second {
+		if task.Arrival >= 10*time.Second && task.Arrival < 20*time.Second {
 			counts[task.Organisation.Name]++
 		}
 	}
@@ -36,34 +36,34 @@
 	assert.Assert(t, counts["b"] > 1800 && counts["b"] < 2200, "%v", counts)
 }
 
-// Adding a kind to the mix must leave the others' arrivals in place, or two runs
-// could not be compared pair by pair.
-func TestAddedKindMovesNoOther(t *testing.T) {
+// Adding a kind to the mix must not move the arrivals of the others, or two runs could not be
+// compared pair by pair.
+func TestAddedKindKeepsOtherArrivals(t *testing.T) {
 	s := surgeScenario()
 	before := Schedule(s)
 	extra := s.Kinds[0]
-	extra.Name, extra.PerSecond = "extra", 1
+	extra.Name, extra.RequestsPerSecond = "extra", 1
 	s.Kinds = append(s.Kinds, extra)
 	var kept []time.Duration
 	for _, task := range Schedule(s) {
 		if task.Kind.Name == "k" {
-			kept = append(kept, task.At)
+			kept = append(kept, task.Arrival)
 		}
 	}
 	assert.Equal(t, len(kept), len(before))
 	for i, task := range before {
-		assert.Equal(t, kept[i], task.At)
+		assert.Equal(t, kept[i], task.Arrival)
 	}
 }
 
-// An organisation sends ten requests at once with a burst for four. The first
-// four were within its rate; refusing one of these is the router's doing.
-func TestWithinRateFollowsAnExactBucket(t *testing.T) {
+// An organisation sends ten requests at once with a burst for four. The first four are within its
+// rate limit, so refusing one of these is a fault of the router.
+func TestWithinRateMatchesExactTokenBucket(t *testing.T) {
 	o := &Organisation{Name: "a", TokensPerSecond: 10, Burst: 40}
 	kind := &Kind{Form: FormCall, Cost: 10}
 	var results []*Result
 	for i := range 10 {
-		a := &Attempt{Outcome: OutcomeWhole}
+		a := &Attempt{Outcome: OutcomeComplete}
 		if i == 1 || i >= 5 {
 			a = &Attempt{Outcome: OutcomeRefused, Ran: "not_run", Reason: "rate_limited"}
 		}
@@ -71,7 +71,7 @@
 	}
 	within := withinRate(o, results)
 	for i, r := range results {
-		// The second was refused and left its tokens to the fifth.
+		// The second was refused, so its tokens were available to the fifth.
 		assert.Equal(t, within[r], i < 5, "%d", i)
 	}
 }
@@ -79,7 +79,7 @@
 func reportOf(seed uint64, good ...int) *Report {
 	r := &Report{Scenario: "s", Seed: seed, Seconds: 10, Tasks: 100}
 	for _, n := range good {
-		r.Tenths = append(r.Tenths, Slice{Good: n, WorstShare: 1})
+		r.Tenths = append(r.Tenths, Interval{Good: n, WorstShare: 1})
 	}
 	return r
 }
@@ -92,17 +92,17 @@
 	goodput := all[0]
 	assert.Equal(t, goodput.Pairs, 3)
 	assert.Equal(t, goodput.Median, 1.0)
-	assert.Equal(t, goodput.Low, 0.75)
-	assert.Equal(t, goodput.High, 1.5)
+	assert.Equal(t, goodput.FirstQuartile, 0.75)
+	assert.Equal(t, goodput.ThirdQuartile, 1.5)
 	assert.Assert(t, math.IsNaN(all[2].Median))
 	_, err = Compare(a, b[:1])
-	assert.ErrorContains(t, err, "no run of s with seed 1")
+	assert.ErrorContains(t, err, "no run of s with seed 1 and 100 requests")
 }
 
-func TestSlopesFitALine(t *testing.T) {
+func TestSlopesFitLine(t *testing.T) {
 	var reports []*Report
 	for rate := 1; rate <= 3; rate++ {
-		reports = append(reports, &Report{Tasks: rate * 10, Seconds: 10, Processes: []ProcessUse{
+		reports = append(reports, &Report{Tasks: rate * 10, Seconds: 10, Processes: []ProcessUsage{
 			{Name: "entry-1", Cores: 0.1 + 0.02*float64(rate), PeakMB: 40},
 			{Name: "entry-2", Ended: true, Cores: 9},
 		}})
@@ -111,7 +111,7 @@
 	assert.Equal(t, len(all), 2)
 	assert.Equal(t, all[1].Group, "entry")
 	assert.Assert(t, math.Abs(all[1].PerRequest-0.02) < 1e-9)
-	assert.Assert(t, math.Abs(all[1].Base-0.1) < 1e-9)
+	assert.Assert(t, math.Abs(all[1].Intercept-0.1) < 1e-9)
 	assert.Assert(t, all[1].Residual < 1e-9)
 }
 
--- a/load/page.go
+++ b/load/page.go
@@ -11,20 +11,20 @@
 	"github.com/samber/oops"
 )
 
-// page is the report as one HTML file that needs nothing else.
+// page is the template of the HTML report, which refers to no other files.
 var page = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Report.Scenario}} {{.Report.Run}}</title>
 <style>body{font:14px sans-serif;margin:2em;max-width:70em}svg text{font:11px sans-serif}
-pre{font:12px monospace;overflow-x:auto}.broken{color:#a00}</style></head><body>
+pre{font:12px monospace;overflow-x:auto}.violations{color:#a00}</style></head><body>
 <h1>{{.Report.Scenario}}, run {{.Report.Run}}</h1>
-{{if .Report.Violations}}<p class="broken">{{len .Report.Violations}} broken promises, listed below.</p>
-{{else}}<p>No promise broken.</p>{{end}}
+{{if .Report.Violations}}<p class="violations">{{len .Report.Violations}} violations of guarantees, listed below.</p>
+{{else}}<p>No guarantee violated.</p>{{end}}
 {{range .Plots}}<h2>{{.Title}}</h2>{{.SVG}}{{end}}
 <h2>Figures</h2><pre>{{.Table}}</pre>
 </body></html>
 `))
 
-type drawnPlot struct {
+type renderedPlot struct {
 	Title string
 	SVG   template.HTML
 }
@@ -35,17 +35,17 @@
 	if err := r.WriteTable(&table); err != nil {
 		return oops.In("load").Wrap(err)
 	}
-	var plots []drawnPlot
-	for _, p := range []*plot{r.latencyPlot(), r.goodputPlot(), r.refusalPlot(), r.worstPlot()} {
-		// svg escapes every text that it is given, here and below.
-		plots = append(plots, drawnPlot{p.title, template.HTML(p.svg())})
+	var plots []renderedPlot
+	for _, p := range []*plot{r.latencyPlot(), r.goodputPlot(), r.refusalPlot(), r.worstOrganisationPlot()} {
+		// svg escapes all text it includes, here and below, so its output is safe HTML.
+		plots = append(plots, renderedPlot{p.title, template.HTML(p.svg())})
 	}
 	for _, b := range []*bars{r.shareBars(), r.wasteBars()} {
-		plots = append(plots, drawnPlot{b.title, template.HTML(b.svg())})
+		plots = append(plots, renderedPlot{b.title, template.HTML(b.svg())})
 	}
 	err := page.Execute(&out, struct {
 		Report *Report
-		Plots  []drawnPlot
+		Plots  []renderedPlot
 		Table  string
 	}{r, plots, table.String()})
 	if err != nil {
@@ -56,7 +56,7 @@
 
 func (r *Report) latencyPlot() *plot {
 	p := &plot{title: "First token or byte, by percentile", unit: "ms, logarithmic", logarithmic: true}
-	for _, q := range curveQuantiles {
+	for _, q := range curvePercentiles {
 		p.labels = append(p.labels, strconv.FormatFloat(q, 'g', -1, 64))
 	}
 	for _, k := range r.Kinds {
@@ -65,7 +65,7 @@
 	return p
 }
 
-func (r *Report) overTime(title, unit string) *plot {
+func (r *Report) plotBySecond(title, unit string) *plot {
 	p := &plot{title: title, unit: unit}
 	for i := range r.BySecond {
 		p.labels = append(p.labels, strconv.Itoa(i)+" s")
@@ -74,7 +74,7 @@
 }
 
 func (r *Report) goodputPlot() *plot {
-	p := r.overTime("Requests by second of arrival", "requests")
+	p := r.plotBySecond("Requests by second of arrival", "requests")
 	offered, good := line{name: "offered"}, line{name: "within both targets"}
 	for _, s := range r.BySecond {
 		offered.values = append(offered.values, float64(s.Offered))
@@ -85,7 +85,7 @@
 }
 
 func (r *Report) refusalPlot() *plot {
-	p := r.overTime("Attempts without an answer, by reason and second", "attempts")
+	p := r.plotBySecond("Attempts without an answer, by reason and second", "attempts")
 	for _, reason := range slices.Sorted(maps.Keys(r.Refused)) {
 		l := line{name: reason}
 		for _, s := range r.BySecond {
@@ -96,8 +96,8 @@
 	return p
 }
 
-// worstPlot shows the worst-served organisation over the tenths of the run.
-func (r *Report) worstPlot() *plot {
+// worstOrganisationPlot shows the share of the worst-served organisation for each tenth of the run.
+func (r *Report) worstOrganisationPlot() *plot {
 	p := &plot{title: "Worst-served organisation, by tenth of the run", unit: "percent of its requests within rate"}
 	l := line{name: "worst share"}
 	for i, s := range r.Tenths {
--- a/load/plot.go
+++ b/load/plot.go
@@ -18,17 +18,16 @@
 	gridLines  = 4
 )
 
-// colours tell lines apart, also for people who see colours differently (Okabe
-// and Ito's palette).
+// colours is the palette of Okabe and Ito, which is distinguishable with colour vision deficiency.
 var colours = []string{"#0072B2", "#D55E00", "#009E73", "#CC79A7", "#E69F00", "#56B4E9", "#000000", "#999999"}
 
-// line is one curve of a plot; x counts places from 0.
+// line is one curve of a plot; the x coordinate of a value is its index.
 type line struct {
 	name   string
 	values []float64
 }
 
-// plot is a line plot over labelled places.
+// plot is a line plot with a label for each x coordinate.
 type plot struct {
 	title, unit string
 	labels      []string
@@ -36,8 +35,8 @@
 	logarithmic bool
 }
 
-// LinePlot draws curves over labelled places as an SVG image. values has a row for each
-// name, with a figure for each label.
+// LinePlot returns a line plot as an SVG image. values has a row for each name, with a value for
+// each label.
 func LinePlot(title, unit string, labels, names []string, values [][]float64) string {
 	p := &plot{title: title, unit: unit, labels: labels}
 	for i, name := range names {
@@ -46,7 +45,7 @@
 	return p.svg()
 }
 
-// svg draws the plot.
+// svg returns the plot as an SVG image.
 func (p *plot) svg() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, `<svg viewBox="0 0 %.0f %.0f" width="%.0f" role="img"><title>%s</title>`,
@@ -59,71 +58,71 @@
 	return b.String()
 }
 
-func (p *plot) highest() float64 {
-	top := 0.0
+func (p *plot) maxValue() float64 {
+	highest := 0.0
 	for _, l := range p.lines {
 		for _, v := range l.values {
-			top = max(top, v)
+			highest = max(highest, v)
 		}
 	}
-	if top == 0 {
+	if highest == 0 {
 		return 1
 	}
-	return top
+	return highest
 }
 
-func (p *plot) x(place int) float64 {
+func (p *plot) x(index int) float64 {
 	steps := max(1, len(p.labels)-1)
-	return plotLeft + (plotWidth-plotLeft-plotRight)*float64(place)/float64(steps)
+	return plotLeft + (plotWidth-plotLeft-plotRight)*float64(index)/float64(steps)
 }
 
 func (p *plot) y(value float64) float64 {
-	part := value / p.highest()
+	fraction := value / p.maxValue()
 	if p.logarithmic {
-		part = math.Log1p(value) / math.Log1p(p.highest())
+		fraction = math.Log1p(value) / math.Log1p(p.maxValue())
 	}
-	return plotHeight - plotBottom - (plotHeight-plotTop-plotBottom)*part
+	return plotHeight - plotBottom - (plotHeight-plotTop-plotBottom)*fraction
 }
 
-// at returns the value at a part of the axis.
-func (p *plot) at(part float64) float64 {
+// valueAt returns the value at a fraction of the y axis.
+func (p *plot) valueAt(fraction float64) float64 {
 	if p.logarithmic {
-		return math.Expm1(part * math.Log1p(p.highest()))
+		return math.Expm1(fraction * math.Log1p(p.maxValue()))
 	}
-	return part * p.highest()
+	return fraction * p.maxValue()
 }
 
 func (p *plot) drawGrid(b *strings.Builder) {
 	for i := range gridLines + 1 {
-		value := p.at(float64(i) / gridLines)
+		value := p.valueAt(float64(i) / gridLines)
 		y := p.y(value)
 		fmt.Fprintf(b, `<line x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f" stroke="#ddd"/>`, plotLeft, plotWidth-plotRight, y, y)
 		fmt.Fprintf(b, `<text x="%.1f" y="%.1f" text-anchor="end">%.4g</text>`, plotLeft-6, y+4, value)
 	}
-	every := max(1, len(p.labels)/10)
+	labelStep := max(1, len(p.labels)/10)
 	for i, label := range p.labels {
-		if i%every == 0 {
+		if i%labelStep == 0 {
 			fmt.Fprintf(b, `<text x="%.1f" y="%.1f" text-anchor="middle">%s</text>`, p.x(i), plotHeight-plotBottom+16, html.EscapeString(label))
 		}
 	}
 	fmt.Fprintf(b, `<text x="%.1f" y="%.1f">%s</text>`, plotLeft, plotTop-8, html.EscapeString(p.unit))
 }
 
-func (p *plot) drawLine(b *strings.Builder, l line, colour string, place int) {
+func (p *plot) drawLine(b *strings.Builder, l line, colour string, index int) {
 	fmt.Fprintf(b, `<polyline fill="none" stroke="%s" stroke-width="1.6" points="`, colour)
 	for i, v := range l.values {
 		fmt.Fprintf(b, "%.1f,%.1f ", p.x(i), p.y(v))
 	}
 	b.WriteString(`"/>`)
-	y := plotTop + 16*float64(place)
+	y := plotTop + 16*float64(index)
 	fmt.Fprintf(b, `<rect x="%.1f" y="%.1f" width="10" height="10" fill="%s"/>`, plotWidth-plotRight+12, y, colour)
 	fmt.Fprintf(b, `<text x="%.1f" y="%.1f">%s</text>`, plotWidth-plotRight+27, y+9, html.EscapeString(l.name))
 }
 
-// Size of a bar with its gap, in pixels.
+// barPitch is the height of a bar and its gap, in pixels.
 const barPitch = 24.0
 
-// bars is a plot of one horizontal bar for each name.
+// bars is a horizontal bar chart.
 type bars struct {
 	title  string
 	names  []string
@@ -135,7 +134,7 @@
 	b.values = append(b.values, value)
 }
 
-// svg draws the bars.
+// svg returns the chart as an SVG image.
 func (b *bars) svg() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, `<svg viewBox="0 0 %.0f %.0f" width="%.0f" role="img"><title>%s</title>`,
--- a/load/process.go
+++ b/load/process.go
@@ -10,88 +10,89 @@
 	"time"
 )
 
-// ProcessUse is what a watched process used during a run.
-type ProcessUse struct {
+// ProcessUsage is the resource usage of a monitored process during a run.
+type ProcessUsage struct {
 	Name string `json:"name"`
 	PID  int    `json:"pid"`
-	// Cores is processor time over run time.
+	// Cores is CPU time divided by the duration of the run.
 	Cores float64 `json:"cores"`
-	// PeakMB is the highest resident memory seen, in units of 2^20 bytes.
+	// PeakMB is the highest sampled resident set size, in units of 2^20 bytes.
 	PeakMB float64 `json:"peak_mb"`
-	// Ended is set when the process ended during the run; its use is then unknown.
+	// Ended is set if the process ended during the run; its usage is then unknown.
 	Ended bool `json:"ended,omitempty"`
 }
 
-// clockTicks a second in /proc/PID/stat; 100 on every Linux port that Go supports.
-const clockTicks = 100
+// clockTicksPerSecond is the unit of CPU times in /proc/PID/stat; it is 100 on every Linux port
+// that Go supports.
+const clockTicksPerSecond = 100
 
-const watchEvery = 500 * time.Millisecond
+const sampleInterval = 500 * time.Millisecond
 
-// watcher samples processes in /proc until stopped.
-type watcher struct {
-	begin  time.Time
-	uses   []ProcessUse
-	ticks  []int64
-	quit   chan struct{}
-	closed sync.WaitGroup
+// processMonitor samples processes from /proc until it is stopped.
+type processMonitor struct {
+	begin         time.Time
+	usages        []ProcessUsage
+	ticks         []int64
+	stopRequested chan struct{}
+	done          sync.WaitGroup
 }
 
-func watchProcesses(processes []Process) *watcher {
-	w := &watcher{begin: time.Now(), quit: make(chan struct{})}
+func monitorProcesses(processes []Process) *processMonitor {
+	m := &processMonitor{begin: time.Now(), stopRequested: make(chan struct{})}
 	for _, p := range processes {
-		w.uses = append(w.uses, ProcessUse{Name: p.Name, PID: p.PID})
-		ticks, _, err := readProcess(p.PID)
-		w.ticks = append(w.ticks, ticks)
-		w.uses[len(w.uses)-1].Ended = err != nil
+		m.usages = append(m.usages, ProcessUsage{Name: p.Name, PID: p.PID})
+		ticks, _, err := readProcStat(p.PID)
+		m.ticks = append(m.ticks, ticks)
+		m.usages[len(m.usages)-1].Ended = err != nil
 	}
-	w.closed.Go(w.watch)
-	return w
+	m.done.Go(m.run)
+	return m
 }
 
-func (w *watcher) watch() {
-	ticker := time.NewTicker(watchEvery)
+func (m *processMonitor) run() {
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-w.quit:
+		case <-m.stopRequested:
 			return
 		case <-ticker.C:
-			w.sample()
+			m.sample()
 		}
 	}
 }
 
-func (w *watcher) sample() {
-	for i := range w.uses {
-		use := &w.uses[i]
-		ticks, bytes, err := readProcess(use.PID)
+func (m *processMonitor) sample() {
+	for i := range m.usages {
+		usage := &m.usages[i]
+		ticks, bytes, err := readProcStat(usage.PID)
 		if err != nil {
-			use.Ended = true
+			usage.Ended = true
 			continue
 		}
-		use.Cores = float64(ticks-w.ticks[i]) / clockTicks / time.Since(w.begin).Seconds()
-		use.PeakMB = max(use.PeakMB, float64(bytes)/(1<<20))
+		usage.Cores = float64(ticks-m.ticks[i]) / clockTicksPerSecond / time.Since(m.begin).Seconds()
+		usage.PeakMB = max(usage.PeakMB, float64(bytes)/(1<<20))
 	}
 }
 
-func (w *watcher) stop() []ProcessUse {
-	close(w.quit)
-	w.closed.Wait()
-	w.sample()
-	return w.uses
+func (m *processMonitor) stop() []ProcessUsage {
+	close(m.stopRequested)
+	m.done.Wait()
+	m.sample()
+	return m.usages
 }
 
-// readProcess returns the processor time in ticks and the resident memory.
-func readProcess(pid int) (ticks, bytes int64, err error) {
+// readProcStat returns the CPU time of a process in clock ticks and its resident set size in bytes.
+func readProcStat(pid int) (ticks, bytes int64, err error) {
 	data, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
 	if err != nil {
 		return 0, 0, err
 	}
-	// The name in brackets may contain spaces; fields count from after it: state
-	// is 0, utime 11, stime 12, resident pages 21.
+	// The command name in parentheses may contain spaces, so fields are indexed from after it: state
+	// is 0, utime 11, stime 12 and rss, in pages, 21.
 	fields := strings.Fields(string(data[strings.LastIndexByte(string(data), ')')+1:]))
 	if len(fields) < 22 {
-		return 0, 0, fmt.Errorf("unreadable /proc/%d/stat", pid)
+		return 0, 0, fmt.Errorf("/proc/%d/stat has only %d fields after the command name", pid, len(fields))
 	}
 	user, _ := strconv.ParseInt(fields[11], 10, 64)
 	system, _ := strconv.ParseInt(fields[12], 10, 64)
--- a/load/prompt.go
+++ b/load/prompt.go
@@ -6,18 +6,17 @@
 	"strings"
 )
 
-// vocabulary of prompts. Only the number of words matters to the stand-ins.
+// vocabulary holds the words of generated prompts. The stand-ins only depend on their number.
 var vocabulary = strings.Fields("rota keeper shift night house feeding enclosure handover morning " +
 	"frame gilt leaf size bole clay gesso rabbit skin water oil burnish toning condition report treatment " +
 	"loss flake crack lift consolidate bench stock ledger week day before after with and the of for on")
 
-// Content returns the task's own text: a shared prefix, random words, the kind's
-// marker, and a last word that no other task has, so that an answer tells whose
-// it is.
-func (t *Task) Content(scenario string) string {
+// PromptContent returns the task's prompt text: a shared prefix, random words, the kind's marker,
+// and a last word that is unique to the task, so that an answer can be attributed to it.
+func (t *Task) PromptContent(scenario string) string {
 	var b strings.Builder
-	if t.Prefix >= 0 {
-		shared := rand.New(rand.NewPCG(uint64(t.Prefix), uint64(len(t.Kind.Name))))
+	if t.PrefixIndex >= 0 {
+		shared := rand.New(rand.NewPCG(uint64(t.PrefixIndex), uint64(len(t.Kind.Name))))
 		writeWords(&b, shared, t.Kind.SharedTokens)
 	}
 	writeWords(&b, rand.New(rand.NewPCG(t.seed, 0)), t.PromptTokens)
@@ -33,8 +32,8 @@
 	}
 }
 
-// enginePrompt is the prompt that reaches the engine: a chat message is written
-// as its role and its text on one line.
+// enginePrompt returns the prompt as the engine receives it: a chat message is rendered as its role
+// and its text on one line.
 func (t *Task) enginePrompt(content string) string {
 	if t.Kind.Form == FormChat {
 		return "user: " + content + "\n"
@@ -42,7 +41,7 @@
 	return content
 }
 
-// idempotencyKey is unique over runs with different run names.
+// idempotencyKey returns a key that is unique across runs with different run names.
 func (t *Task) idempotencyKey(run string) string {
 	return fmt.Sprintf("%s-%x-%d", run, t.seed, t.Index)
 }
--- a/load/run.go
+++ b/load/run.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// shortestRetry spaces retries when an instance gives no time.
-	shortestRetry = 100 * time.Millisecond
-	// longestRetry bounds what a caller waits before it asks again.
-	longestRetry = 5 * time.Second
+	// minRetryDelay is the delay before a retry if the error gives none.
+	minRetryDelay = 100 * time.Millisecond
+	// maxRetryDelay bounds the delay before a retry.
+	maxRetryDelay = 5 * time.Second
 )
 
-// Run drives the scenario and returns its report. The run's name makes prompts
-// and idempotency keys new, so that runs do not meet each other's answers.
+// Run executes the scenario and returns its report. The run's name is part of prompts and
+// idempotency keys, so that a run does not receive stored answers of another.
 func Run(ctx context.Context, s *Scenario, run string) (*Report, error) {
 	tasks := Schedule(s)
 	before := readStandIns(ctx, s)
@@ -23,18 +23,18 @@
 	defer d.sender.client.CloseIdleConnections()
 	faultsCtx, stopFaults := context.WithCancel(ctx)
 	defer stopFaults()
-	go d.bringAboutFaults(faultsCtx)
-	watch := watchProcesses(s.Processes)
-	results := d.drive(ctx, tasks)
-	took := d.sender.now()
-	uses := watch.stop()
+	go d.injectFaults(faultsCtx)
+	monitor := monitorProcesses(s.Processes)
+	results := d.runTasks(ctx, tasks)
+	duration := d.sender.elapsed()
+	usages := monitor.stop()
 	stopFaults()
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	settled := waitSettled(ctx, s)
+	idle := waitUntilIdle(ctx, s)
 	after := readStandIns(ctx, s)
-	return newReport(s, run, results, took, uses, Evidence{Before: before, After: after, Settled: settled}), nil
+	return newReport(s, run, results, duration, usages, Evidence{Before: before, After: after, Idle: idle}), nil
 }
 
 type driver struct {
@@ -44,47 +44,47 @@
 	results  []*Result
 }
 
-// drive starts each task at its time, whatever became of earlier ones.
-func (d *driver) drive(ctx context.Context, tasks []*Task) []*Result {
-	var open sync.WaitGroup
+// runTasks starts each task at its arrival time, regardless of earlier ones, and waits for all.
+func (d *driver) runTasks(ctx context.Context, tasks []*Task) []*Result {
+	var inFlight sync.WaitGroup
 	for _, task := range tasks {
-		if !sleepUntil(ctx, d.sender.start.Add(task.At)) {
+		if !sleepUntil(ctx, d.sender.startedAt.Add(task.Arrival)) {
 			break
 		}
-		open.Go(func() { d.keep(d.task(ctx, task)) })
+		inFlight.Go(func() { d.addResult(d.runTask(ctx, task)) })
 	}
-	open.Wait()
+	inFlight.Wait()
 	return d.results
 }
 
-func (d *driver) keep(r *Result) {
+func (d *driver) addResult(r *Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.results = append(d.results, r)
 }
 
-// task sends a task, its planned resend, and its retries.
-func (d *driver) task(ctx context.Context, task *Task) *Result {
-	late := d.sender.now() - task.At
+// runTask sends a task, its scheduled resend and its retries.
+func (d *driver) runTask(ctx context.Context, task *Task) *Result {
+	startDelay := d.sender.elapsed() - task.Arrival
 	p, result := d.sender.prepare(task)
-	result.Late = late
-	resent := make(chan []*Attempt, 1)
-	go func() { resent <- d.resend(ctx, task, p) }()
-	instance := d.attempt(ctx, p, result, task.Instance, task.CancelAfter)
+	result.StartDelay = startDelay
+	resends := make(chan []*Attempt, 1)
+	go func() { resends <- d.resend(ctx, task, p) }()
+	instance := d.sendAttempt(ctx, p, result, task.InstanceIndex, task.CancelAfter)
 	for range task.Kind.Retries {
 		last := result.Attempts[len(result.Attempts)-1]
-		if !last.worthRetry() || !sleep(ctx, min(max(last.RetryAfter, shortestRetry), longestRetry)) {
+		if !last.shouldRetry() || !sleep(ctx, min(max(last.RetryAfter, minRetryDelay), maxRetryDelay)) {
 			break
 		}
-		instance = d.attempt(ctx, p, result, instance+1, 0)
+		instance = d.sendAttempt(ctx, p, result, instance+1, 0)
 	}
-	result.Attempts = append(result.Attempts, <-resent...)
+	result.Attempts = append(result.Attempts, <-resends...)
 	return result
 }
 
-// attempt sends once, and goes on to the next instance while none can be reached,
-// as the platform's balancer would. It returns the instance that took it.
-func (d *driver) attempt(ctx context.Context, p payload, result *Result, instance int, cancelAfter time.Duration) int {
+// sendAttempt sends a request to an instance. While the instance is unreachable, it tries the next
+// one, as the platform's load balancer would. It returns the index of the last instance tried.
+func (d *driver) sendAttempt(ctx context.Context, p payload, result *Result, instance int, cancelAfter time.Duration) int {
 	n := len(d.scenario.Instances)
 	for range n {
 		a := d.sender.send(ctx, p, instance%n, cancelAfter)
@@ -97,34 +97,34 @@
 	return instance
 }
 
-// resend sends the planned second copy of a call to another instance.
+// resend sends the scheduled second copy of a call to another instance.
 func (d *driver) resend(ctx context.Context, task *Task, p payload) []*Attempt {
 	if task.ResendAfter == 0 || task.Kind.Form != FormCall || !sleep(ctx, task.ResendAfter) {
 		return nil
 	}
-	copied := &Result{Task: task}
-	d.attempt(ctx, p, copied, task.Instance+1, 0)
-	return copied.Attempts
+	second := &Result{Task: task}
+	d.sendAttempt(ctx, p, second, task.InstanceIndex+1, 0)
+	return second.Attempts
 }
 
-// worthRetry reports whether a caller would ask again.
-func (a *Attempt) worthRetry() bool {
+// shouldRetry reports whether a caller would retry after this attempt.
+func (a *Attempt) shouldRetry() bool {
 	switch a.Outcome {
 	case OutcomeRefused, OutcomeFailed:
 		return a.Retryable
-	case OutcomeBroken, OutcomeCut, OutcomeUnreachable:
+	case OutcomeDisconnected, OutcomeTruncated, OutcomeUnreachable:
 		return true
 	default:
 		return false
 	}
 }
 
-// spinBefore is the part of a wait that is spent yielding, since a timer of the
-// kernel may fire up to a millisecond late and arrivals must not bunch.
-const spinBefore = time.Millisecond
+// spinDuration is the final part of a wait, spent in a busy loop that yields: a kernel timer may
+// fire up to a millisecond late, which would bunch arrivals.
+const spinDuration = time.Millisecond
 
 func sleepUntil(ctx context.Context, t time.Time) bool {
-	if !sleep(ctx, time.Until(t)-spinBefore) {
+	if !sleep(ctx, time.Until(t)-spinDuration) {
 		return false
 	}
 	for time.Now().Before(t) {
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -26,13 +26,13 @@
 	goleak.VerifyTestMain(m)
 }
 
-// fakeInstance answers as an instance does, from stand.Answer and a stand-in of a
-// plain service, without a fleet behind it.
+// fakeInstance imitates an instance without a fleet behind it: it answers from stand.Answer and a
+// stand-in for a plain service.
 type fakeInstance struct {
 	plain port.PlainService
-	// faulty makes every so many-th streamed answer lose its sixth token; 0 none.
-	faulty int64
-	served atomic.Int64
+	// faultyEvery n makes every nth streamed answer lose its sixth token; 0 means none.
+	faultyEvery int64
+	served      atomic.Int64
 }
 
 func (f *fakeInstance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -56,13 +56,13 @@
 }
 
 func (f *fakeInstance) chat(w http.ResponseWriter, data []byte) {
-	var body chatBody
+	var body completionRequest
 	_ = json.Unmarshal(data, &body)
 	prompt := "user: " + body.Messages[0].Content + "\n"
 	w.Header().Set("Content-Type", "text/event-stream")
-	lose := f.faulty > 0 && f.served.Load()%f.faulty == 0
+	loseToken := f.faultyEvery > 0 && f.served.Load()%f.faultyEvery == 0
 	for i, token := range stand.Answer(prompt, body.MaxTokens) {
-		if !lose || i != 5 {
+		if !loseToken || i != 5 {
 			fmt.Fprintf(w, "data: {\"choices\":[{\"delta\":{\"content\":%q}}]}\n\n", token)
 		}
 	}
@@ -70,7 +70,7 @@
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// runFake drives a fake instance for half a second.
+// runFake runs a scenario against a fake instance for half a second.
 func runFake(t *testing.T, faulty int64) *Report {
 	t.Helper()
 	plain := stand.NewPlain(stand.PlainConfig{ServiceTime: time.Microsecond})
@@ -79,7 +79,7 @@
 	plainAddress := strings.TrimPrefix(plainServer.URL, "http://")
 	client := httpport.NewClient()
 	defer client.CloseIdleConnections()
-	fake := &fakeInstance{plain: httpport.NewPlainService(plainAddress, client), faulty: faulty}
+	fake := &fakeInstance{plain: httpport.NewPlainService(plainAddress, client), faultyEvery: faulty}
 	server := httptest.NewServer(fake)
 	defer server.Close()
 	defer http.DefaultClient.CloseIdleConnections()
@@ -89,31 +89,31 @@
 		PlainServices: []string{plainAddress},
 		Organisations: []Organisation{{Name: "zoo-a", Key: "cw-a"}},
 		Kinds: []Kind{
-			{Name: "handover", Form: FormChat, PerSecond: 60, Model: "m", Stream: true, PromptTokens: [2]int{5, 500}, MaxTokens: [2]int{8, 64}},
-			{Name: "swap", Form: FormCall, PerSecond: 60, Service: "dezurstva", Method: "POST", Path: "/swaps"},
-			{Name: "lookup", Form: FormCall, PerSecond: 60, Service: "dezurstva", Path: "/roster/today", Idempotent: true},
+			{Name: "handover", Form: FormChat, RequestsPerSecond: 60, Model: "m", Stream: true, PromptTokens: [2]int{5, 500}, MaxTokens: [2]int{8, 64}},
+			{Name: "swap", Form: FormCall, RequestsPerSecond: 60, Service: "dezurstva", Method: "POST", Path: "/swaps"},
+			{Name: "lookup", Form: FormCall, RequestsPerSecond: 60, Service: "dezurstva", Path: "/roster/today", Idempotent: true},
 		},
 	}
-	s.fillDefaults()
-	assert.NilError(t, s.check())
+	s.setDefaults()
+	assert.NilError(t, s.validate())
 	report, err := Run(context.Background(), s, "test")
 	assert.NilError(t, err)
 	return report
 }
 
-func TestRunOfARightInstance(t *testing.T) {
+func TestRunAgainstCorrectInstance(t *testing.T) {
 	report := runFake(t, 0)
 	assert.Equal(t, len(report.Violations), 0, "%v", report.Violations)
 	assert.Equal(t, len(report.Kinds), 3)
 	for _, k := range report.Kinds {
-		assert.Equal(t, k.Whole, k.Offered, k.Name)
+		assert.Equal(t, k.Complete, k.Offered, k.Name)
 		assert.Assert(t, k.Offered > 0, k.Name)
 	}
-	checkFiles(t, report)
+	checkReportFiles(t, report)
 }
 
-// checkFiles writes the report and reads it back.
-func checkFiles(t *testing.T, report *Report) {
+// checkReportFiles writes the report in each format and reads the JSON back.
+func checkReportFiles(t *testing.T, report *Report) {
 	t.Helper()
 	out := filepath.Join(t.TempDir(), "report")
 	assert.NilError(t, report.WriteJSON(out+".json"))
@@ -121,49 +121,49 @@
 	again, err := ReadReport(out + ".json")
 	assert.NilError(t, err)
 	assert.NilError(t, again.WriteJSON(out+"-again.json"))
-	assert.Equal(t, contents(t, out+"-again.json"), contents(t, out+".json"))
+	assert.Equal(t, readFile(t, out+"-again.json"), readFile(t, out+".json"))
 	assert.NilError(t, report.WriteTasks(out+".ndjson"))
-	assert.Equal(t, strings.Count(contents(t, out+".ndjson"), "\n"), report.Tasks)
-	page := contents(t, out+".html")
+	assert.Equal(t, strings.Count(readFile(t, out+".ndjson"), "\n"), report.Tasks)
+	page := readFile(t, out+".html")
 	assert.Equal(t, strings.Count(page, "<svg"), 6)
-	assert.Assert(t, !strings.Contains(page, "src="), "the page needs other files")
+	assert.Assert(t, !strings.Contains(page, "src="), "the page refers to other files")
 }
 
-func contents(t *testing.T, path string) string {
+func readFile(t *testing.T, path string) string {
 	t.Helper()
 	data, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	return string(data)
 }
 
-// One answer in three lacks a token in the middle and ends as if it were whole.
-// The caller reads a text with a hole.
+// Guards against undetected gaps: one answer in three lacks a token in the middle but is marked as
+// complete.
 func TestRunFindsLostTokens(t *testing.T) {
 	report := runFake(t, 3)
 	assert.Assert(t, len(report.Violations) > 0)
 	for _, v := range report.Violations {
-		assert.Equal(t, v.Promise, PromiseWhole, v.String())
+		assert.Equal(t, v.Guarantee, GuaranteeCompleteAnswer, v.String())
 	}
 }
 
-// A caller's connection ends in different ways before the terminator. Only an
-// error event or a broken connection tells it that the answer is not whole.
-func TestEndsOfStreams(t *testing.T) {
+// A stream may end in different ways before the terminator. Only an error event or a lost
+// connection tells the caller that the answer is incomplete; a clean end does not.
+func TestStreamOutcomes(t *testing.T) {
 	token := `data: {"choices":[{"delta":{"content":"x "}}]}` + "\n\n"
 	failure := `data: {"error":{"code":"upstream_crashed","ran":"ran"}}` + "\n\n"
 	tests := map[string]struct {
 		body io.Reader
 		want Outcome
 	}{
-		"whole":  {strings.NewReader(token + "data: [DONE]\n\n"), OutcomeWhole},
-		"failed": {strings.NewReader(token + failure), OutcomeFailed},
-		"cut":    {strings.NewReader(token), OutcomeCut},
-		"broken": {io.MultiReader(strings.NewReader(token), brokenReader{}), ""},
+		"complete":     {strings.NewReader(token + "data: [DONE]\n\n"), OutcomeComplete},
+		"failed":       {strings.NewReader(token + failure), OutcomeFailed},
+		"truncated":    {strings.NewReader(token), OutcomeTruncated},
+		"disconnected": {io.MultiReader(strings.NewReader(token), failingReader{}), ""},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			a := &Attempt{}
-			err := (&sender{start: time.Now()}).readEvents(test.body, a)
+			err := (&sender{startedAt: time.Now()}).readEvents(test.body, a)
 			assert.Equal(t, err != nil, test.want == "")
 			assert.Equal(t, a.Outcome, test.want)
 			assert.Equal(t, a.Text, "x ")
@@ -171,6 +171,6 @@
 	}
 }
 
-type brokenReader struct{}
+type failingReader struct{}
 
-func (brokenReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -10,28 +10,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Task is one request of the mix, with all that happens to it fixed beforehand.
+// Task is one request of the mix. The schedule fixes its arrival time, lengths, cancellation and
+// resend.
 type Task struct {
 	Index        int
-	At           time.Duration
+	Arrival      time.Duration
 	Kind         *Kind
 	Organisation *Organisation
-	// Instance is the index of the instance that the balancer picks first.
-	Instance int
-	// PromptTokens and MaxTokens of a model request.
+	// InstanceIndex is the index of the instance that the load balancer selects first.
+	InstanceIndex int
+	// PromptTokens and MaxTokens are the lengths of a model request.
 	PromptTokens int
 	MaxTokens    int
-	// Prefix is the shared prefix's number, or -1.
-	Prefix int
-	// CancelAfter cancels the first attempt; 0 means never.
+	// PrefixIndex is the index of the shared prefix, or -1 if there is none.
+	PrefixIndex int
+	// CancelAfter is when the first attempt is cancelled; 0 means never.
 	CancelAfter time.Duration
-	// ResendAfter sends a second copy of a call; 0 means never.
+	// ResendAfter is when a second copy of a call is sent; 0 means never.
 	ResendAfter time.Duration
 	seed        uint64
 }
 
-// Schedule returns the scenario's tasks in order of time. The same scenario gives
-// the same tasks.
+// Schedule returns the scenario's tasks in order of arrival. It is deterministic.
 func Schedule(s *Scenario) []*Task {
 	var tasks []*Task
 	for k := range s.Kinds {
@@ -43,24 +43,24 @@
 			tasks = append(tasks, arrivals(s, kind, organisation)...)
 		}
 	}
-	slices.SortStableFunc(tasks, func(a, b *Task) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(tasks, func(a, b *Task) int { return cmp.Compare(a.Arrival, b.Arrival) })
 	for i, task := range tasks {
 		task.Index = i
 	}
 	return tasks
 }
 
-// arrivals is a Poisson process whose rate follows the organisation's surges, by
-// thinning one that runs at the highest rate.
+// arrivals draws tasks from an inhomogeneous Poisson process whose rate follows the organisation's
+// surges, by thinning a process at the peak rate.
 func arrivals(s *Scenario, kind *Kind, organisation *Organisation) []*Task {
-	// A generator of its own for each kind and organisation keeps the others'
-	// arrivals in place when one kind is changed, so that runs stay comparable.
+	// Each kind and organisation has its own generator, so that changing one kind does not move the
+	// arrivals of the others and runs stay comparable.
 	rng := rand.New(rand.NewPCG(s.Seed, xxhash.Sum64String(kind.Name+"/"+organisation.Name)))
 	peak := 1.0
 	for _, surge := range organisation.Surges {
 		peak = max(peak, surge.Factor)
 	}
-	rate := kind.PerSecond * organisation.Share
+	rate := kind.RequestsPerSecond * organisation.RateFactor
 	if rate <= 0 {
 		return nil
 	}
@@ -71,13 +71,13 @@
 		if when >= s.Duration.Duration {
 			return tasks
 		}
-		if rng.Float64() < organisation.factorAt(when)/peak {
+		if rng.Float64() < organisation.rateFactorAt(when)/peak {
 			tasks = append(tasks, newTask(s, kind, organisation, when, rng))
 		}
 	}
 }
 
-func (o *Organisation) factorAt(at time.Duration) float64 {
+func (o *Organisation) rateFactorAt(at time.Duration) float64 {
 	for _, surge := range o.Surges {
 		if at >= surge.From.Duration && at < surge.To.Duration {
 			return surge.Factor
@@ -88,13 +88,13 @@
 
 func newTask(s *Scenario, kind *Kind, organisation *Organisation, at time.Duration, rng *rand.Rand) *Task {
 	task := &Task{
-		At: at, Kind: kind, Organisation: organisation, Prefix: -1,
-		Instance: rng.IntN(len(s.Instances)), seed: rng.Uint64(),
+		Arrival: at, Kind: kind, Organisation: organisation, PrefixIndex: -1,
+		InstanceIndex: rng.IntN(len(s.Instances)), seed: rng.Uint64(),
 		PromptTokens: logUniform(rng, kind.PromptTokens),
 		MaxTokens:    logUniform(rng, kind.MaxTokens),
 	}
 	if kind.SharedPrefixes > 0 {
-		task.Prefix = rng.IntN(kind.SharedPrefixes)
+		task.PrefixIndex = rng.IntN(kind.SharedPrefixes)
 	}
 	if rng.Float64() < kind.CancelShare {
 		task.CancelAfter = 1 + time.Duration(rng.Int64N(int64(kind.CancelWithin.Duration)))
@@ -105,8 +105,8 @@
 	return task
 }
 
-// logUniform spreads lengths evenly over their orders of magnitude: many short
-// ones, some of tens of thousands.
+// logUniform draws lengths uniformly on a logarithmic scale: many are short, some are tens of
+// thousands.
 func logUniform(rng *rand.Rand, bounds [2]int) int {
 	if bounds[1] <= bounds[0] {
 		return bounds[0]
--- a/load/send.go
+++ b/load/send.go
@@ -14,35 +14,35 @@
 	"github.com/cairnworks/cairnworks/stand"
 )
 
-// sender sends attempts and reads what comes back.
+// sender sends attempts and reads their responses.
 type sender struct {
-	scenario *Scenario
-	client   *http.Client
-	start    time.Time
-	run      string
+	scenario  *Scenario
+	client    *http.Client
+	startedAt time.Time
+	runName   string
 }
 
-// connectionsPerInstance kept open; more are made when needed.
-const connectionsPerInstance = 512
+// maxIdleConnsPerInstance bounds the idle connections to an instance, not the open ones.
+const maxIdleConnsPerInstance = 512
 
 func newSender(s *Scenario, run string, start time.Time) *sender {
-	return &sender{scenario: s, run: run, start: start, client: &http.Client{Transport: &http.Transport{
+	return &sender{scenario: s, runName: run, startedAt: start, client: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
-		MaxIdleConnsPerHost: connectionsPerInstance,
+		MaxIdleConnsPerHost: maxIdleConnsPerInstance,
 		DisableCompression:  true,
 	}}}
 }
 
-func (s *sender) now() time.Duration { return time.Since(s.start) }
+func (s *sender) elapsed() time.Duration { return time.Since(s.startedAt) }
 
-// payload is what every attempt of a task sends.
+// payload is the request that every attempt of a task sends.
 type payload struct {
 	method, path, query string
 	body                []byte
 	header              http.Header
 }
 
-type chatBody struct {
+type completionRequest struct {
 	Model     string        `json:"model"`
 	Messages  []chatMessage `json:"messages,omitempty"`
 	Prompt    string        `json:"prompt,omitempty"`
@@ -55,7 +55,7 @@
 	Content string `json:"content"`
 }
 
-// prepare builds a task's payload and the answer it must get.
+// prepare builds a task's payload and a result with its expected answer.
 func (s *sender) prepare(task *Task) (payload, *Result) {
 	result := &Result{Task: task}
 	p := payload{header: http.Header{}}
@@ -70,13 +70,13 @@
 }
 
 func (s *sender) prepareModel(task *Task, p *payload, result *Result) {
-	content := task.Content(s.run)
+	content := task.PromptContent(s.runName)
 	prompt := task.enginePrompt(content)
 	result.PromptHash = stand.PromptHash(prompt)
 	result.PromptTokens = stand.CountTokens(prompt)
 	result.WantText = strings.Join(stand.Answer(prompt, task.MaxTokens), "")
 	result.WantFinish = stand.FinishReason(prompt, task.MaxTokens)
-	body := chatBody{Model: task.Kind.Model, Stream: task.Kind.Stream, MaxTokens: task.MaxTokens}
+	body := completionRequest{Model: task.Kind.Model, Stream: task.Kind.Stream, MaxTokens: task.MaxTokens}
 	p.method, p.path = http.MethodPost, "/v1/completions"
 	if task.Kind.Form == FormChat {
 		p.path = "/v1/chat/completions"
@@ -87,11 +87,11 @@
 	if task.Kind.Deferrable {
 		p.header.Set("X-Request-Class", "deferrable")
 	}
-	p.body, _ = json.Marshal(body) // strings and numbers only: never fails
+	p.body, _ = json.Marshal(body) // cannot fail: the body holds only strings, numbers and booleans
 }
 
 func (s *sender) prepareCall(task *Task, p *payload, result *Result) {
-	key := task.idempotencyKey(s.run)
+	key := task.idempotencyKey(s.runName)
 	p.method = task.Kind.Method
 	p.path = "/services/" + task.Kind.Service + task.Kind.Path
 	p.query = "n=" + key
@@ -107,11 +107,12 @@
 	}
 }
 
-// send makes one attempt at the instance with the given index.
+// send makes one attempt at the instance with the given index. It cancels the attempt after
+// cancelAfter, unless that is 0.
 func (s *sender) send(ctx context.Context, p payload, instance int, cancelAfter time.Duration) *Attempt {
 	target := s.scenario.Instances[instance]
-	a := &Attempt{Instance: target.Name, Sent: s.now()}
-	ctx, stop := context.WithTimeout(ctx, s.scenario.Patience.Duration)
+	a := &Attempt{Instance: target.Name, SentAt: s.elapsed()}
+	ctx, stop := context.WithTimeout(ctx, s.scenario.RequestTimeout.Duration)
 	defer stop()
 	if cancelAfter > 0 {
 		timer := time.AfterFunc(cancelAfter, stop)
@@ -120,36 +121,38 @@
 	req, err := http.NewRequestWithContext(ctx, p.method, "http://"+target.Address+p.path+"?"+p.query, bytes.NewReader(p.body))
 	if err == nil {
 		req.Header = p.header.Clone()
-		// The client must not resend by itself: each sending is an attempt.
+		// Without GetBody, the client cannot resend the request on its own, which would be an
+		// unrecorded attempt.
 		req.GetBody = nil
-		err = s.exchange(req, a)
+		err = s.roundTrip(req, a)
 	}
-	a.Last = max(a.Last, a.First)
+	a.LastByteAt = max(a.LastByteAt, a.FirstByteAt)
 	if a.Outcome == "" {
-		a.Last = s.now()
-		a.Outcome = outcomeOf(ctx, err)
+		a.LastByteAt = s.elapsed()
+		a.Outcome = classifyError(ctx, err)
 		a.Detail = err.Error()
 	}
 	return a
 }
 
-// outcomeOf names the end of an attempt without a response that tells it.
-func outcomeOf(ctx context.Context, err error) Outcome {
+// classifyError returns the outcome of an attempt that ended without a response that determines it.
+func classifyError(ctx context.Context, err error) Outcome {
 	var op *net.OpError
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return OutcomeCancelled
 	case ctx.Err() != nil:
-		return OutcomeUnanswered
+		return OutcomeTimedOut
 	case errors.As(err, &op) && op.Op == "dial":
 		return OutcomeUnreachable
 	default:
-		return OutcomeBroken
+		return OutcomeDisconnected
 	}
 }
 
-// exchange sets a.Outcome when the response tells it, and fails otherwise.
-func (s *sender) exchange(req *http.Request, a *Attempt) error {
+// roundTrip sends the request and sets a.Outcome from the response; without an outcome it returns
+// an error.
+func (s *sender) roundTrip(req *http.Request, a *Attempt) error {
 	resp, err := s.client.Do(req)
 	if err != nil {
 		return err
@@ -165,36 +168,36 @@
 	if err != nil {
 		return err
 	}
-	a.First = s.now()
-	a.Last = a.First
+	a.FirstByteAt = s.elapsed()
+	a.LastByteAt = a.FirstByteAt
 	a.readBody(body)
 	return nil
 }
 
-// readBody takes a whole response: an error, a completion or a call's echo.
+// readBody decodes a response that is not streamed: an error, a completion or a call's echo.
 func (a *Attempt) readBody(body []byte) {
-	var failure errorEvent
+	var failure errorEnvelope
 	if a.Status >= http.StatusBadRequest && json.Unmarshal(body, &failure) == nil && failure.Error != nil {
 		a.Outcome = OutcomeRefused
-		a.First = 0
-		a.fail(failure.Error)
+		a.FirstByteAt = 0
+		a.setError(failure.Error)
 		return
 	}
-	a.Outcome = OutcomeWhole
+	a.Outcome = OutcomeComplete
 	a.Body = string(body)
-	var done completionEvent
+	var done completionResponse
 	if json.Unmarshal(body, &done) == nil && len(done.Choices) > 0 {
 		a.Terminators = 1
-		a.take(&done)
+		a.setCompletion(&done)
 		return
 	}
 	var echo stand.PlainAnswer
 	if json.Unmarshal(body, &echo) == nil && echo.Path != "" {
-		a.Call = &echo
+		a.Echo = &echo
 	}
 }
 
-func (a *Attempt) fail(e *errorDetail) {
+func (a *Attempt) setError(e *errorDetail) {
 	a.Reason, a.Ran, a.Retryable, a.Detail = e.Code, e.Ran, e.Retryable, e.Message
 	a.RetryAfter = time.Duration(e.RetryAfterMS) * time.Millisecond
 	if e.RequestID != "" {
--- a/load/slopes.go
+++ b/load/slopes.go
@@ -9,17 +9,18 @@
 	"text/tabwriter"
 )
 
-// Slope is a least-squares line of a process group's use over the request rate.
+// Slope is a least-squares fit of the resource usage of a process group as a function of the
+// request rate.
 type Slope struct {
-	// Group is the process name without its trailing number.
+	// Group is the name of the processes without their trailing number.
 	Group string
-	// Of is "cores" or "MB".
-	Of string
-	// Runs counts the points; Base is the value at rate 0, PerRequest what one
-	// more request a second over the whole fleet adds to one process.
-	Runs             int
-	Base, PerRequest float64
-	// Residual is the root mean square distance of the points from the line.
+	// Resource is "cores" for CPU time or "MB" for peak memory.
+	Resource string
+	// Runs is the number of points. Intercept is the value at rate 0, PerRequest the increase in one
+	// process for each additional request per second to the whole fleet.
+	Runs                  int
+	Intercept, PerRequest float64
+	// Residual is the root mean square error of the fit.
 	Residual float64
 }
 
@@ -27,8 +28,8 @@
 
 var trailingNumber = regexp.MustCompile(`-?\d+$`)
 
-// Slopes fits the use of the processes of several runs at different rates. A
-// process that ended during its run is left out.
+// Slopes fits the resource usage of the processes of several runs at different request rates.
+// Processes that ended during their run are left out.
 func Slopes(reports []*Report) []Slope {
 	points := map[[2]string][]point{}
 	for _, r := range reports {
@@ -45,15 +46,15 @@
 	}
 	var out []Slope
 	for name, all := range points {
-		out = append(out, fit(name, all))
+		out = append(out, fitLine(name, all))
 	}
 	slices.SortFunc(out, func(a, b Slope) int {
-		return slices.Compare([]string{a.Group, a.Of}, []string{b.Group, b.Of})
+		return slices.Compare([]string{a.Group, a.Resource}, []string{b.Group, b.Resource})
 	})
 	return out
 }
 
-func fit(name [2]string, all []point) Slope {
+func fitLine(name [2]string, all []point) Slope {
 	n := float64(len(all))
 	var sx, sy, sxx, sxy float64
 	for _, p := range all {
@@ -62,14 +63,14 @@
 		sxx += p.x * p.x
 		sxy += p.x * p.y
 	}
-	// Points at one rate only have no slope.
-	s := Slope{Group: name[0], Of: name[1], Runs: len(all), Base: sy / n, PerRequest: math.NaN()}
+	// The slope is undefined if all points have the same rate.
+	s := Slope{Group: name[0], Resource: name[1], Runs: len(all), Intercept: sy / n, PerRequest: math.NaN()}
 	if spread := n*sxx - sx*sx; spread > 1e-9 {
 		s.PerRequest = (n*sxy - sx*sy) / spread
-		s.Base = (sy - s.PerRequest*sx) / n
+		s.Intercept = (sy - s.PerRequest*sx) / n
 	}
 	for _, p := range all {
-		off := p.y - s.Base
+		off := p.y - s.Intercept
 		if !math.IsNaN(s.PerRequest) {
 			off -= s.PerRequest * p.x
 		}
@@ -79,12 +80,12 @@
 	return s
 }
 
-// WriteSlopes prints slopes for people.
+// WriteSlopes writes slopes as a text table.
 func WriteSlopes(w io.Writer, all []Slope) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "process\tof\tpoints\tat rate 0\tper request/s\tresidual\t")
+	fmt.Fprintln(t, "process\tresource\tpoints\tat rate 0\tper request/s\tresidual\t")
 	for _, s := range all {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%.4f\t%.6f\t%.4f\t\n", s.Group, s.Of, s.Runs, s.Base, s.PerRequest, s.Residual)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%.4f\t%.6f\t%.4f\t\n", s.Group, s.Resource, s.Runs, s.Intercept, s.PerRequest, s.Residual)
 	}
 	return t.Flush()
 }
--- a/load/tasks.go
+++ b/load/tasks.go
@@ -9,19 +9,19 @@
 	"github.com/samber/oops"
 )
 
-// taskLine is one request in the file of WriteTasks.
-type taskLine struct {
-	Task         int           `json:"task"`
-	Kind         string        `json:"kind"`
-	Organisation string        `json:"organisation"`
-	AtMS         float64       `json:"at_ms"`
-	Cost         float64       `json:"cost"`
-	InRate       bool          `json:"in_rate"`
-	Good         bool          `json:"good"`
-	Attempts     []attemptLine `json:"attempts"`
+// taskRecord is the line for one request in the file written by WriteTasks.
+type taskRecord struct {
+	Task         int             `json:"task"`
+	Kind         string          `json:"kind"`
+	Organisation string          `json:"organisation"`
+	AtMS         float64         `json:"at_ms"`
+	Cost         float64         `json:"cost"`
+	WithinRate   bool            `json:"in_rate"`
+	Good         bool            `json:"good"`
+	Attempts     []attemptRecord `json:"attempts"`
 }
 
-type attemptLine struct {
+type attemptRecord struct {
 	Instance string  `json:"instance"`
 	Request  string  `json:"request"`
 	Outcome  Outcome `json:"outcome"`
@@ -34,10 +34,10 @@
 	Tokens   int     `json:"tokens,omitempty"`
 }
 
-func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// WriteTasks writes one JSON line for each request, to look into single ones.
-// Only the report of a run has them, not one that was read back.
+// WriteTasks writes a JSON line for each request, for the analysis of single requests. The requests
+// are only in a report returned by Run, not in one returned by ReadReport.
 func (r *Report) WriteTasks(path string) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -47,22 +47,22 @@
 	out := bufio.NewWriter(file)
 	encoder := json.NewEncoder(out)
 	for _, result := range r.results {
-		if err := encoder.Encode(r.taskLine(result)); err != nil {
+		if err := encoder.Encode(r.newTaskRecord(result)); err != nil {
 			return oops.In("load").Wrap(err)
 		}
 	}
 	return oops.In("load").Wrap(out.Flush())
 }
 
-func (r *Report) taskLine(result *Result) taskLine {
-	line := taskLine{
+func (r *Report) newTaskRecord(result *Result) taskRecord {
+	line := taskRecord{
 		Task: result.Task.Index, Kind: result.Task.Kind.Name, Organisation: result.Task.Organisation.Name,
-		AtMS: millis(result.Task.At), Cost: result.cost(), InRate: r.within[result], Good: result.good(),
+		AtMS: milliseconds(result.Task.Arrival), Cost: result.cost(), WithinRate: r.within[result], Good: result.meetsTargets(),
 	}
 	for _, a := range result.Attempts {
-		line.Attempts = append(line.Attempts, attemptLine{
+		line.Attempts = append(line.Attempts, attemptRecord{
 			Instance: a.Instance, Request: a.RequestID, Outcome: a.Outcome, Reason: a.Reason, Ran: a.Ran,
-			RetryMS: millis(a.RetryAfter), SentMS: millis(a.Sent), FirstMS: millis(a.First), LastMS: millis(a.Last),
+			RetryMS: milliseconds(a.RetryAfter), SentMS: milliseconds(a.SentAt), FirstMS: milliseconds(a.FirstByteAt), LastMS: milliseconds(a.LastByteAt),
 			Tokens: a.Tokens,
 		})
 	}
