--- a/e2e/keys_test.go
+++ b/e2e/keys_test.go
@@ -56,7 +56,7 @@
 	assert.Equal(t, b.status, http.StatusOK)
 	for name := range f.upstreams {
 		var stats struct {
-			Seen []stand.Seen `json:"seen"`
+			Seen []stand.SeenCall `json:"seen"`
 		}
 		f.stats(name, &stats)
 		assert.Assert(t, len(stats.Seen) > 0, name)
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -147,7 +147,7 @@
 		return f.readWhole(ctx, begun)
 	}
 	records, next, err := f.Log.Since(ctx, f.Topic, next, wait)
-	if errors.Is(err, port.ErrForgotten) {
+	if errors.Is(err, port.ErrCompacted) {
 		f.Logger.Info("history forgotten", zap.Stringer("topic", f.Topic), zap.Uint64("from", next))
 		return f.readWhole(ctx, begun)
 	}
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -42,7 +42,7 @@
 		return nil, 0, errors.New("down")
 	}
 	if from < s.first {
-		return nil, 0, port.ErrForgotten
+		return nil, 0, port.ErrCompacted
 	}
 	if int(from) == len(s.records) {
 		s.mu.Unlock()
--- a/httpconn/exchange.go
+++ b/httpconn/exchange.go
@@ -25,10 +25,10 @@
 	// request; 0 means any that is kept. The longer one was idle, the likelier it is
 	// that the upstream drops it as the request arrives.
 	MaxIdle time.Duration
-	// Accept tells whether an answer belongs to the request; nil accepts all. Others
+	// MatchResponse tells whether an answer belongs to the request; nil accepts all. Others
 	// are skipped: an upstream that answers an earlier request twice leaves its
 	// second answer where the next one is expected.
-	Accept func(http.Header) bool
+	MatchResponse func(http.Header) bool
 }
 
 // Response is an upstream's answer. Body must be closed; a body that ends early
@@ -167,7 +167,7 @@
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		if r.Accept == nil || r.Accept(resp.Header) {
+		if r.MatchResponse == nil || r.MatchResponse(resp.Header) {
 			return x.response(resp), nil
 		}
 		if foreign++; foreign > maxForeign || resp.ContentLength < 0 {
--- a/httpconn/pool.go
+++ b/httpconn/pool.go
@@ -110,8 +110,8 @@
 	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
 
-// Reach opens a connection and keeps it for a request. It fails where nobody listens.
-func (p *Pool) Reach(ctx context.Context, address string) error {
+// Connect opens a connection and keeps it for a request. It fails where nobody listens.
+func (p *Pool) Connect(ctx context.Context, address string) error {
 	c, err := p.open(ctx, address)
 	if err != nil {
 		return err
@@ -136,9 +136,9 @@
 	}
 }
 
-// Sweep closes connections whose idle time is over and forgets addresses without
+// CloseExpired closes connections whose idle time is over and forgets addresses without
 // any.
-func (p *Pool) Sweep() {
+func (p *Pool) CloseExpired() {
 	now := time.Now()
 	var old []*conn
 	p.mu.Lock()
@@ -163,8 +163,8 @@
 	}
 }
 
-// Forget closes the idle connections to an address.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an address.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
--- a/instance/routed/routed.go
+++ b/instance/routed/routed.go
@@ -299,7 +299,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			i.adapters.Pool.Sweep()
+			i.adapters.Pool.CloseExpired()
 			i.quotas.Sweep(i.exchange.Knows)
 			i.gateway.Sweep()
 			i.logHubChange()
--- a/instance/routed/storecalls.go
+++ b/instance/routed/storecalls.go
@@ -51,7 +51,7 @@
 func (l *instrumentedLog) count(topic port.Topic, call string, start time.Time, err error) {
 	result := "ok"
 	switch {
-	case errors.Is(err, port.ErrForgotten):
+	case errors.Is(err, port.ErrCompacted):
 		result = "forgotten"
 	case errors.Is(err, port.ErrConflict):
 		result = "conflict"
--- a/load/check.go
+++ b/load/check.go
@@ -194,7 +194,7 @@
 	}
 }
 
-func (c *checker) showsKey(call stand.Seen) bool {
+func (c *checker) showsKey(call stand.SeenCall) bool {
 	for _, values := range call.Header {
 		for _, o := range c.scenario.Organisations {
 			if o.Key != "" && strings.Contains(strings.Join(values, " "), o.Key) {
--- a/load/check_test.go
+++ b/load/check_test.go
@@ -46,7 +46,7 @@
 
 func ranOnce() Evidence {
 	return Evidence{Settled: true, After: StandIns{
-		Engines: map[string]*stand.EngineStats{"e": {Requests: map[string]*stand.RequestRuns{
+		Engines: map[string]*stand.EngineStats{"e": {Requests: map[string]*stand.RequestStats{
 			"r1": {Prefills: 1, Decodes: 1},
 		}}},
 		Plains: map[string]*stand.PlainStats{"p": {
@@ -135,7 +135,7 @@
 		}, PromiseNotRun},
 		{"key shown", func(_ *Result, e *Evidence) {
 			header := map[string][]string{"X-Forwarded": {"Bearer cw-secret-a"}}
-			e.After.Plains["p"].Seen = []stand.Seen{{Method: "POST", Path: "/swaps", Header: header}}
+			e.After.Plains["p"].Seen = []stand.SeenCall{{Method: "POST", Path: "/swaps", Header: header}}
 		}, PromiseKey},
 		{"memory held", func(_ *Result, e *Evidence) {
 			e.Settled = false
--- a/load/evidence.go
+++ b/load/evidence.go
@@ -135,8 +135,8 @@
 }
 
 // seen returns the headers of the last calls at every stand-in.
-func (s StandIns) seen() map[string][]stand.Seen {
-	out := map[string][]stand.Seen{}
+func (s StandIns) seen() map[string][]stand.SeenCall {
+	out := map[string][]stand.SeenCall{}
 	for address, engine := range s.Engines {
 		out[address] = engine.Seen
 	}
--- a/port/engine.go
+++ b/port/engine.go
@@ -38,8 +38,8 @@
 	Tokens int
 	// CachedTokens is how many of them came out of the prefix cache.
 	CachedTokens int
-	// Expires is how long the engine keeps the cache, from the answer on.
-	Expires time.Duration
+	// TTL is how long the engine keeps the cache, from the answer on.
+	TTL time.Duration
 	// Bytes is the size of the cache on the link.
 	Bytes int64
 }
--- a/port/httpport/engine.go
+++ b/port/httpport/engine.go
@@ -29,7 +29,7 @@
 	}
 	return port.PrefillResult{
 		Handle: out.Handle, Tokens: out.Tokens, CachedTokens: out.CachedTokens, Bytes: out.Bytes,
-		Expires: time.Duration(out.ExpiresMS) * time.Millisecond,
+		TTL: time.Duration(out.ExpiresMS) * time.Millisecond,
 	}, nil
 }
 
--- a/port/keyed.go
+++ b/port/keyed.go
@@ -37,9 +37,9 @@
 	Offset uint64
 }
 
-// ErrForgotten means that the records asked for are no longer kept: the newest of
+// ErrCompacted means that the records asked for are no longer kept: the newest of
 // each key are to be read instead.
-var ErrForgotten = errors.New("records no longer kept")
+var ErrCompacted = errors.New("records no longer kept")
 
 // ErrConflict means that a conditional write was refused, since the topic had gone
 // on.
--- a/route/attempt.go
+++ b/route/attempt.go
@@ -101,7 +101,7 @@
 }
 
 func (a *modelAttempt) transfer(ctx context.Context, engine port.Engine, source string, result port.PrefillResult) error {
-	if err := sleepUntil(ctx, transferStart(time.Now(), a.grant.TransferAfter, result.Expires)); err != nil {
+	if err := sleepUntil(ctx, transferStart(time.Now(), a.grant.TransferAfter, result.TTL)); err != nil {
 		return verdict.Fail(verdict.MayHaveRun, verdict.ReasonCancelled, err, "cancelled before the transfer")
 	}
 	ctx, stop := context.WithTimeout(ctx, importTimeout)
--- a/stand/engine.go
+++ b/stand/engine.go
@@ -140,7 +140,7 @@
 	e := &Engine{
 		cfg: cfg, client: &http.Client{Transport: &http.Transport{}}, role: cfg.Role, models: cfg.Models,
 		work: make(chan struct{}, 1), stop: stop, stopped: make(chan struct{}),
-		stats: EngineStats{Requests: map[string]*RequestRuns{}},
+		stats: EngineStats{Requests: map[string]*RequestStats{}},
 	}
 	e.gate = newGate(e.restart, cfg.OnCrash)
 	e.restart()
--- a/stand/faults.go
+++ b/stand/faults.go
@@ -39,8 +39,8 @@
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Seen is one call as it arrived.
-type Seen struct {
+// SeenCall is one call as it arrived.
+type SeenCall struct {
 	Method string      `json:"method"`
 	Path   string      `json:"path"`
 	Header http.Header `json:"header"`
@@ -54,7 +54,7 @@
 type gate struct {
 	mu     sync.Mutex
 	faults Faults
-	seen   []Seen
+	seen   []SeenCall
 	// thaw is closed unless frozen.
 	thaw chan struct{}
 	// life ends at the next crash.
@@ -140,10 +140,10 @@
 	return g.faults
 }
 
-func (g *gate) headers() []Seen {
+func (g *gate) headers() []SeenCall {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]Seen(nil), g.seen...)
+	return append([]SeenCall(nil), g.seen...)
 }
 
 // slowed returns d under the slow factor in force.
@@ -187,7 +187,7 @@
 	if len(g.seen) == seenKept {
 		g.seen = g.seen[1:]
 	}
-	g.seen = append(g.seen, Seen{Method: r.Method, Path: r.URL.Path, Header: r.Header.Clone()})
+	g.seen = append(g.seen, SeenCall{Method: r.Method, Path: r.URL.Path, Header: r.Header.Clone()})
 	return g.faults, g.thaw, g.life
 }
 
--- a/stand/list.go
+++ b/stand/list.go
@@ -19,8 +19,8 @@
 
 // ListStats answers GET /stats of the list.
 type ListStats struct {
-	Reads int    `json:"reads"`
-	Seen  []Seen `json:"seen"`
+	Reads int        `json:"reads"`
+	Seen  []SeenCall `json:"seen"`
 }
 
 // List is a stand-in of the platform's lagging list. PUT changes the truth, GET
--- a/stand/log.go
+++ b/stand/log.go
@@ -30,7 +30,7 @@
 	AppendsRefused int            `json:"appends_refused"`
 	Reads          int            `json:"reads"`
 	Records        map[string]int `json:"records"`
-	Seen           []Seen         `json:"seen"`
+	Seen           []SeenCall     `json:"seen"`
 }
 
 // Log is a stand-in of the platform's append-only log.
--- a/stand/plain.go
+++ b/stand/plain.go
@@ -29,7 +29,7 @@
 	ByCall           map[string]int `json:"by_call"`
 	Refused          int            `json:"refused"`
 	WorkWhileLeaving int            `json:"work_while_leaving"`
-	Seen             []Seen         `json:"seen"`
+	Seen             []SeenCall     `json:"seen"`
 }
 
 // PlainAnswer is the body of every answer of the service. It echoes the call, so
--- a/stand/stats.go
+++ b/stand/stats.go
@@ -6,8 +6,8 @@
 	"github.com/cairnworks/cairnworks/port/httpport/wire"
 )
 
-// RequestRuns counts what an engine did for one request, over all attempts.
-type RequestRuns struct {
+// RequestStats counts what an engine did for one request, over all attempts.
+type RequestStats struct {
 	PromptHash string `json:"prompt_hash,omitempty"`
 	// LastAttempt is the highest attempt number seen.
 	LastAttempt uint32 `json:"last_attempt"`
@@ -23,7 +23,7 @@
 // EngineStats answers GET /stats of an engine. Counts grow from the start of the
 // process on, through crashes in place.
 type EngineStats struct {
-	Requests map[string]*RequestRuns `json:"requests"`
+	Requests map[string]*RequestStats `json:"requests"`
 	// Held counts streams and KV caches held now, PiecesUsed their memory.
 	Held       int `json:"held"`
 	PiecesUsed int `json:"pieces_used"`
@@ -45,7 +45,7 @@
 	Role                string       `json:"role"`
 	Models              []string     `json:"models"`
 	Orders              []wire.Order `json:"orders"`
-	Seen                []Seen       `json:"seen"`
+	Seen                []SeenCall   `json:"seen"`
 }
 
 // Stats returns a copy of what the engine counted.
@@ -53,7 +53,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := e.stats
-	out.Requests = make(map[string]*RequestRuns, len(e.stats.Requests))
+	out.Requests = make(map[string]*RequestStats, len(e.stats.Requests))
 	for id, runs := range e.stats.Requests {
 		copied := *runs
 		out.Requests[id] = &copied
@@ -68,10 +68,10 @@
 }
 
 // runs returns the counts of a request; the caller holds mu.
-func (e *Engine) runs(s wire.Stream) *RequestRuns {
+func (e *Engine) runs(s wire.Stream) *RequestStats {
 	runs, ok := e.stats.Requests[s.RequestID]
 	if !ok {
-		runs = &RequestRuns{}
+		runs = &RequestStats{}
 		e.stats.Requests[s.RequestID] = runs
 	}
 	runs.LastAttempt = max(runs.LastAttempt, s.Attempt)
--- a/stand/weights.go
+++ b/stand/weights.go
@@ -20,7 +20,7 @@
 // WeightsStats answers GET /stats of the store.
 type WeightsStats struct {
 	Reads map[string]int `json:"reads"`
-	Seen  []Seen         `json:"seen"`
+	Seen  []SeenCall     `json:"seen"`
 }
 
 // Weights is a stand-in of the rate-limited weight store. It takes the time of
