--- a/port/engine.go
+++ b/port/engine.go
@@ -1,7 +1,7 @@
-// Package port holds the interfaces of every system outside the project: model
-// engines, plain services, the log, the instance list and the weight store. Each
-// has one HTTP adapter in port/httpport, so that the protocol of a deployment is
-// met in one place.
+// Package port defines the interfaces to all external systems: model engines, plain
+// services, the log, the instance list and the weight store. Each has one HTTP
+// adapter in port/httpport, so that only that package depends on the protocol of a
+// deployment.
 package port
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// StreamID names one attempt of one request on an upstream. Frames of another
-// attempt are stale and are dropped.
+// StreamID identifies one attempt of a request on an upstream. Frames of other
+// attempts are stale and are dropped.
 type StreamID struct {
 	RequestID string
 	Attempt   uint32
@@ -24,23 +24,24 @@
 	Stream StreamID
 	Model  string
 	Prompt string
-	// Generated are the tokens that an earlier attempt has already delivered. The
-	// KV cache covers them too, so that a decode on any engine goes on after them.
+	// Generated holds the tokens that earlier attempts have already delivered. The
+	// KV cache covers them as well, so that decoding can continue after them on any
+	// engine.
 	Generated []string
 	Priority  int
 }
 
-// PrefillResult is a KV cache that waits on the prefill engine to be imported.
+// PrefillResult describes a KV cache held by the prefill engine until it is imported.
 type PrefillResult struct {
-	// Handle names the cache at the prefill engine.
+	// Handle identifies the cache on the prefill engine.
 	Handle string
-	// Tokens is the true length of the prompt and of the generated tokens given.
+	// Tokens is the exact token count of the prompt and the given generated tokens.
 	Tokens int
-	// CachedTokens is how many of them came out of the prefix cache.
+	// CachedTokens is how many of them were found in the prefix cache.
 	CachedTokens int
-	// TTL is how long the engine keeps the cache, from the answer on.
+	// TTL is how long the engine keeps the cache, counted from the response.
 	TTL time.Duration
-	// Bytes is the size of the cache on the link.
+	// Bytes is the transfer size of the cache.
 	Bytes int64
 }
 
@@ -51,7 +52,8 @@
 	// Source is the address of the prefill engine.
 	Source string
 	Handle string
-	// MaxTokens bounds the decode that follows, so that the engine can keep the memory.
+	// MaxTokens limits the decode that follows, so that the engine can reserve memory
+	// for it.
 	MaxTokens int
 }
 
@@ -60,13 +62,13 @@
 	Stream    StreamID
 	Model     string
 	MaxTokens int
-	// ResumeFrom is the number of tokens the caller already has; the engine
-	// continues with the next one.
+	// ResumeFrom is the number of tokens that the caller has already received; the
+	// engine continues with the next one.
 	ResumeFrom int
 	Priority   int
 }
 
-// Frame is one piece of a decode stream.
+// Frame is one message of a decode stream: a token or the terminator.
 type Frame struct {
 	RequestID string
 	Attempt   uint32
@@ -74,22 +76,22 @@
 	Seq int
 	// Token is the text of the token.
 	Token string
-	// Done marks the terminator; a stream that ends without it is truncated.
+	// Done marks the terminator. A stream that ends without one is truncated.
 	Done bool
 	// FinishReason is set on the terminator: "stop" or "length".
 	FinishReason string
 }
 
-// FrameReader yields the frames of one decode stream.
+// FrameReader reads the frames of one decode stream.
 type FrameReader interface {
-	// Next returns the next frame, or io.EOF after the stream ended. The caller
-	// checks that the last frame was the terminator.
+	// Next returns the next frame, or io.EOF after the end of the stream. The caller
+	// must check that the last frame was the terminator.
 	Next() (Frame, error)
-	// Close ends the stream; the engine frees it when it notices.
+	// Close closes the connection; the engine frees the stream once it detects this.
 	Close() error
 }
 
-// StreamState is one entry of an engine's own list of what it holds.
+// StreamState is an entry of the list of streams and KV caches that an engine holds.
 type StreamState struct {
 	Stream StreamID
 	// Phase is "prefilled", "imported" or "decoding".
@@ -97,7 +99,7 @@
 	Pieces int
 }
 
-// Load is an engine's report of itself. It lags.
+// Load is an engine's load report. It may be out of date.
 type Load struct {
 	Role       string
 	Running    int
@@ -105,44 +107,45 @@
 	PiecesUsed int
 	Pieces     int
 	Queued     int
-	// Loaded names the models, adapters and versions that the engine holds; nil
-	// when the engine does not tell.
+	// Loaded lists the models, adapters and versions that the engine has loaded; it is
+	// nil if the engine does not report them.
 	Loaded []string
-	// Leaving is set when the engine has been told to go.
+	// Leaving is set once the engine has been told to shut down.
 	Leaving bool
-	// Start identifies the engine's process; it changes on restart.
+	// Start identifies the engine's process and changes on restart.
 	Start string
 }
 
-// CacheEvent tells that an engine stored or dropped the cache of a prefix.
+// CacheEvent reports that an engine stored or evicted a cached prefix.
 type CacheEvent struct {
-	// Seq grows by one with each event; a gap means that events were lost.
+	// Seq increases by one per event; a gap means that events were lost.
 	Seq    uint64
 	Hash   uint64
 	Stored bool
 }
 
-// Order changes what an engine is or has loaded.
+// Order changes an engine's role or loads a model or adapter.
 type Order struct {
 	// Kind is "load_model", "load_adapter" or "set_role".
 	Kind string
 	Name string
-	// Fence is a log offset; engines that check refuse an order with an older one.
+	// Fence is the fencing token, a log offset. Engines that check it refuse an order
+	// with a lower one than they have already seen.
 	Fence uint64
 }
 
-// Engine is one model upstream. Every method fails with a *verdict.Verdict that
-// says whether the engine may have acted.
+// Engine is one model upstream. Errors of all methods are of type *verdict.Verdict,
+// which says whether the engine may have acted.
 type Engine interface {
 	Prefill(ctx context.Context, req PrefillRequest) (PrefillResult, error)
 	Import(ctx context.Context, req ImportRequest) error
 	Decode(ctx context.Context, req DecodeRequest) (FrameReader, error)
-	// Cancel frees everything the engine holds for the stream. Unknown streams
-	// are no error, so that a lost answer can be repeated.
+	// Cancel frees everything that the engine holds for the stream. An unknown stream
+	// is not an error, so that the call can be repeated after a lost response.
 	Cancel(ctx context.Context, id StreamID) error
 	Streams(ctx context.Context) ([]StreamState, error)
 	Load(ctx context.Context) (Load, error)
-	// CacheEvents returns the events after the given sequence number.
+	// CacheEvents returns the events with a sequence number above after.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
 	Order(ctx context.Context, order Order) error
 }
--- a/port/keyed.go
+++ b/port/keyed.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Topic is one of the keyed topics that the system reads or writes in the
-// platform's store.
+// Topic is a keyed topic in the platform's store.
 type Topic uint8
 
 const (
-	// TopicConfiguration holds the operators' configuration. Read only.
+	// TopicConfiguration holds the operators' configuration. It is read-only.
 	TopicConfiguration Topic = iota
-	// TopicUpstreams holds what upstreams say of themselves. Read only.
+	// TopicUpstreams holds the upstreams' reports of themselves. It is read-only.
 	TopicUpstreams
-	// TopicInstances holds which instances there are.
+	// TopicInstances holds the registered instances.
 	TopicInstances
-	// TopicRoles holds who may give orders to the engines of a service.
+	// TopicRoles holds, per service, which instance may give orders to its engines.
 	TopicRoles
-	// TopicFleet holds the id by which instances know those of their fleet.
+	// TopicFleet holds the fleet id, by which instances recognise the members of their
+	// own fleet.
 	TopicFleet
 )
 
@@ -28,35 +28,36 @@
 	return [...]string{"configuration", "upstreams", "instances", "roles", "fleet"}[t]
 }
 
-// KeyedRecord is one record of a keyed topic. Of several with one key the newest
-// holds.
+// KeyedRecord is a record of a keyed topic. Of several records with the same key,
+// the newest is in effect.
 type KeyedRecord struct {
 	Key string
-	// Value is nil where the key was dropped.
+	// Value is nil if the key was deleted.
 	Value  []byte
 	Offset uint64
 }
 
-// ErrCompacted means that the records asked for are no longer kept: the newest of
-// each key are to be read instead.
-var ErrCompacted = errors.New("records no longer kept")
+// ErrCompacted is returned if the requested records have been compacted away. The
+// caller must read the newest record of each key instead.
+var ErrCompacted = errors.New("requested records have been compacted")
 
-// ErrConflict means that a conditional write was refused, since the topic had gone
-// on.
-var ErrConflict = errors.New("topic has gone on")
+// ErrConflict is returned if a conditional write was refused because the topic has
+// other records at or after the expected offset.
+var ErrConflict = errors.New("topic has advanced past the expected offset")
 
-// KeyedLog is the platform's store of keyed topics. Its answers are linearizable;
-// a call without an answer may have been carried out, or may be seconds later.
+// KeyedLog is the platform's store of keyed topics. Responses are linearizable. A
+// call that fails without a response may have been executed, or may still be
+// executed seconds later.
 type KeyedLog interface {
 	// Newest returns the newest record of each key, and the offset from which Since
-	// goes on without a gap.
+	// continues without a gap.
 	Newest(ctx context.Context, topic Topic) (records []KeyedRecord, next uint64, err error)
-	// Since returns the records from an offset on, waiting up to wait for one, and
-	// the offset to go on from.
+	// Since returns the records starting at offset from, waiting up to wait for one,
+	// and the offset to continue from.
 	Since(ctx context.Context, topic Topic, from uint64, wait time.Duration) (records []KeyedRecord, next uint64, err error)
-	// Put writes a record; a nil value drops the key.
+	// Put writes a record; a nil value deletes the key.
 	Put(ctx context.Context, topic Topic, key string, value []byte) error
-	// PutAt writes a record if it gets the offset named, else it fails with
-	// ErrConflict.
+	// PutAt writes a record only if it would be stored at offset at, and otherwise
+	// returns ErrConflict.
 	PutAt(ctx context.Context, topic Topic, at uint64, key string, value []byte) error
 }
--- a/port/prompt.go
+++ b/port/prompt.go
@@ -6,24 +6,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBlockWords is the length in words of a block of the engines' prefix
-// cache. Engines of the kind served cache in blocks of 16 to 64 tokens; the
-// coarsest of these keeps the number of hashes low.
+// PrefixBlockWords is the block size, in words, that is assumed for the engines'
+// prefix caches. The supported engines cache in blocks of 16 to 64 tokens; the
+// largest of these keeps the number of hashes low.
 const PrefixBlockWords = 64
 
-// PromptMeasure is what can be told of a prompt without a tokenizer.
+// PromptMeasure holds the properties of a prompt that can be computed without a
+// tokenizer.
 type PromptMeasure struct {
-	// Tokens is the number of words, an estimate of the tokens.
+	// Tokens is the number of words, as an estimate of the number of tokens.
 	Tokens int
-	// Prefixes are the hashes under which engines report cached prefixes: XXH64
+	// Prefixes holds the hashes under which engines report cached prefixes: XXH64
 	// over the first 64, 128, 192, ... words, each followed by one space, shortest
-	// first. Words stand between white space.
+	// prefix first. Words are separated by white space.
 	Prefixes []uint64
-	// Fingerprint is the same hash over all words.
+	// Fingerprint is the same hash computed over all words.
 	Fingerprint uint64
 }
 
-// MeasurePrompt measures a prompt in one pass.
+// MeasurePrompt computes the PromptMeasure of a prompt in one pass.
 func MeasurePrompt(prompt string) PromptMeasure {
 	var m PromptMeasure
 	digest := xxhash.New()
