--- a/port/httpport/client.go
+++ b/port/httpport/client.go
@@ -1,6 +1,6 @@
-// Package httpport reaches the systems outside the project over HTTP/1.1 with
-// JSON. Every error is a *verdict.Verdict that says whether the other side may
-// have acted, which is what decides about retries.
+// Package httpport implements the interfaces of package port over HTTP/1.1 with
+// JSON. Every error is a *verdict.Verdict that says whether the remote side may
+// have acted, which decides whether a call may be retried.
 package httpport
 
 import (
@@ -20,32 +20,32 @@
 )
 
 const (
-	// dialTimeout is far above a round trip inside a region (about 1 ms) and far
-	// below the target of the first token (1.7 s), so that a dead address leaves
-	// time for another attempt.
+	// dialTimeout is far above the round-trip time inside a region (about 1 ms) and
+	// far below the target for the first token (1.7 s), so that an unreachable
+	// address leaves time for another attempt.
 	dialTimeout = 500 * time.Millisecond
-	// idlePerHost covers a decode engine's twenty streams with room for queries.
+	// idlePerHost covers the twenty streams of a decode engine, with room for queries.
 	idlePerHost = 64
 	idleTimeout = 30 * time.Second
-	// maxErrorBytes bounds how much of a refusal's body is read.
+	// maxErrorBytes limits how much of an error response's body is read.
 	maxErrorBytes = 8 << 10
 )
 
-// NewClient returns an HTTP client for the adapters. It carries no overall
-// timeout: deadlines come with each call's context, and streams last long.
+// NewClient returns an HTTP client for the adapters. It has no overall timeout:
+// each call's context sets the deadline, and streams are long-lived.
 func NewClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		MaxIdleConnsPerHost: idlePerHost,
 		IdleConnTimeout:     idleTimeout,
-		// Bodies pass through as the upstream wrote them.
+		// Bodies are passed on unchanged.
 		DisableCompression: true,
 	}}
 }
 
 var sharedClient = NewClient()
 
-// remote is one address and the client that reaches it.
+// remote is an address and the HTTP client used to call it.
 type remote struct {
 	address string
 	client  *http.Client
@@ -55,15 +55,15 @@
 	if client == nil {
 		client = sharedClient
 	}
-	own := *client
-	// A followed redirect would send the request a second time, to an address
-	// that no object names.
-	own.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return remote{address: address, client: &own}
+	noRedirect := *client
+	// Following a redirect would send the request a second time, to an address that
+	// is not configured anywhere.
+	noRedirect.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return remote{address: address, client: &noRedirect}
 }
 
-// do sends req. A failure before a connection was there is NotRun; any later one
-// is MayHaveRun, because bytes may have reached the other side.
+// do sends req. A failure before a connection is established is NotRun; any later
+// failure is MayHaveRun, because bytes may have reached the remote side.
 func (r remote) do(req *http.Request) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -92,19 +92,20 @@
 	return verdict.Fail(ran, reason, err, "call to %s failed", r.address)
 }
 
-// newRequest returns a request with a JSON body; in may be nil.
+// newRequest returns a request with in as its JSON body, or without a body if in is
+// nil.
 func (r remote) newRequest(ctx context.Context, method, path string, in any) (*http.Request, error) {
 	var body io.Reader
 	if in != nil {
 		data, err := json.Marshal(in)
 		if err != nil {
-			return nil, verdict.Fail(verdict.NotRun, verdict.ReasonInternal, err, "encoding a call")
+			return nil, verdict.Fail(verdict.NotRun, verdict.ReasonInternal, err, "encoding request")
 		}
 		body = bytes.NewReader(data)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.address+path, body)
 	if err != nil {
-		return nil, verdict.Fail(verdict.NotRun, verdict.ReasonInternal, err, "building a call")
+		return nil, verdict.Fail(verdict.NotRun, verdict.ReasonInternal, err, "building request")
 	}
 	if in != nil {
 		req.Header.Set("Content-Type", "application/json")
@@ -112,7 +113,7 @@
 	return req, nil
 }
 
-// call sends in and decodes the answer into out; both may be nil.
+// call sends in and decodes the response into out; both may be nil.
 func (r remote) call(ctx context.Context, method, path string, in, out any) error {
 	req, err := r.newRequest(ctx, method, path, in)
 	if err != nil {
@@ -124,10 +125,11 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return refusal(r.address, resp)
+		return responseVerdict(r.address, resp)
 	}
 	if out == nil {
-		// Read to the end, so that a lost answer is noticed and the connection is reused.
+		// Reading to the end detects a truncated response and lets the connection be
+		// reused.
 		_, err = io.Copy(io.Discard, resp.Body)
 	} else {
 		err = json.NewDecoder(resp.Body).Decode(out)
@@ -138,20 +140,20 @@
 	return nil
 }
 
-// refusal turns a status other than 200 into a verdict. Only a body that says
-// "not_run" is believed; anything else may have run.
-func refusal(address string, resp *http.Response) *verdict.Verdict {
+// responseVerdict converts a response with a status other than 200 to a verdict. The verdict
+// is NotRun only if the body says "not_run"; in all other cases the call may have run.
+func responseVerdict(address string, resp *http.Response) *verdict.Verdict {
 	data, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	v := parseRefusal(address, data)
 	if v == nil {
 		v = verdict.Fail(verdict.MayHaveRun, verdict.ReasonUpstreamCrashed, nil,
-			"%s answered status %d", address, resp.StatusCode)
+			"%s responded with status %d", address, resp.StatusCode)
 	}
 	return v
 }
 
-// parseRefusal returns the verdict of an error body, or nil when the body does
-// not say that nothing ran.
+// parseRefusal returns the verdict for an error body, or nil if the body does not
+// say that nothing ran.
 func parseRefusal(address string, data []byte) *verdict.Verdict {
 	var body wire.ErrorBody
 	if json.Unmarshal(data, &body) != nil || body.Error.Ran != verdict.NotRun.String() {
--- a/port/httpport/engine.go
+++ b/port/httpport/engine.go
@@ -12,8 +12,8 @@
 
 type engine struct{ remote }
 
-// NewEngine returns the engine at address (IP:port). A nil client means a shared
-// one with the settings of NewClient.
+// NewEngine returns the engine at address (IP:port). If client is nil, a shared
+// client with the settings of NewClient is used.
 func NewEngine(address string, client *http.Client) port.Engine {
 	return engine{newRemote(address, client)}
 }
@@ -60,10 +60,10 @@
 	if resp.StatusCode != http.StatusOK {
 		defer cancel()
 		defer resp.Body.Close()
-		return nil, refusal(e.address, resp)
+		return nil, responseVerdict(e.address, resp)
 	}
-	broken := func(err error) error { return e.transportVerdict(streamCtx, true, err) }
-	return newFrameReader(resp.Body, cancel, broken), nil
+	toVerdict := func(err error) error { return e.transportVerdict(streamCtx, true, err) }
+	return newFrameReader(resp.Body, cancel, toVerdict), nil
 }
 
 func (e engine) Cancel(ctx context.Context, id port.StreamID) error {
--- a/port/httpport/engine_test.go
+++ b/port/httpport/engine_test.go
@@ -19,15 +19,15 @@
 
 const prompt = "summarise the treatment of frame 117 before the size cures"
 
-// engines is a prefill and a decode engine behind their adapters.
+// engines holds a simulated prefill and decode engine and their adapters.
 type engines struct {
 	prefill, decode               port.Engine
 	prefillAddress, decodeAddress string
 	prefillStand, decodeStand     *stand.Engine
 }
 
-// fast returns settings under which a test waits for nothing needlessly.
-func fast(role string) stand.EngineConfig {
+// fastConfig returns settings of a simulated engine that keep tests short.
+func fastConfig(role string) stand.EngineConfig {
 	return stand.EngineConfig{Role: role, TokenTime: 200_000, PrefillTokensPerSecond: 1_000_000}
 }
 
@@ -61,8 +61,8 @@
 	return port.StreamID{RequestID: id, Attempt: 1, Owner: request.Holder{Instance: "i1", Incarnation: 7}}
 }
 
-// imported prefills and imports the prompt under an id.
-func (e engines) imported(t *testing.T, id string) {
+// importPrompt prefills the prompt and imports its KV cache into the decode engine.
+func (e engines) importPrompt(t *testing.T, id string) {
 	t.Helper()
 	ctx := context.Background()
 	result, err := e.prefill.Prefill(ctx, port.PrefillRequest{Stream: streamID(id), Prompt: prompt})
@@ -73,9 +73,9 @@
 	}))
 }
 
-// read collects tokens up to max or the end of the stream, and says whether the
-// terminator came.
-func read(t *testing.T, frames port.FrameReader, max int) (tokens []string, done bool) {
+// readTokens returns the tokens up to max or the end of the stream, and whether the
+// terminator was received.
+func readTokens(t *testing.T, frames port.FrameReader, max int) (tokens []string, done bool) {
 	t.Helper()
 	for len(tokens) < max {
 		frame, err := frames.Next()
@@ -92,44 +92,44 @@
 }
 
 func TestPrefillImportDecode(t *testing.T) {
-	e := startEngines(t, fast(stand.RolePrefill), fast(stand.RoleDecode))
-	e.imported(t, "a")
+	e := startEngines(t, fastConfig(stand.RolePrefill), fastConfig(stand.RoleDecode))
+	e.importPrompt(t, "a")
 	frames, err := e.decode.Decode(context.Background(), port.DecodeRequest{Stream: streamID("a"), MaxTokens: 64})
 	assert.NilError(t, err)
 	defer frames.Close()
-	tokens, done := read(t, frames, 1000)
+	tokens, done := readTokens(t, frames, 1000)
 	assert.Assert(t, done)
 	assert.DeepEqual(t, tokens, stand.Answer(prompt, 64))
 	assert.Equal(t, e.decodeStand.Stats().PiecesUsed, 0)
 	assert.Equal(t, e.prefillStand.Stats().PiecesUsed, 0)
 }
 
-// An instance dies or loses its connection while an answer streams. The next one
-// continues from the last token that the caller has; a token that came twice or
-// never would stand in the caller's text.
+// Guards against repeated or missing tokens in the caller's text when an instance
+// crashes or loses its connection in the middle of a stream and another one resumes
+// it after the last token delivered.
 func TestDecodeResumesAtTheNextToken(t *testing.T) {
-	e := startEngines(t, fast(stand.RolePrefill), fast(stand.RoleDecode))
-	e.imported(t, "a")
+	e := startEngines(t, fastConfig(stand.RolePrefill), fastConfig(stand.RoleDecode))
+	e.importPrompt(t, "a")
 	ctx := context.Background()
 	frames, err := e.decode.Decode(ctx, port.DecodeRequest{Stream: streamID("a"), MaxTokens: 64})
 	assert.NilError(t, err)
-	first, _ := read(t, frames, 5)
+	first, _ := readTokens(t, frames, 5)
 	assert.NilError(t, frames.Close())
 	frames, err = e.decode.Decode(ctx, port.DecodeRequest{Stream: streamID("a"), MaxTokens: 64, ResumeFrom: 5})
 	assert.NilError(t, err)
 	defer frames.Close()
-	rest, done := read(t, frames, 1000)
+	rest, done := readTokens(t, frames, 1000)
 	assert.Assert(t, done)
 	assert.DeepEqual(t, append(first, rest...), stand.Answer(prompt, 64))
 }
 
-// The decode pool is busy for longer than a KV cache lives. The import finds the
-// cache gone; the caller sees another attempt, not an error about a request that
-// ran.
+// If the decode pool is busy for longer than the TTL of a KV cache, the import finds
+// the cache expired. The verdict must be NotRun, so that the request is tried again
+// and does not fail as one that may have run.
 func TestExpiredKVIsNotRun(t *testing.T) {
-	cfg := fast(stand.RolePrefill)
+	cfg := fastConfig(stand.RolePrefill)
 	cfg.KVTTL = 1
-	e := startEngines(t, cfg, fast(stand.RoleDecode))
+	e := startEngines(t, cfg, fastConfig(stand.RoleDecode))
 	ctx := context.Background()
 	result, err := e.prefill.Prefill(ctx, port.PrefillRequest{Stream: streamID("a"), Prompt: prompt})
 	assert.NilError(t, err)
--- a/port/httpport/frames.go
+++ b/port/httpport/frames.go
@@ -13,29 +13,29 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// maxFrameBytes bounds one line of a decode stream. A token is some bytes long;
-// a line without end would otherwise fill the instance's memory.
+// maxFrameBytes limits a line of a decode stream. A token has a few bytes; without a
+// limit, an endless line would exhaust the instance's memory.
 const maxFrameBytes = 64 << 10
 
 var errNegativeSeq = errors.New("frame with a negative sequence number")
 
-// frameReader reads one JSON frame a line.
+// frameReader reads frames from a body with one JSON object per line.
 type frameReader struct {
 	lines  *bufio.Scanner
 	body   io.Closer
 	cancel context.CancelFunc
-	// broken makes a verdict of a read error.
-	broken func(error) error
+	// toVerdict converts a read error to a verdict.
+	toVerdict func(error) error
 }
 
-func newFrameReader(body io.ReadCloser, cancel context.CancelFunc, broken func(error) error) *frameReader {
+func newFrameReader(body io.ReadCloser, cancel context.CancelFunc, toVerdict func(error) error) *frameReader {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 512), maxFrameBytes)
-	return &frameReader{lines: lines, body: body, cancel: cancel, broken: broken}
+	return &frameReader{lines: lines, body: body, cancel: cancel, toVerdict: toVerdict}
 }
 
-// Next implements port.FrameReader. A broken connection is a verdict; a stream
-// that the engine ended yields io.EOF, with or without a terminator before it.
+// Next implements port.FrameReader. A broken connection returns a verdict; a stream
+// that the engine ended returns io.EOF, whether or not a terminator preceded it.
 func (f *frameReader) Next() (port.Frame, error) {
 	for f.lines.Scan() {
 		line := bytes.TrimSpace(f.lines.Bytes())
@@ -45,7 +45,7 @@
 		return decodeFrame(line)
 	}
 	if err := f.lines.Err(); err != nil {
-		return port.Frame{}, f.broken(err)
+		return port.Frame{}, f.toVerdict(err)
 	}
 	return port.Frame{}, io.EOF
 }
@@ -63,7 +63,7 @@
 		err = errNegativeSeq
 	}
 	if err != nil {
-		return port.Frame{}, verdict.Fail(verdict.HasRun, verdict.ReasonTruncated, err, "unreadable frame")
+		return port.Frame{}, verdict.Fail(verdict.HasRun, verdict.ReasonTruncated, err, "invalid frame")
 	}
 	return port.Frame(frame), nil
 }
--- a/port/httpport/frames_test.go
+++ b/port/httpport/frames_test.go
@@ -21,9 +21,9 @@
 	})
 }
 
-// An upstream goes wrong and sends bytes that are no frames, or a line without
-// end. The reader must end the stream with a verdict; a panic or a buffer that
-// grows without bound would take every other caller of the instance along.
+// A faulty upstream sends malformed frames or an endless line. The reader must end
+// the stream with a verdict: a panic or an unbounded buffer would crash the instance
+// and so affect all of its callers.
 func FuzzFrames(f *testing.F) {
 	f.Add([]byte(`{"request_id":"a","attempt":1,"seq":0,"token":"x"}` + "\n" + `{"request_id":"a","attempt":1,"seq":1,"done":true,"finish_reason":"stop"}` + "\n"))
 	f.Add([]byte("\n\n{}\n"))
@@ -48,19 +48,19 @@
 	})
 }
 
-// An upstream sends a line that never ends. The reader gives up at its bound.
-func TestEndlessLineIsBroken(t *testing.T) {
+// A line longer than maxFrameBytes must end the stream with an error.
+func TestOverlongLineIsError(t *testing.T) {
 	_, err := readerOf(bytes.Repeat([]byte("x"), maxFrameBytes+1)).Next()
 	assert.Equal(t, verdict.From(err).Reason, verdict.ReasonUpstreamCrashed)
 }
 
-// checkRoundTrip writes a frame that was read and reads it again.
+// checkRoundTrip encodes a frame and checks that reading it back yields the same frame.
 func checkRoundTrip(t *testing.T, frame port.Frame) {
 	t.Helper()
 	data, err := json.Marshal(wire.Frame(frame))
 	assert.NilError(t, err)
 	if len(data) > maxFrameBytes/2 {
-		return // Escapes may make the line longer than it came.
+		return // Escaping may make the line longer than the original.
 	}
 	again, err := readerOf(append(data, '\n')).Next()
 	assert.NilError(t, err)
--- a/port/httpport/helpers_test.go
+++ b/port/httpport/helpers_test.go
@@ -10,7 +10,7 @@
 
 type httpHandler = http.Handler
 
-// waitFor waits for a condition that will come about.
+// waitFor polls until the condition holds and fails the test after 10 s.
 func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
--- a/port/httpport/plain.go
+++ b/port/httpport/plain.go
@@ -16,16 +16,16 @@
 
 type plainService struct{ remote }
 
-// NewPlainService returns the plain service at address (IP:port). A nil client
-// means a shared one with the settings of NewClient.
+// NewPlainService returns the plain service at address (IP:port). If client is nil,
+// a shared client with the settings of NewClient is used.
 func NewPlainService(address string, client *http.Client) port.PlainService {
 	return plainService{newRemote(address, client)}
 }
 
-// Call implements port.PlainService. Any status is an answer, but for a 503
-// whose body says that nothing ran.
+// Call implements port.PlainService. Every status is returned as a response, except
+// a 503 whose body says that nothing ran, which is an error.
 func (p plainService) Call(ctx context.Context, req port.ServiceRequest) (*port.ServiceResponse, error) {
-	httpReq, err := p.build(ctx, req)
+	httpReq, err := p.buildRequest(ctx, req)
 	if err != nil {
 		return nil, err
 	}
@@ -40,25 +40,25 @@
 			body.Close()
 			return nil, v
 		}
-		body = rejoined{io.MultiReader(bytes.NewReader(head), resp.Body), resp.Body}
+		body = prefixedBody{io.MultiReader(bytes.NewReader(head), resp.Body), resp.Body}
 	}
-	return &port.ServiceResponse{Status: resp.StatusCode, Header: resp.Header, Body: wholeBody{body}}, nil
+	return &port.ServiceResponse{Status: resp.StatusCode, Header: resp.Header, Body: checkedBody{body}}, nil
 }
 
-// build makes the call afresh from its named fields, so that nothing else of the
-// caller's request, its key least of all, reaches the upstream.
+// buildRequest creates the HTTP request from the fields of req only, so that nothing else
+// of the caller's request, in particular its API key, reaches the upstream.
 //
-// net/http sends a request a second time by itself when a kept-alive connection
-// breaks before the answer, if it takes the request for idempotent: a GET, or any
-// method with an Idempotency-Key header. A booking would then run twice without a
-// trace in this program. Two things prevent it: the header's map key is written
-// in lower case, which net/http does not recognise (header names are
-// case-insensitive on the wire), and every body is one that cannot be rewound.
-func (p plainService) build(ctx context.Context, req port.ServiceRequest) (*http.Request, error) {
+// If a kept-alive connection breaks before the response, net/http silently resends
+// requests that it considers idempotent: a GET, or any method with an
+// Idempotency-Key header. A booking would then run twice unnoticed by this program.
+// Two measures prevent it: the header's map key is written in lower case, which
+// net/http does not recognise (header names are case-insensitive on the wire), and
+// no body can be rewound.
+func (p plainService) buildRequest(ctx context.Context, req port.ServiceRequest) (*http.Request, error) {
 	target := url.URL{Scheme: "http", Host: p.address, Path: "/" + strings.TrimPrefix(req.Path, "/"), RawQuery: req.RawQuery}
 	httpReq, err := http.NewRequestWithContext(ctx, req.Method, target.String(), nil)
 	if err != nil {
-		return nil, verdict.Fail(verdict.NotRun, verdict.ReasonBadRequest, err, "building a call")
+		return nil, verdict.Fail(verdict.NotRun, verdict.ReasonBadRequest, err, "building request")
 	}
 	if len(req.Body) > 0 || isSafe(req.Method) {
 		httpReq.Body = io.NopCloser(bytes.NewReader(req.Body))
@@ -74,8 +74,9 @@
 	return httpReq, nil
 }
 
-// isSafe reports the methods that net/http repeats even without a body. Methods
-// outside it would send an empty body in chunked form, which some servers refuse.
+// isSafe reports whether net/http resends requests of this method when they have no
+// body. They get an empty body that cannot be rewound. Other methods do not, because
+// they would send it in chunked encoding, which some servers refuse.
 func isSafe(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
@@ -91,17 +92,17 @@
 	}
 }
 
-// rejoined reads what was already taken from a body, then the rest of it.
-type rejoined struct {
+// prefixedBody returns the bytes already read from a body, followed by the rest.
+type prefixedBody struct {
 	io.Reader
 	io.Closer
 }
 
-// wholeBody reports every early end as io.ErrUnexpectedEOF, a reset connection
-// included, so that the reader needs to know one error only.
-type wholeBody struct{ io.ReadCloser }
+// checkedBody reports any truncation, including a connection reset, as
+// io.ErrUnexpectedEOF, so that readers only need to handle one error.
+type checkedBody struct{ io.ReadCloser }
 
-func (b wholeBody) Read(p []byte) (int, error) {
+func (b checkedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
--- a/port/httpport/platform.go
+++ b/port/httpport/platform.go
@@ -14,8 +14,8 @@
 
 type logService struct{ remote }
 
-// NewLog returns the log service at address (IP:port). Its failures carry
-// verdict.ReasonLogUnavailable; Ran tells whether entries may have been appended.
+// NewLog returns the log service at address (IP:port). Its errors have the reason
+// verdict.ReasonLogUnavailable; Ran says whether entries may have been appended.
 func NewLog(address string, client *http.Client) port.Log {
 	return logService{newRemote(address, client)}
 }
@@ -51,8 +51,8 @@
 	return "/v1/streams/" + url.PathEscape(stream) + "/records"
 }
 
-// logVerdict names the log in a failure, whatever the way it failed; a cancelled
-// caller keeps its own reason.
+// logVerdict sets the reason of an error to ReasonLogUnavailable, whatever the
+// cause. A cancelled call keeps its reason.
 func logVerdict(err error) error {
 	v := verdict.From(err)
 	if v == nil {
@@ -68,7 +68,7 @@
 
 type instanceList struct{ remote }
 
-// NewInstanceList returns the platform's list at address (IP:port).
+// NewInstanceList returns the platform's instance list at address (IP:port).
 func NewInstanceList(address string, client *http.Client) port.InstanceList {
 	return instanceList{newRemote(address, client)}
 }
--- a/port/httpport/platform_test.go
+++ b/port/httpport/platform_test.go
@@ -18,8 +18,8 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// fault switches faults at a stand-in.
-func fault(t *testing.T, address, faults string) {
+// setFaults sets the faults of a simulator.
+func setFaults(t *testing.T, address, faults string) {
 	t.Helper()
 	resp, err := http.Post("http://"+address+"/faults", "application/json", strings.NewReader(faults))
 	assert.NilError(t, err)
@@ -27,7 +27,7 @@
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 }
 
-func TestPlainCallIsBuiltFromNamedFields(t *testing.T) {
+func TestPlainCallForwardsNamedFields(t *testing.T) {
 	plain := stand.NewPlain(stand.PlainConfig{})
 	service := httpport.NewPlainService(serve(t, plain), nil)
 	resp, err := service.Call(context.Background(), port.ServiceRequest{
@@ -45,9 +45,9 @@
 	assert.Equal(t, stats.ByCall[stand.CallKey("POST", "/bookings/7", "leaf=3", []byte(`{"n":1}`))], 1)
 }
 
-// A kept-alive connection breaks after a booking was sent and before its answer.
-// net/http takes a request with an idempotency key for one that may be sent again
-// and does so by itself: the leaf would be booked twice, and nobody told.
+// Guards against a duplicate booking when a kept-alive connection breaks between
+// request and response: net/http silently resends requests that have an
+// Idempotency-Key header.
 func TestPlainCallIsSentOnce(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodDelete} {
 		t.Run(method, func(t *testing.T) {
@@ -55,12 +55,12 @@
 			address := serve(t, plain)
 			service := httpport.NewPlainService(address, httpport.NewClient())
 			call := port.ServiceRequest{RequestID: "r1", IdempotencyKey: "k1", Method: method, Path: "/bookings"}
-			// A first call leaves a connection that the second one uses again.
+			// The first call leaves an idle connection, which the second call reuses.
 			resp, err := service.Call(context.Background(), call)
 			assert.NilError(t, err)
 			_, _ = io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
-			fault(t, address, `{"lose_answers": 1}`)
+			setFaults(t, address, `{"lose_answers": 1}`)
 			_, err = service.Call(context.Background(), call)
 			checkVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUpstreamCrashed)
 			assert.Equal(t, plain.Stats().ByIdempotencyKey["k1"], 2)
@@ -75,18 +75,18 @@
 	call := port.ServiceRequest{Method: http.MethodPost, Path: "/swap"}
 	ctx := context.Background()
 
-	fault(t, address, `{"refuse": true}`)
+	setFaults(t, address, `{"refuse": true}`)
 	_, err := service.Call(ctx, call)
 	checkVerdict(t, err, verdict.NotRun, verdict.ReasonUpstreamRefused)
 
-	fault(t, address, `{"down": true}`)
+	setFaults(t, address, `{"down": true}`)
 	_, err = service.Call(ctx, call)
 	checkVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUpstreamCrashed)
 
-	_, err = httpport.NewPlainService(deadAddress(t), nil).Call(ctx, call)
+	_, err = httpport.NewPlainService(unusedAddress(t), nil).Call(ctx, call)
 	checkVerdict(t, err, verdict.NotRun, verdict.ReasonUpstreamUnreachable)
 
-	fault(t, address, `{"freeze": true}`)
+	setFaults(t, address, `{"freeze": true}`)
 	gone, cancel := context.WithCancel(ctx)
 	go func() {
 		waitFor(t, func() bool { return len(plain.Stats().Seen) == 3 })
@@ -97,8 +97,8 @@
 	assert.Equal(t, plain.Stats().Runs, 0)
 }
 
-// deadAddress is one where nobody listens any more.
-func deadAddress(t *testing.T) string {
+// unusedAddress returns an address without a listener.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -106,8 +106,8 @@
 	return listener.Addr().String()
 }
 
-// The log appends a record and its answer is lost. A writer that took this for
-// "nothing happened" would append a second intent, and a booking could run twice.
+// The log appends a record but its response is lost. If the verdict were NotRun, the
+// writer would append a second intent, and a booking could run twice.
 func TestLostAppendMayHaveRun(t *testing.T) {
 	log := stand.NewLog(stand.LogConfig{})
 	address := serve(t, log)
@@ -117,7 +117,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, first, uint64(1))
 
-	fault(t, address, `{"lose_answers": 1}`)
+	setFaults(t, address, `{"lose_answers": 1}`)
 	_, err = client.Append(ctx, "once/0", port.Entry{ID: "c"})
 	checkVerdict(t, err, verdict.MayHaveRun, verdict.ReasonLogUnavailable)
 	page, err := client.Read(ctx, "once/0", 2, 10, 0)
@@ -126,12 +126,12 @@
 	assert.Equal(t, len(page.Records), 2)
 	assert.Equal(t, page.Records[1].ID, "c")
 
-	fault(t, address, `{"refuse": true}`)
+	setFaults(t, address, `{"refuse": true}`)
 	_, err = client.Append(ctx, "once/0", port.Entry{ID: "d"})
 	checkVerdict(t, err, verdict.NotRun, verdict.ReasonLogUnavailable)
 }
 
-func TestLogReadWaitsForARecord(t *testing.T) {
+func TestLogReadWaitsForRecord(t *testing.T) {
 	log := stand.NewLog(stand.LogConfig{})
 	client := httpport.NewLog(serve(t, log), nil)
 	ctx := context.Background()
@@ -147,7 +147,7 @@
 	assert.Equal(t, len(page.Records), 1)
 }
 
-func TestLogForgetsAfterRetention(t *testing.T) {
+func TestLogDropsRecordsAfterRetention(t *testing.T) {
 	log := stand.NewLog(stand.LogConfig{Retention: time.Millisecond})
 	client := httpport.NewLog(serve(t, log), nil)
 	ctx := context.Background()
--- a/port/httpport/slope_bench_test.go
+++ b/port/httpport/slope_bench_test.go
@@ -18,25 +18,25 @@
 	"github.com/cairnworks/cairnworks/stand"
 )
 
-// pollConn counts the bytes of HTTP on a connection, without headers of IP and TCP.
-type pollConn struct {
+// countingConn counts the HTTP bytes on a connection, without IP and TCP headers.
+type countingConn struct {
 	net.Conn
 	sent, received *atomic.Int64
 }
 
-func (c pollConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.received.Add(int64(n))
 	return n, err
 }
 
-func (c pollConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.sent.Add(int64(n))
 	return n, err
 }
 
-// benchPoll reports what one call sends and receives.
+// benchPoll measures a call and reports the bytes that it sends and receives.
 func benchPoll(b *testing.B, handler http.Handler, poll func(address string, client *http.Client) error) {
 	b.Helper()
 	server := httptest.NewServer(handler)
@@ -45,7 +45,7 @@
 	client := httpport.NewClient()
 	client.Transport.(*http.Transport).DialContext = func(_ context.Context, network, address string) (net.Conn, error) {
 		conn, err := net.Dial(network, address)
-		return pollConn{conn, &sent, &received}, err
+		return countingConn{conn, &sent, &received}, err
 	}
 	address := server.Listener.Addr().String()
 	assert.NilError(b, poll(address, client))
@@ -58,7 +58,7 @@
 	b.ReportMetric(float64(received.Load()-in)/float64(n), "received-B")
 }
 
-// BenchmarkLogPoll is a long poll of a stream that has nothing new.
+// BenchmarkLogPoll measures a long poll of a stream without new records.
 func BenchmarkLogPoll(b *testing.B) {
 	for _, stream := range []string{"config", "rate", "once-12"} {
 		b.Run(stream, func(b *testing.B) {
@@ -72,7 +72,7 @@
 	}
 }
 
-// BenchmarkListPoll is one read of the platform's list by the number of entries.
+// BenchmarkListPoll measures a read of the instance list by its number of entries.
 func BenchmarkListPoll(b *testing.B) {
 	for _, entries := range []int{9, 100, 400, 600} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
@@ -89,13 +89,13 @@
 	}
 }
 
-// BenchmarkEnginePoll is one round of a scheduler's questions to an engine (load,
-// streams and for a prefill engine cache events) by the streams that it holds, or by
-// the events since the last round.
+// BenchmarkEnginePoll measures one polling round of a scheduler to an engine (load,
+// streams and, for a prefill engine, cache events) by the number of streams that the
+// engine holds, or by the number of events since the previous round.
 func BenchmarkEnginePoll(b *testing.B) {
 	for _, streams := range []int{0, 10, 20} {
 		b.Run(fmt.Sprintf("decode/streams=%d", streams), func(b *testing.B) {
-			benchPoll(b, pollEngine(streams, 0), func(address string, client *http.Client) error {
+			benchPoll(b, engineStub(streams, 0), func(address string, client *http.Client) error {
 				engine := httpport.NewEngine(address, client)
 				if _, err := engine.Load(context.Background()); err != nil {
 					return err
@@ -107,7 +107,7 @@
 	}
 	for _, events := range []int{0, 10, 20} {
 		b.Run(fmt.Sprintf("cache/events=%d", events), func(b *testing.B) {
-			benchPoll(b, pollEngine(0, events), func(address string, client *http.Client) error {
+			benchPoll(b, engineStub(0, events), func(address string, client *http.Client) error {
 				_, err := httpport.NewEngine(address, client).CacheEvents(context.Background(), 12345)
 				return err
 			})
@@ -115,8 +115,9 @@
 	}
 }
 
-// pollEngine answers polls with names of the length that a large fleet needs.
-func pollEngine(streams, events int) http.Handler {
+// engineStub returns an engine that answers polls with names as long as those of a
+// large fleet.
+func engineStub(streams, events int) http.Handler {
 	held, stored := []wire.StreamState{}, []wire.CacheEvent{}
 	for n := range streams {
 		held = append(held, wire.StreamState{Phase: "decoding", Pieces: 4, Stream: wire.Stream{
--- a/port/httpport/wire/wire.go
+++ b/port/httpport/wire/wire.go
@@ -1,7 +1,7 @@
-// Package wire holds the JSON messages between an instance and the systems
-// outside the project. The adapters in port/httpport and the stand-ins in package
-// stand share them, so that both sides speak one protocol; docs/PROTOCOLS.md
-// states it for other implementers.
+// Package wire defines the JSON messages exchanged with external systems. They are
+// shared by the adapters in port/httpport and the simulators in package stand, so that
+// both sides use the same protocol. docs/PROTOCOLS.md specifies it for other
+// implementations.
 package wire
 
 import (
@@ -15,15 +15,15 @@
 const (
 	HeaderRequestID    = "X-Request-Id"
 	HeaderOrganisation = "X-Organisation"
-	// HeaderIdempotencyKey is written in lower case on purpose, see
-	// httpport.plainService.
+	// HeaderIdempotencyKey is in lower case so that net/http does not treat requests
+	// with it as idempotent and resend them; see httpport.plainService.
 	HeaderIdempotencyKey = "idempotency-key"
 )
 
-// FramesContentType is the media type of a decode stream: one JSON frame a line.
+// FramesContentType is the media type of a decode stream: one JSON frame per line.
 const FramesContentType = "application/x-ndjson"
 
-// Codes of refusals that an adapter tells apart. Others read as a plain refusal.
+// Error codes. Adapters treat unknown codes as an ordinary refusal.
 const (
 	CodeKVExpired       = "kv_expired"
 	CodeKVUnreachable   = "kv_unreachable"
@@ -40,8 +40,8 @@
 	CodeUnknownResource = "not_found"
 )
 
-// Error is the body of every refusal. Ran is "not_run" only when the refusing
-// side has begun nothing of the request.
+// Error describes a refused call. Ran is "not_run" only if the refusing side has not
+// started any part of the request.
 type Error struct {
 	Code         string `json:"code"`
 	Message      string `json:"message"`
@@ -49,12 +49,12 @@
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// ErrorBody wraps Error.
+// ErrorBody is the body of an error response.
 type ErrorBody struct {
 	Error Error `json:"error"`
 }
 
-// Stream is port.StreamID with its owner written flat.
+// Stream is port.StreamID with the owner's fields inlined.
 type Stream struct {
 	RequestID   string `json:"request_id"`
 	Attempt     uint32 `json:"attempt"`
@@ -63,7 +63,7 @@
 	Address     string `json:"address,omitempty"`
 }
 
-// FromStream returns the wire form of id.
+// FromStream converts id to its wire form.
 func FromStream(id port.StreamID) Stream {
 	return Stream{
 		RequestID: id.RequestID, Attempt: id.Attempt,
@@ -71,7 +71,7 @@
 	}
 }
 
-// ID returns the port form of s.
+// ID converts s to a port.StreamID.
 func (s Stream) ID() port.StreamID {
 	owner := request.Holder{Instance: s.Instance, Incarnation: s.Incarnation, Address: s.Address}
 	return port.StreamID{RequestID: s.RequestID, Attempt: s.Attempt, Owner: owner}
@@ -82,12 +82,12 @@
 	Stream
 	Model  string `json:"model"`
 	Prompt string `json:"prompt"`
-	// Generated are tokens that follow the prompt in the cache.
+	// Generated holds tokens that follow the prompt in the cache.
 	Generated []string `json:"generated,omitempty"`
 	Priority  int      `json:"priority"`
 }
 
-// PrefillResult answers POST /v1/prefill.
+// PrefillResult is the response of POST /v1/prefill.
 type PrefillResult struct {
 	Handle       string `json:"handle"`
 	Tokens       int    `json:"tokens"`
@@ -96,17 +96,17 @@
 	Bytes        int64  `json:"bytes"`
 }
 
-// KV describes a KV cache that waits on a prefill engine: GET /v1/kv/{handle}
-// reads it, DELETE takes it.
+// KV describes a KV cache held by a prefill engine. GET /v1/kv/{handle} returns it,
+// DELETE also removes the cache from the engine.
 type KV struct {
 	Model  string `json:"model"`
 	Tokens int    `json:"tokens"`
-	// Generated of the tokens follow the prompt.
+	// Generated is how many of the tokens follow the prompt.
 	Generated int   `json:"generated,omitempty"`
 	Bytes     int64 `json:"bytes"`
-	// PromptHash stands for the content of the cache.
+	// PromptHash represents the content of the cache.
 	PromptHash string `json:"prompt_hash"`
-	// Sample is the first and last 512 bytes of the prompt.
+	// Sample holds the first and last 512 bytes of the prompt.
 	Sample string `json:"sample"`
 }
 
@@ -145,7 +145,7 @@
 	Pieces int    `json:"pieces"`
 }
 
-// Load answers GET /v1/load; the fields are those of port.Load.
+// Load is the response of GET /v1/load; the fields are those of port.Load.
 type Load struct {
 	Role       string `json:"role"`
 	Running    int    `json:"running"`
@@ -153,7 +153,7 @@
 	PiecesUsed int    `json:"pieces_used"`
 	Pieces     int    `json:"pieces"`
 	Queued     int    `json:"queued"`
-	// Loaded is left out by engines that do not tell what they hold.
+	// Loaded is omitted by engines that do not report what they have loaded.
 	Loaded  []string `json:"loaded,omitempty"`
 	Leaving bool     `json:"leaving"`
 	Start   string   `json:"start"`
@@ -185,12 +185,12 @@
 	Entries []Entry `json:"entries"`
 }
 
-// AppendResult answers it.
+// AppendResult is the response of POST /v1/streams/{stream}/records.
 type AppendResult struct {
 	First uint64 `json:"first"`
 }
 
-// Record is one entry of a page; the fields are those of port.Record.
+// Record is an entry of a Page; the fields are those of port.Record.
 type Record struct {
 	Offset   uint64    `json:"offset"`
 	ID       string    `json:"id"`
@@ -198,14 +198,14 @@
 	Appended time.Time `json:"appended"`
 }
 
-// Page answers GET /v1/streams/{stream}/records.
+// Page is the response of GET /v1/streams/{stream}/records.
 type Page struct {
 	Records []Record `json:"records"`
 	First   uint64   `json:"first"`
 	Next    uint64   `json:"next"`
 }
 
-// Listed is one entry of the instance list; the fields are those of
+// Listed is an entry of the instance list; the fields are those of
 // port.ListedInstance.
 type Listed struct {
 	Name       string `json:"name"`
@@ -214,7 +214,7 @@
 	Leaving    bool   `json:"leaving"`
 }
 
-// Weights answers GET /v1/weights/{model}.
+// Weights is the response of GET /v1/weights/{model}.
 type Weights struct {
 	Bytes int64 `json:"bytes"`
 }
