--- a/httpconn/conn.go
+++ b/httpconn/conn.go
@@ -9,27 +9,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is one connection to an upstream. It carries one exchange at a time.
+// conn is a connection to an upstream. It carries one exchange at a time.
 type conn struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// idleUntil is when the connection must no longer be used, as told by the
-	// upstream or by the pool's own limit.
+	// idleUntil is the time after which the idle connection must not be used, from
+	// the upstream's Keep-Alive header or DefaultIdle.
 	idleUntil time.Time
 	idleSince time.Time
 }
 
-// readBuffer is the size of a connection's read buffer in bytes. Answers of plain
-// services are about a kilobyte, events some hundred bytes; a larger buffer costs
-// memory on each of hundreds of connections.
+// readBuffer is the size of a connection's read buffer in bytes. Responses of plain
+// services have about a kilobyte and events a few hundred bytes; a larger buffer
+// costs memory on each of hundreds of connections.
 const readBuffer = 4096
 
-// sound reports whether an idle connection can carry another request: nothing
-// waits to be read on it. Bytes that wait are the end of the connection or a
-// second answer to an earlier request, which would be taken for the answer to the
-// next one.
-func (c *conn) sound() bool {
+// reusable reports whether an idle connection can carry another request, which is the
+// case if nothing can be read from it. Readable data is either the end of the
+// connection or a second response to an earlier request, which would be taken for the
+// response to the next one.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -41,12 +41,12 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		silent = err == unix.EAGAIN || err == unix.EINTR
+		noData = err == unix.EAGAIN || err == unix.EINTR
 		return true
 	})
-	return err == nil && silent
+	return err == nil && noData
 }
--- a/httpconn/exchange.go
+++ b/httpconn/exchange.go
@@ -12,38 +12,38 @@
 	"time"
 )
 
-// Request is one message to an upstream. Its headers are sent as they are, without
-// any of our own but the length of the body.
+// Request is a request to an upstream. Its headers are sent unchanged; only Host and
+// Content-Length are added.
 type Request struct {
 	Method string
-	// Target is the request target as it stands on the request line.
+	// Target is the request target, as written on the request line.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MaxIdle is the longest that a kept connection may have been idle to carry the
-	// request; 0 means any that is kept. The longer one was idle, the likelier it is
-	// that the upstream drops it as the request arrives.
+	// MaxIdle is the maximum time that a reused connection may have been idle; 0 means
+	// no limit beyond the pool's. The longer a connection was idle, the more likely the
+	// upstream closes it just as the request arrives.
 	MaxIdle time.Duration
-	// MatchResponse tells whether an answer belongs to the request; nil accepts all. Others
-	// are skipped: an upstream that answers an earlier request twice leaves its
-	// second answer where the next one is expected.
+	// MatchResponse reports whether a response belongs to the request; nil accepts all.
+	// Responses that do not match are skipped: if an upstream responds twice to an
+	// earlier request, the second response precedes the expected one.
 	MatchResponse func(http.Header) bool
 }
 
-// Response is an upstream's answer. Body must be closed; a body that ends early
-// yields an error other than io.EOF.
+// Response is an upstream's response. Body must be closed by the caller; reading a
+// truncated body returns an error other than io.EOF.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// Length is the body's length, or -1 when it is not known beforehand.
+	// Length is the length of the body, or -1 if it is not known in advance.
 	Length int64
 }
 
 // Error is a failed exchange.
 type Error struct {
-	// Sent tells whether a byte of the request may have reached the upstream.
+	// Sent is set if any byte of the request may have reached the upstream.
 	Sent bool
 	Err  error
 }
@@ -51,16 +51,16 @@
 // Error implements error.
 func (e *Error) Error() string {
 	if e.Sent {
-		return fmt.Sprintf("after sending: %v", e.Err)
+		return fmt.Sprintf("request may have been sent: %v", e.Err)
 	}
-	return fmt.Sprintf("before sending: %v", e.Err)
+	return fmt.Sprintf("request not sent: %v", e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Sent tells whether the request of a failed exchange may have reached the
-// upstream. Errors of other kinds count as sent.
+// Sent reports whether the request of a failed exchange may have reached the
+// upstream. It returns true for errors of other types.
 func Sent(err error) bool {
 	var e *Error
 	if errors.As(err, &e) {
@@ -69,19 +69,19 @@
 	return true
 }
 
-// maxForeign is how many answers to other requests are skipped before a
-// connection is given up.
-const maxForeign = 2
+// maxMismatched is how many responses to other requests are skipped before the
+// connection is closed.
+const maxMismatched = 2
 
-// largeBody is the size in bytes above which a body is written beside reading the
-// answer: an upstream may answer before it has read everything, and both sides
-// would wait for one another once their buffers are full.
+// largeBody is the size in bytes above which a body is written concurrently with
+// reading the response. An upstream may respond before it has read the whole body;
+// both sides would then deadlock once their buffers are full.
 const largeBody = 32 << 10
 
-var errForeign = errors.New("answers to other requests on the connection")
+var errMismatched = errors.New("connection carries responses to other requests")
 
-// Do sends a request and returns the answer once its headers are read. It is sent
-// at most once. Ending ctx closes the connection, also while the body is read.
+// Do sends a request at most once and returns the response once its headers have
+// been read. Cancelling ctx closes the connection, also while the body is being read.
 func (p *Pool) Do(ctx context.Context, address string, r *Request) (*Response, error) {
 	maxIdle := r.MaxIdle
 	if maxIdle == 0 {
@@ -110,12 +110,12 @@
 	return resp, nil
 }
 
-// encode returns the message, the body included when it is small.
+// encode returns the encoded request, including the body if it is small.
 func encode(r *Request) ([]byte, error) {
 	var b bytes.Buffer
 	b.Grow(1024 + min(len(r.Body), largeBody))
 	if strings.ContainsAny(r.Target, " \r\n") || strings.ContainsAny(r.Host, " \r\n") {
-		return nil, errors.New("request target or host with white space")
+		return nil, errors.New("request target or host contains white space")
 	}
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
@@ -131,17 +131,17 @@
 	return b.Bytes(), nil
 }
 
-// exchange is one request and its answer on one connection.
+// exchange is a request and its response on a connection.
 type exchange struct {
 	pool *Pool
 	conn *conn
 	stop func() bool
-	// written receives the outcome of writing the request.
+	// written receives the result of writing the request.
 	written chan error
 }
 
-// write sends the message. An error here is not the exchange's end: the upstream
-// may have answered and closed before it had read the body.
+// write sends the request. An error does not end the exchange, because the upstream
+// may have responded and closed the connection before reading the whole body.
 func (x *exchange) write(head, body []byte) {
 	if len(body) <= largeBody {
 		_, err := x.conn.Write(head)
@@ -157,9 +157,9 @@
 	}()
 }
 
-// read returns the first answer that belongs to the request.
+// read returns the first response that belongs to the request.
 func (x *exchange) read(r *Request) (*Response, error) {
-	for foreign := 0; ; {
+	for mismatched := 0; ; {
 		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
@@ -170,8 +170,8 @@
 		if r.MatchResponse == nil || r.MatchResponse(resp.Header) {
 			return x.response(resp), nil
 		}
-		if foreign++; foreign > maxForeign || resp.ContentLength < 0 {
-			return nil, errForeign
+		if mismatched++; mismatched > maxMismatched || resp.ContentLength < 0 {
+			return nil, errMismatched
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
@@ -183,11 +183,12 @@
 	idle := idleTime(resp)
 	return &Response{
 		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength,
-		Body: &body{exchange: x, from: resp.Body, idle: idle},
+		Body: &body{exchange: x, src: resp.Body, idle: idle},
 	}
 }
 
-// idleTime is how long the connection may be kept after the answer; 0 means not.
+// idleTime returns how long the connection may be idle after the response; 0 means
+// that it must not be reused.
 func idleTime(resp *http.Response) time.Duration {
 	if resp.Close {
 		return 0
@@ -208,8 +209,9 @@
 	_ = x.conn.Close()
 }
 
-// finish keeps the connection if the whole request was read by the upstream.
-func (x *exchange) finish(idle time.Duration) {
+// release returns the connection to the pool if it may be reused and the whole request
+// has been written, and closes it otherwise.
+func (x *exchange) release(idle time.Duration) {
 	if !x.stop() || idle <= 0 {
 		_ = x.conn.Close()
 		return
@@ -221,16 +223,16 @@
 			return
 		}
 	default:
-		// The upstream answered before it read the whole body. What it would read
-		// next on this connection is the rest of it.
+		// The upstream responded before it read the whole body. It would take the next
+		// request on this connection for the rest of that body.
 	}
 	_ = x.conn.Close()
 }
 
-// body is an answer's body that gives its connection back at its end.
+// body is a response body that returns its connection to the pool at the end.
 type body struct {
 	exchange *exchange
-	from     io.ReadCloser
+	src      io.ReadCloser
 	idle     time.Duration
 	done     bool
 }
@@ -240,16 +242,16 @@
 	if b.done {
 		return 0, io.EOF
 	}
-	n, err := b.from.Read(to)
+	n, err := b.src.Read(to)
 	if err == io.EOF {
 		b.done = true
-		b.exchange.finish(b.idle)
+		b.exchange.release(b.idle)
 	}
 	return n, err
 }
 
-// Close ends the exchange; before the end of the body it closes the connection,
-// which tells the upstream to stop.
+// Close ends the exchange. If the body has not been read to the end, it closes the
+// connection, which tells the upstream to stop.
 func (b *body) Close() error {
 	if !b.done {
 		b.done = true
--- a/httpconn/httpconn_test.go
+++ b/httpconn/httpconn_test.go
@@ -15,7 +15,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// serve answers each connection with a function and counts the requests it reads.
+// serve starts a server that calls handle for each request with its number, counted
+// over all connections, and returns its address and the request count.
 func serve(t *testing.T, handle func(c net.Conn, r *bufio.Reader, n int32)) (string, *atomic.Int32) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -48,18 +49,18 @@
 	return listener.Addr().String(), &requests
 }
 
-func get(id string) *Request {
+func newGet(id string) *Request {
 	return &Request{
 		Method: http.MethodGet, Target: "/x", Host: "h", Header: http.Header{"X-Id": {id}},
 		MatchResponse: func(h http.Header) bool { return h.Get("X-Id") == "" || h.Get("X-Id") == id },
 	}
 }
 
-func reply(c net.Conn, id, body string) {
+func writeResponse(c net.Conn, id, body string) {
 	_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Id: "+id+"\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 }
 
-func read(t *testing.T, resp *Response) string {
+func readBody(t *testing.T, resp *Response) string {
 	t.Helper()
 	data, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
@@ -67,82 +68,85 @@
 	return string(data)
 }
 
-// An upstream reads a request on a kept connection and closes it without an answer,
-// as one that crashes does. Sent once more by itself, a booking would be made twice.
-func TestNothingIsSentTwice(t *testing.T) {
+// Guards against duplicate execution when an upstream crashes after reading a request
+// on a reused connection, and closes it without a response: if the pool resent the
+// request, a booking would be made twice.
+func TestRequestIsNotResent(t *testing.T) {
 	address, requests := serve(t, func(c net.Conn, _ *bufio.Reader, n int32) {
 		if n == 2 {
 			_ = c.Close()
 			return
 		}
-		reply(c, "1", "ok")
+		writeResponse(c, "1", "ok")
 	})
 	pool := NewPool()
-	resp, err := pool.Do(t.Context(), address, get("1"))
+	resp, err := pool.Do(t.Context(), address, newGet("1"))
 	assert.NilError(t, err)
-	assert.Equal(t, read(t, resp), "ok")
-	_, err = pool.Do(t.Context(), address, get("1"))
+	assert.Equal(t, readBody(t, resp), "ok")
+	_, err = pool.Do(t.Context(), address, newGet("1"))
 	assert.Assert(t, err != nil)
 	assert.Assert(t, Sent(err))
 	assert.Equal(t, requests.Load(), int32(2))
 	assert.Equal(t, pool.Opened(), uint64(1))
 }
 
-// Nobody listens at the address. The request cannot have run, so that another
-// upstream may be asked even where a call must not be repeated.
+// If nothing listens at the address, the request cannot have run. The error must say
+// so, because another upstream may then be tried even for calls that must not be
+// repeated.
 func TestRefusedConnectionSentNothing(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	_, err = NewPool().Do(t.Context(), address, get("1"))
+	_, err = NewPool().Do(t.Context(), address, newGet("1"))
 	assert.Assert(t, err != nil)
 	assert.Assert(t, !Sent(err))
 	assert.Assert(t, Sent(errors.New("another error")))
 }
 
-// An upstream answers a request twice. Taken for the answer to the next request on
-// the connection, the second one would reach another caller.
-func TestSecondAnswerReachesNobody(t *testing.T) {
+// Guards against delivering a response to the wrong caller: if an upstream responds
+// twice to a request, the second response must not be taken for the response to the
+// next request on the connection.
+func TestDuplicateResponseIsDiscarded(t *testing.T) {
 	address, _ := serve(t, func(c net.Conn, _ *bufio.Reader, n int32) {
 		if n == 1 {
-			reply(c, "1", "one")
-			reply(c, "1", "one")
+			writeResponse(c, "1", "one")
+			writeResponse(c, "1", "one")
 			return
 		}
-		reply(c, "2", "two")
+		writeResponse(c, "2", "two")
 	})
 	pool := NewPool()
-	resp, err := pool.Do(t.Context(), address, get("1"))
+	resp, err := pool.Do(t.Context(), address, newGet("1"))
 	assert.NilError(t, err)
-	assert.Equal(t, read(t, resp), "one")
-	resp, err = pool.Do(t.Context(), address, get("2"))
+	assert.Equal(t, readBody(t, resp), "one")
+	resp, err = pool.Do(t.Context(), address, newGet("2"))
 	assert.NilError(t, err)
-	assert.Equal(t, read(t, resp), "two")
+	assert.Equal(t, readBody(t, resp), "two")
 }
 
-// The second answer comes late, when the next request has been sent already. It is
-// told apart by the id that upstreams echo.
-func TestLateAnswerIsSkipped(t *testing.T) {
+// Guards against the same fault if the second response arrives after the next request
+// was sent. It is recognised by the id that upstreams echo.
+func TestLateDuplicateResponseIsSkipped(t *testing.T) {
 	address, _ := serve(t, func(c net.Conn, _ *bufio.Reader, n int32) {
 		if n == 2 {
-			reply(c, "1", "one")
+			writeResponse(c, "1", "one")
 		}
-		reply(c, strconv.Itoa(int(n)), "own")
+		writeResponse(c, strconv.Itoa(int(n)), "own")
 	})
 	pool := NewPool()
 	for _, id := range []string{"1", "2"} {
-		resp, err := pool.Do(t.Context(), address, get(id))
+		resp, err := pool.Do(t.Context(), address, newGet(id))
 		assert.NilError(t, err)
 		assert.Equal(t, resp.Header.Get("X-Id"), id)
-		assert.Equal(t, read(t, resp), "own")
+		assert.Equal(t, readBody(t, resp), "own")
 	}
 	assert.Equal(t, pool.Opened(), uint64(1))
 }
 
-// An upstream's answer ends early, with a length or in the middle of a chunk. What
-// was read must not pass for a whole answer.
-func TestShortAnswersAreErrors(t *testing.T) {
+// Guards against accepting a truncated response as complete, both with a
+// Content-Length and in chunked encoding.
+func TestTruncatedResponseIsError(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
@@ -152,16 +156,16 @@
 			_, _ = io.WriteString(c, text)
 			_ = c.Close()
 		})
-		resp, err := NewPool().Do(t.Context(), address, get("1"))
+		resp, err := NewPool().Do(t.Context(), address, newGet("1"))
 		assert.NilError(t, err)
 		_, err = io.ReadAll(resp.Body)
 		assert.Assert(t, err != nil, text)
 	}
 }
 
-// An answer without a length ends with its connection. One that is reset on the way
-// is not whole, though no framing says so.
-func TestResetIsNotTheEndOfAnAnswer(t *testing.T) {
+// A response without a length ends with its connection. If the connection is reset,
+// the response is truncated, although the HTTP framing does not show it.
+func TestResetBeforeEndOfBodyIsError(t *testing.T) {
 	address, _ := serve(t, func(c net.Conn, _ *bufio.Reader, n int32) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nabc")
 		if n == 2 {
@@ -171,18 +175,18 @@
 		_ = c.Close()
 	})
 	pool := NewPool()
-	resp, err := pool.Do(t.Context(), address, get("1"))
+	resp, err := pool.Do(t.Context(), address, newGet("1"))
 	assert.NilError(t, err)
-	assert.Equal(t, read(t, resp), "abc")
-	resp, err = pool.Do(t.Context(), address, get("1"))
+	assert.Equal(t, readBody(t, resp), "abc")
+	resp, err = pool.Do(t.Context(), address, newGet("1"))
 	assert.NilError(t, err)
 	_, err = io.ReadAll(resp.Body)
 	assert.Assert(t, err != nil)
 }
 
-// An upstream answers before it has read a long body and reads on later. The next
-// request on the connection would be taken for the rest of the body.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+// Guards against reusing a connection whose upstream responded before reading the
+// whole body: it would read the next request as the rest of that body.
+func TestEarlyResponseClosesConnection(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
@@ -195,25 +199,25 @@
 			go func() {
 				defer c.Close()
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-					reply(c, "1", "early")
+					writeResponse(c, "1", "early")
 				}
-				// The connection stays open, and nothing more is read.
+				// Keeps the connection open without reading the rest of the body.
 				time.Sleep(5 * time.Second)
 			}()
 		}
 	}()
 	pool := NewPool()
-	req := get("1")
+	req := newGet("1")
 	req.Method, req.Body = http.MethodPost, make([]byte, 32<<20)
 	resp, err := pool.Do(t.Context(), listener.Addr().String(), req)
 	assert.NilError(t, err)
-	assert.Equal(t, read(t, resp), "early")
-	assert.Assert(t, pool.take(listener.Addr().String()) == nil)
+	assert.Equal(t, readBody(t, resp), "early")
+	assert.Assert(t, pool.popIdle(listener.Addr().String()) == nil)
 }
 
-// A caller leaves while its request is at work. The upstream learns it by the end of
-// the connection, and stops.
-func TestCancelClosesTheConnection(t *testing.T) {
+// If a caller cancels a request in progress, the connection must be closed, so that
+// the upstream can stop working on it.
+func TestCancelClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	address, _ := serve(t, func(c net.Conn, r *bufio.Reader, _ int32) {
@@ -221,15 +225,15 @@
 		_, _ = r.ReadByte()
 		close(closed)
 	})
-	_, err := NewPool().Do(ctx, address, get("1"))
+	_, err := NewPool().Do(ctx, address, newGet("1"))
 	assert.Assert(t, Sent(err))
 	assert.Assert(t, errors.Is(err, context.Canceled))
 	<-closed
 }
 
-// An upstream says for how long it keeps an idle connection. A request that crosses
-// its close may have run or not.
-func TestIdleTimeIsKept(t *testing.T) {
+// An upstream's Keep-Alive timeout must be observed: a request sent while the
+// upstream closes the connection may or may not have run.
+func TestIdleTimeFollowsKeepAlive(t *testing.T) {
 	for header, want := range map[string]time.Duration{
 		"":                 DefaultIdle,
 		"timeout=2, max=9": 2*time.Second - idleMargin,
@@ -245,11 +249,11 @@
 	assert.Equal(t, idleTime(&http.Response{Close: true}), time.Duration(0))
 }
 
-// A path with white space, as a forged request may have, would end the request line
-// early and begin another message.
-func TestForgedTargetIsNotSent(t *testing.T) {
-	address, requests := serve(t, func(c net.Conn, _ *bufio.Reader, _ int32) { reply(c, "1", "ok") })
-	req := get("1")
+// Guards against request smuggling: white space in the path of a forged request would
+// end the request line early and start another request.
+func TestTargetWithWhiteSpaceIsRejected(t *testing.T) {
+	address, requests := serve(t, func(c net.Conn, _ *bufio.Reader, _ int32) { writeResponse(c, "1", "ok") })
+	req := newGet("1")
 	req.Target = "/x HTTP/1.1\r\nHost: a\r\n\r\nGET /y"
 	_, err := NewPool().Do(t.Context(), address, req)
 	assert.Assert(t, !Sent(err))
--- a/httpconn/pool.go
+++ b/httpconn/pool.go
@@ -11,45 +11,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// Figures of a pool's connections.
+// Timeouts and limits of pooled connections.
 const (
-	// DialTimeout bounds the opening of a connection. A round trip within a region
-	// takes 2 ms; a lost opening packet is sent again after a second, and by then
-	// another upstream has answered.
+	// DialTimeout limits the time to open a connection. The round-trip time within a
+	// region is 2 ms. A lost SYN is retransmitted only after a second, by which time
+	// another upstream has responded.
 	DialTimeout = 400 * time.Millisecond
-	// unackedTimeout ends a connection whose bytes stay unacknowledged: behind a
-	// partition nothing else tells that the other side is gone.
-	unackedTimeout = 2 * time.Second
-	// keepAlive is the interval of probes on a silent connection; two lost ones end
-	// it, which tells a partition from an upstream that is still at work.
+	// userTimeout is the time after which a connection with unacknowledged data is
+	// closed. In a network partition, nothing else shows that the remote side is gone.
+	userTimeout = 2 * time.Second
+	// keepAlive is the interval of TCP keep-alive probes. A connection is closed after
+	// two lost probes; this distinguishes a partition from an upstream that is still
+	// processing the request.
 	keepAlive = time.Second
-	// DefaultIdle is how long a connection is kept for another request where the
-	// upstream does not say.
+	// DefaultIdle is how long an idle connection is kept if the upstream does not
+	// specify a time, and the maximum if it does.
 	DefaultIdle = 4 * time.Second
-	// idleMargin is taken off the time that the upstream names, so that a request
-	// does not cross its close.
+	// idleMargin is subtracted from the upstream's keep-alive timeout, so that no
+	// request is sent while the upstream is closing the connection.
 	idleMargin = 500 * time.Millisecond
-	// maxIdlePerAddress bounds the kept connections to one upstream, which counts
-	// those of all instances together.
+	// maxIdlePerAddress limits the idle connections to an upstream, where the
+	// connections of all instances add up.
 	maxIdlePerAddress = 8
 )
 
-// Pool keeps connections to upstreams. It is safe for concurrent use.
+// Pool is a pool of connections to upstreams. It is safe for concurrent use.
 type Pool struct {
 	mu   sync.Mutex
 	idle map[string][]*conn
-	// dial opens a connection; tests replace it.
+	// dial opens a connection; it can be replaced in tests.
 	dial func(ctx context.Context, address string) (net.Conn, error)
-	// opened counts the connections opened since the start.
+	// opened counts the connections opened by the pool.
 	opened uint64
 }
 
-// NewPool returns a pool without connections.
+// NewPool returns an empty pool.
 func NewPool() *Pool {
 	dialer := &net.Dialer{
 		Timeout:         DialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAlive, Interval: keepAlive, Count: 2},
-		Control:         limitUnacked,
+		Control:         setUserTimeout,
 	}
 	return &Pool{
 		idle: make(map[string][]*conn),
@@ -59,35 +60,36 @@
 	}
 }
 
-// limitUnacked sets how long sent bytes may stay unacknowledged.
-func limitUnacked(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setUserTimeout sets TCP_USER_TIMEOUT, the time that sent data may remain
+// unacknowledged.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
 
-// get returns an idle connection that is sound and has been idle for at most
-// maxIdle, or opens one.
+// get returns a usable connection that has been idle for at most maxIdle, or opens a
+// new one.
 func (p *Pool) get(ctx context.Context, address string, maxIdle time.Duration) (*conn, error) {
 	for {
-		c := p.take(address)
+		c := p.popIdle(address)
 		if c == nil {
 			return p.open(ctx, address)
 		}
 		now := time.Now()
-		if now.Before(c.idleUntil) && now.Sub(c.idleSince) <= maxIdle && c.sound() {
+		if now.Before(c.idleUntil) && now.Sub(c.idleSince) <= maxIdle && c.reusable() {
 			return c, nil
 		}
 		_ = c.Close()
 	}
 }
 
-func (p *Pool) take(address string) *conn {
+func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -110,7 +112,8 @@
 	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
 
-// Connect opens a connection and keeps it for a request. It fails where nobody listens.
+// Connect opens a connection and adds it to the pool. It fails if the upstream does
+// not accept connections.
 func (p *Pool) Connect(ctx context.Context, address string) error {
 	c, err := p.open(ctx, address)
 	if err != nil {
@@ -120,7 +123,7 @@
 	return nil
 }
 
-// put keeps a connection for another request.
+// put adds an idle connection to the pool, or closes it if there are enough.
 func (p *Pool) put(c *conn, idle time.Duration) {
 	c.idleSince = time.Now()
 	c.idleUntil = c.idleSince.Add(idle)
@@ -136,11 +139,11 @@
 	}
 }
 
-// CloseExpired closes connections whose idle time is over and forgets addresses without
-// any.
+// CloseExpired closes the connections whose idle time has expired, and removes
+// addresses without connections from the pool.
 func (p *Pool) CloseExpired() {
 	now := time.Now()
-	var old []*conn
+	var expired []*conn
 	p.mu.Lock()
 	for address, list := range p.idle {
 		kept := list[:0]
@@ -148,7 +151,7 @@
 			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
 		if len(kept) == 0 {
@@ -158,12 +161,12 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		_ = c.Close()
 	}
 }
 
-// CloseIdle closes the idle connections to an address.
+// CloseIdle closes all idle connections to an address.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
@@ -174,7 +177,7 @@
 	}
 }
 
-// Opened is the number of connections opened since the start.
+// Opened returns the number of connections that the pool has opened.
 func (p *Pool) Opened() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
