--- a/tlsfile/tlsfile.go
+++ b/tlsfile/tlsfile.go
@@ -1,5 +1,6 @@
-// Package tlsfile serves certificates from files and takes up new ones when the
-// files change, so that a renewal needs no restart of an instance with streams.
+// Package tlsfile provides TLS configurations with certificates from files and
+// reloads them when the files change, so that renewing a certificate does not require
+// restarting an instance with open streams.
 package tlsfile
 
 import (
@@ -14,12 +15,12 @@
 	"github.com/cairnworks/cairnworks/settings"
 )
 
-// checkInterval is how often a handshake looks whether the files changed. A
-// renewed certificate is in use within it.
+// checkInterval is the minimum time between two checks of the files, which are made
+// during handshakes. A handshake after this time uses a renewed certificate.
 const checkInterval = 10 * time.Second
 
-// source holds the certificate last read.
-type source struct {
+// certSource loads a certificate and caches it.
+type certSource struct {
 	cfg settings.TLS
 
 	mu       sync.Mutex
@@ -28,22 +29,22 @@
 	cert     *tls.Certificate
 }
 
-// open reads the certificate for the first time. Without one it returns nil.
-func open(cfg settings.TLS) (*source, error) {
+// newCertSource loads the certificate. It returns nil if the settings name none.
+func newCertSource(cfg settings.TLS) (*certSource, error) {
 	if cfg.CertFile == "" {
 		return nil, nil
 	}
-	s := &source{cfg: cfg}
+	s := &certSource{cfg: cfg}
 	if _, err := s.current(time.Now()); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// Server returns the TLS configuration of a listener, or nil when the settings
-// name no certificate. With a CA file, clients must present a certificate.
+// Server returns the TLS configuration of a listener, or nil if the settings name no
+// certificate. If they name a CA file, clients must present a certificate.
 func Server(cfg settings.TLS) (*tls.Config, error) {
-	s, err := open(cfg)
+	s, err := newCertSource(cfg)
 	if s == nil {
 		return nil, err
 	}
@@ -57,7 +58,7 @@
 	if cfg.CAFile == "" {
 		return config, nil
 	}
-	pool, err := readPool(cfg.CAFile)
+	pool, err := loadCAPool(cfg.CAFile)
 	if err != nil {
 		return nil, err
 	}
@@ -66,10 +67,10 @@
 	return config, nil
 }
 
-// Client returns the TLS configuration for connections to other instances, or
-// nil when the settings name no certificate.
+// Client returns the TLS configuration for connections to other instances, or nil if
+// the settings name no certificate.
 func Client(cfg settings.TLS) (*tls.Config, error) {
-	s, err := open(cfg)
+	s, err := newCertSource(cfg)
 	if s == nil {
 		return nil, err
 	}
@@ -80,7 +81,7 @@
 		},
 	}
 	if cfg.CAFile != "" {
-		pool, err := readPool(cfg.CAFile)
+		pool, err := loadCAPool(cfg.CAFile)
 		if err != nil {
 			return nil, err
 		}
@@ -89,17 +90,17 @@
 	return config, nil
 }
 
-// current returns the certificate, read again if its files changed. Files that
-// are unreadable or do not match, as in the middle of a renewal, leave the last
-// good certificate in use.
-func (s *source) current(now time.Time) (*tls.Certificate, error) {
+// current returns the certificate and reloads it if its files changed. If the files
+// are unreadable or the key does not match, as in the middle of a renewal, the last
+// valid certificate remains in use.
+func (s *certSource) current(now time.Time) (*tls.Certificate, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cert != nil && now.Sub(s.checked) < checkInterval {
 		return s.cert, nil
 	}
 	s.checked = now
-	modified, err := s.modifiedTimes()
+	modified, err := s.modTimes()
 	if err == nil && s.cert != nil && modified == s.modified {
 		return s.cert, nil
 	}
@@ -115,7 +116,7 @@
 	return s.cert, nil
 }
 
-func (s *source) modifiedTimes() ([2]time.Time, error) {
+func (s *certSource) modTimes() ([2]time.Time, error) {
 	var times [2]time.Time
 	for i, file := range []string{s.cfg.CertFile, s.cfg.KeyFile} {
 		info, err := os.Stat(file)
@@ -127,14 +128,14 @@
 	return times, nil
 }
 
-func readPool(file string) (*x509.CertPool, error) {
+func loadCAPool(file string) (*x509.CertPool, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, oops.In("tls").Wrap(err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return nil, oops.In("tls").With("file", file).Errorf("no certificate in PEM form")
+		return nil, oops.In("tls").With("file", file).Errorf("file contains no PEM certificate")
 	}
 	return pool, nil
 }
--- a/tlsfile/tlsfile_test.go
+++ b/tlsfile/tlsfile_test.go
@@ -19,7 +19,8 @@
 	"github.com/cairnworks/cairnworks/settings"
 )
 
-// writePair writes a self-signed certificate with a serial number, dated at modified.
+// writePair writes a self-signed certificate and its key, and sets the modification
+// time of both files.
 func writePair(t *testing.T, cfg settings.TLS, serial int64, modified time.Time) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -42,7 +43,7 @@
 	assert.NilError(t, os.Chtimes(file, modified, modified))
 }
 
-func serialOf(t *testing.T, s *source, now time.Time) int64 {
+func serialOf(t *testing.T, s *certSource, now time.Time) int64 {
 	t.Helper()
 	cert, err := s.current(now)
 	assert.NilError(t, err)
@@ -51,15 +52,15 @@
 	return parsed.SerialNumber.Int64()
 }
 
-// A certificate is renewed under a running instance. If it were read at the start
-// only, callers would be turned away when the old one expires; if a half-written
-// renewal were taken, at once.
-func TestRenewedCertificateIsTakenUpAndAHalfWrittenOneIsNot(t *testing.T) {
+// A certificate is renewed while the instance is running. If the files were read at
+// startup only, handshakes would fail once the old certificate expires; if a partially
+// written renewal were loaded, they would fail immediately.
+func TestReloadsOnlyMatchingPair(t *testing.T) {
 	dir := t.TempDir()
 	cfg := settings.TLS{CertFile: filepath.Join(dir, "cert"), KeyFile: filepath.Join(dir, "key")}
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	writePair(t, cfg, 1, start)
-	s := &source{cfg: cfg}
+	s := &certSource{cfg: cfg}
 	assert.Equal(t, serialOf(t, s, start), int64(1))
 
 	old, err := os.ReadFile(cfg.KeyFile)
@@ -68,16 +69,16 @@
 	renewed, err := os.ReadFile(cfg.KeyFile)
 	assert.NilError(t, err)
 	assert.NilError(t, os.WriteFile(cfg.KeyFile, old, 0o600))
-	assert.Equal(t, serialOf(t, s, start.Add(checkInterval)), int64(1), "certificate and key do not match yet")
+	assert.Equal(t, serialOf(t, s, start.Add(checkInterval)), int64(1), "certificate and key do not match")
 
 	assert.NilError(t, os.WriteFile(cfg.KeyFile, renewed, 0o600))
 	assert.Equal(t, serialOf(t, s, start.Add(2*checkInterval)), int64(2))
 
 	assert.NilError(t, os.Remove(cfg.CertFile))
-	assert.Equal(t, serialOf(t, s, start.Add(3*checkInterval)), int64(2), "the last good one stays")
+	assert.Equal(t, serialOf(t, s, start.Add(3*checkInterval)), int64(2), "last valid certificate remains in use")
 }
 
-func TestConfigurations(t *testing.T) {
+func TestServerAndClient(t *testing.T) {
 	dir := t.TempDir()
 	cfg := settings.TLS{CertFile: filepath.Join(dir, "cert"), KeyFile: filepath.Join(dir, "key")}
 	_, err := Server(cfg)
