--- a/loopback/loopback.go
+++ b/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback draws addresses on this machine for processes that are told their ports, as
-// those of the soak and of tests are.
+// Package loopback allocates loopback addresses for processes that are started with a fixed port,
+// such as those of tests and of the soak test.
 package loopback
 
 import (
@@ -12,61 +12,60 @@
 	"sync"
 )
 
-// Ports lie below those that the system gives to outgoing connections, of which a run opens
-// thousands: a port that is free now would be taken by one of them before a process listens, or
-// while it restarts.
+// The portCount are below the ephemeral port range of the system. A run opens thousands of outgoing
+// connections, and one of them could otherwise take a free port before a process listens on it, or
+// while the process restarts.
 const (
 	firstPort = 15_000
-	ports     = 15_000
+	portCount = 15_000
 	portTries = 50
 )
 
-// drawn are the ports that this process was given. Nobody listens at them yet, or while what uses
-// them restarts.
-var drawn = struct {
+// allocated holds the ports already allocated by this process. They may appear free, because nothing
+// listens on them before their user starts or while it restarts.
+var allocated = struct {
 	sync.Mutex
 	ports map[int]bool
 }{ports: make(map[int]bool)}
 
-// hostOf is the loopback host of a process's addresses. Processes that draw ports at one host can
-// be given the same one, as nobody listens there yet.
-func hostOf(pid int) string {
+// loopbackHost returns the loopback host for the addresses of a process. Processes that allocate ports on
+// the same host could choose the same one, because nothing listens on it yet.
+func loopbackHost(pid int) string {
 	const first = 64
 	return fmt.Sprintf("127.%d.%d.%d", first|pid>>16&(first-1), pid>>8&0xff, pid&0xff)
 }
 
-// FreeAddress returns an address at which nobody listens for streams or datagrams, a different one
-// each time. It is of a host that only this process draws from, where the system has more than one
-// loopback host.
+// FreeAddress returns an address that is free for TCP and UDP, and a different one on each call. If
+// the system supports more than one loopback host, the host is used by this process only.
 func FreeAddress() (string, error) {
-	address, err := freeAt(hostOf(os.Getpid()))
+	address, err := allocateAddress(loopbackHost(os.Getpid()))
 	if err != nil {
-		return freeAt("127.0.0.1")
+		return allocateAddress("127.0.0.1")
 	}
 	return address, nil
 }
 
-func freeAt(host string) (string, error) {
-	drawn.Lock()
-	defer drawn.Unlock()
-	var last error
+func allocateAddress(host string) (string, error) {
+	allocated.Lock()
+	defer allocated.Unlock()
+	var lastErr error
 	for range portTries {
-		port := firstPort + rand.IntN(ports)
-		if drawn.ports[port] {
+		port := firstPort + rand.IntN(portCount)
+		if allocated.ports[port] {
 			continue
 		}
 		address := fmt.Sprintf("%s:%d", host, port)
-		if last = probe(address); last == nil {
-			drawn.ports[port] = true
+		if lastErr = checkFree(address); lastErr == nil {
+			allocated.ports[port] = true
 			return address, nil
 		}
 	}
-	return "", cmp.Or(last, errAllDrawn)
+	return "", cmp.Or(lastErr, errNoPort)
 }
 
-var errAllDrawn = errors.New("all ports for processes on this machine were drawn")
+var errNoPort = errors.New("no unallocated port found")
 
-func probe(address string) error {
+func checkFree(address string) error {
 	streams, err := net.Listen("tcp4", address)
 	if err != nil {
 		return err
--- a/loopback/loopback_test.go
+++ b/loopback/loopback_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against two processes of one run that are given the same port, of which the second never
-// starts.
-func TestAddressesAreDrawnOnce(t *testing.T) {
+// Guards against giving two processes of a run the same port, with which the second one fails to
+// start.
+func TestAddressesAreUnique(t *testing.T) {
 	seen := make(map[string]bool)
 	for range 1000 {
 		address, err := FreeAddress()
@@ -20,16 +20,16 @@
 	}
 }
 
-// Guards against two runs beside one another that are given the same port, so that an instance of
-// the one never starts.
-func TestProcessesDrawFromHostsOfTheirOwn(t *testing.T) {
+// Guards against giving two concurrent runs the same port, with which an instance of one of them
+// fails to start.
+func TestProcessesUseDistinctHosts(t *testing.T) {
 	seen := make(map[string]bool)
 	const processes, step = 1 << 22, 61
 	for pid := 0; pid < processes; pid += step {
-		seen[hostOf(pid)] = true
+		seen[loopbackHost(pid)] = true
 	}
 	assert.Equal(t, len(seen), (processes+step-1)/step)
 	address, err := FreeAddress()
 	assert.NilError(t, err)
-	assert.Assert(t, strings.HasPrefix(address, hostOf(os.Getpid())+":"), address)
+	assert.Assert(t, strings.HasPrefix(address, loopbackHost(os.Getpid())+":"), address)
 }
