--- a/propertyseed/propertyseed.go
+++ b/propertyseed/propertyseed.go
@@ -1,4 +1,4 @@
-// Package propertyseed makes property tests draw the same cases in every run.
+// Package propertyseed makes property tests generate the same cases in every run.
 package propertyseed
 
 import (
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// seed is the one that is drawn from unless -rapid.seed names another.
-const seed = "1"
+// defaultSeed is the random defaultSeed that is used unless -rapid.defaultSeed sets another.
+const defaultSeed = "1"
 
-// Run runs a package's tests and returns their exit code; it is to be called by TestMain.
+// Run runs the tests of a package and returns their exit code. It must be called by TestMain.
 func Run(m *testing.M) int {
 	flag.Parse()
 	if given := flag.Lookup("rapid.seed"); given != nil && given.Value.String() == "0" {
-		if err := given.Value.Set(seed); err != nil {
+		if err := given.Value.Set(defaultSeed); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return 1
 		}
