--- a/loopback/loopback.go
+++ b/loopback/loopback.go
@@ -12,7 +12,7 @@
 	"sync"
 )
 
-// The portCount are below the ephemeral port range of the system. A run opens thousands of outgoing
+// The ports are below the ephemeral port range of the system. A run opens thousands of outgoing
 // connections, and one of them could otherwise take a free port before a process listens on it, or
 // while the process restarts.
 const (
@@ -21,15 +21,15 @@
 	portTries = 50
 )
 
-// allocated holds the ports already allocated by this process. They may appear free, because nothing
-// listens on them before their user starts or while it restarts.
+// allocated holds the ports already given out by this process. They may appear free, because
+// nothing listens on them before their user starts or while it restarts.
 var allocated = struct {
 	sync.Mutex
 	ports map[int]bool
 }{ports: make(map[int]bool)}
 
-// loopbackHost returns the loopback host for the addresses of a process. Processes that allocate ports on
-// the same host could choose the same one, because nothing listens on it yet.
+// loopbackHost returns the loopback host for the addresses of a process. Processes that allocate
+// ports on the same host could choose the same one, because nothing listens on it yet.
 func loopbackHost(pid int) string {
 	const first = 64
 	return fmt.Sprintf("127.%d.%d.%d", first|pid>>16&(first-1), pid>>8&0xff, pid&0xff)
