--- a/propertyseed/propertyseed.go
+++ b/propertyseed/propertyseed.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// defaultSeed is the random defaultSeed that is used unless -rapid.defaultSeed sets another.
+// defaultSeed is the random seed that is used unless -rapid.seed sets another.
 const defaultSeed = "1"
 
 // Run runs the tests of a package and returns their exit code. It must be called by TestMain.
