--- a/port/httpport/engine_test.go
+++ b/port/httpport/engine_test.go
@@ -19,14 +19,14 @@
 
 const prompt = "summarise the treatment of frame 117 before the size cures"
 
-// engines holds a simulated prefill and decode engine and their adapters.
+// engines holds a stand-in prefill and decode engine and their adapters.
 type engines struct {
 	prefill, decode               port.Engine
 	prefillAddress, decodeAddress string
 	prefillStand, decodeStand     *stand.Engine
 }
 
-// fastConfig returns settings of a simulated engine that keep tests short.
+// fastConfig returns settings of a stand-in engine that keep tests short.
 func fastConfig(role string) stand.EngineConfig {
 	return stand.EngineConfig{Role: role, TokenTime: 200_000, PrefillTokensPerSecond: 1_000_000}
 }
--- a/port/httpport/platform_test.go
+++ b/port/httpport/platform_test.go
@@ -18,7 +18,7 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// setFaults sets the faults of a simulator.
+// setFaults sets the faults of a stand-in.
 func setFaults(t *testing.T, address, faults string) {
 	t.Helper()
 	resp, err := http.Post("http://"+address+"/faults", "application/json", strings.NewReader(faults))
--- a/port/httpport/wire/wire.go
+++ b/port/httpport/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire defines the JSON messages exchanged with external systems. They are
-// shared by the adapters in port/httpport and the simulators in package stand, so that
+// shared by the adapters in port/httpport and the stand-ins in package stand, so that
 // both sides use the same protocol. docs/PROTOCOLS.md specifies it for other
 // implementations.
 package wire
