--- a/stand/answer.go
+++ b/stand/answer.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Lengths of answers before max_tokens cuts them: from short confirmations to
-// rota drafts, in tokens.
+// Range of answer lengths in tokens, before max_tokens is applied: from short
+// confirmations to drafts of rotas.
 const (
 	shortestAnswer = 16
 	longestAnswer  = 256
@@ -21,26 +21,26 @@
 	FinishLength = "length"
 )
 
-// CountTokens counts the tokens of a prompt as the stand-in engine does: one for
-// each word between white space, at least one.
+// CountTokens returns the number of tokens of a prompt as counted by the stand-in
+// engine: the number of words separated by white space, and at least one.
 func CountTokens(prompt string) int {
 	return max(1, len(strings.Fields(prompt)))
 }
 
-// PromptHash identifies a prompt in stats.
+// PromptHash returns the hash that identifies a prompt in the statistics.
 func PromptHash(prompt string) string {
 	return strconv.FormatUint(xxhash.Sum64String(prompt), 16)
 }
 
-// Answer returns the tokens that every stand-in engine gives for a prompt. Each
-// token names the prompt's hash and its own place, so that a token that is
-// missing, doubled or another prompt's shows.
+// Answer returns the tokens that every stand-in engine generates for a prompt. Each
+// token contains the prompt's hash and its own index, so that missing and duplicate
+// tokens and tokens of other prompts can be detected.
 func Answer(prompt string, maxTokens int) []string {
 	tokens, _ := answer(PromptHash(prompt), maxTokens)
 	return tokens
 }
 
-// FinishReason returns the reason on the terminator of that answer.
+// FinishReason returns the finish reason in the terminator of the answer.
 func FinishReason(prompt string, maxTokens int) string {
 	_, reason := answerLength(PromptHash(prompt), maxTokens)
 	return reason
--- a/stand/control.go
+++ b/stand/control.go
@@ -9,46 +9,47 @@
 	"github.com/cairnworks/cairnworks/port/httpport/wire"
 )
 
-// Kinds of orders.
+// Order kinds.
 const (
 	orderLoadModel   = "load_model"
 	orderLoadAdapter = "load_adapter"
 	orderSetRole     = "set_role"
 )
 
-// handleCancel frees whatever is held for an attempt. An unknown one is no error.
+// handleCancel frees everything that is held for an attempt. An unknown attempt is not
+// an error.
 func (e *Engine) handleCancel(w http.ResponseWriter, r *http.Request) {
 	var id wire.Stream
 	if !readJSON(w, r, &id) {
 		return
 	}
 	e.mu.Lock()
-	e.runs(id).Cancels++
+	e.requestStats(id).Cancels++
 	if stop, ok := e.prefills[keyOf(id)]; ok {
 		stop()
 	}
 	for _, kv := range e.caches {
 		if keyOf(kv.stream) == keyOf(id) {
-			e.drop(kv)
-			e.wasted(kv)
+			e.removeCache(kv)
+			e.countWasted(kv)
 		}
 	}
 	if s, ok := e.streams[keyOf(id)]; ok {
-		e.free(s)
+		e.freeStream(s)
 	}
 	e.mu.Unlock()
-	e.gate.answer(w, struct{}{})
+	e.faults.respond(w, struct{}{})
 }
 
-// handleOrder loads or changes the role. An engine that does not check fencing
-// obeys any order, the newest to arrive last.
+// handleOrder loads a model or adapter, or changes the role. Without fencing checks,
+// the engine executes every order and the last one to arrive takes effect.
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var order wire.Order
-	if !readJSON(w, r, &order) || !e.fenced(w, order) {
+	if !readJSON(w, r, &order) || !e.acceptOrder(w, order) {
 		return
 	}
-	if order.Kind != orderSetRole && !e.load(r, order.Name) {
-		writeError(w, http.StatusServiceUnavailable, wire.CodeUnavailable, "the weights could not be loaded")
+	if order.Kind != orderSetRole && !e.loadWeights(r, order.Name) {
+		writeError(w, http.StatusServiceUnavailable, wire.CodeUnavailable, "loading the weights failed")
 		return
 	}
 	e.mu.Lock()
@@ -59,33 +60,34 @@
 		e.models = append(e.models, order.Name)
 	}
 	e.stats.Orders = append(e.stats.Orders, order)
-	e.changed()
+	e.scheduleReport()
 	e.mu.Unlock()
-	e.gate.answer(w, struct{}{})
+	e.faults.respond(w, struct{}{})
 }
 
-func (e *Engine) fenced(w http.ResponseWriter, order wire.Order) bool {
+func (e *Engine) acceptOrder(w http.ResponseWriter, order wire.Order) bool {
 	switch order.Kind {
 	case orderLoadModel, orderLoadAdapter, orderSetRole:
 	default:
-		writeError(w, http.StatusBadRequest, wire.CodeInvalid, "unknown kind of order")
+		writeError(w, http.StatusBadRequest, wire.CodeInvalid, "unknown order kind")
 		return false
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cfg.ChecksFencing && order.Fence < e.fence {
 		e.stats.StaleOrders++
-		writeError(w, http.StatusConflict, wire.CodeStaleFence, "a newer order was given")
+		writeError(w, http.StatusConflict, wire.CodeStaleFence, "an order with a newer fencing token was received")
 		return false
 	}
 	e.fence = max(e.fence, order.Fence)
 	return true
 }
 
-// load waits for the weights, from the weight store when one is set.
-func (e *Engine) load(r *http.Request, name string) bool {
+// loadWeights waits until the weights are loaded, from the weight store if one is configured,
+// and reports whether that succeeded.
+func (e *Engine) loadWeights(r *http.Request, name string) bool {
 	if e.cfg.Weights == "" {
-		return sleep(r.Context(), e.gate.slowed(e.cfg.LoadTime))
+		return sleep(r.Context(), e.faults.slowed(e.cfg.LoadTime))
 	}
 	target := "http://" + e.cfg.Weights + "/v1/weights/" + url.PathEscape(name) + "/content"
 	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, target, nil)
@@ -119,8 +121,8 @@
 
 func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	// The next report is always under way, so that a leaving engine says so.
-	e.changed()
+	// Every read schedules an update, so that Leaving is reported eventually.
+	e.scheduleReport()
 	report := e.report
 	e.mu.Unlock()
 	writeJSON(w, report)
--- a/stand/decode.go
+++ b/stand/decode.go
@@ -10,32 +10,32 @@
 	"github.com/cairnworks/cairnworks/port/httpport/wire"
 )
 
-// Phases of a stream in GET /v1/streams.
+// Stream phases in GET /v1/streams.
 const (
 	phasePrefilled = "prefilled"
 	phaseImported  = "imported"
 	phaseDecoding  = "decoding"
 )
 
-// stream is what a decode engine holds for one attempt.
+// stream is the state that a decode engine holds for one attempt.
 type stream struct {
 	id       wire.Stream
 	kv       wire.KV
 	phase    string
 	priority int
 	pieces   int
-	// total is the answer's length; generated of it are computed.
+	// total is the length of the answer in tokens, of which generated are computed.
 	total     int
 	reason    string
 	generated int
 	freed     bool
-	// connection counts decode calls; the highest is the one that is served.
-	connection int
-	attached   bool
-	// wake tells the served connection of new tokens or of the end.
+	// connID is the number of the latest decode call, the only one that is served.
+	connID   int
+	attached bool
+	// wake signals new tokens or the end of the stream to the served connection.
 	wake chan struct{}
-	// orphan frees the stream when nobody resumes it.
-	orphan *time.Timer
+	// resumeTimer frees the stream if it is not resumed.
+	resumeTimer *time.Timer
 }
 
 func (s *stream) notify() {
@@ -45,61 +45,62 @@
 	}
 }
 
-// free gives back everything a stream holds; the caller holds mu.
-func (e *Engine) free(s *stream) {
+// freeStream releases everything that a stream holds. The caller must hold mu.
+func (e *Engine) freeStream(s *stream) {
 	if s.freed {
 		return
 	}
 	s.freed = true
-	s.stopOrphan()
+	s.stopResumeTimer()
 	delete(e.streams, keyOf(s.id))
-	e.give(s.pieces)
+	e.releasePieces(s.pieces)
 	s.notify()
 }
 
-func (s *stream) stopOrphan() {
-	if s.orphan != nil {
-		s.orphan.Stop()
+func (s *stream) stopResumeTimer() {
+	if s.resumeTimer != nil {
+		s.resumeTimer.Stop()
 	}
 }
 
-// detach holds a stream for ResumeTTL without a connection; the caller holds mu.
+// detach keeps a stream without a connection for ResumeTTL. The caller must hold mu.
 func (e *Engine) detach(s *stream) {
 	s.attached = false
-	s.stopOrphan()
-	held := s.connection
-	s.orphan = time.AfterFunc(e.cfg.ResumeTTL, func() {
+	s.stopResumeTimer()
+	connID := s.connID
+	s.resumeTimer = time.AfterFunc(e.cfg.ResumeTTL, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if !s.attached && s.connection == held && !s.freed {
+		if !s.attached && s.connID == connID && !s.freed {
 			e.stats.OrphansFreed++
-			e.free(s)
+			e.freeStream(s)
 		}
 	})
 }
 
-// decodeLoop advances every attached stream by a token in each step, which is
-// what continuous batching looks like from outside.
+// decodeLoop generates one token for every attached stream in each step, which imitates
+// the externally visible behaviour of continuous batching.
 func (e *Engine) decodeLoop(ctx context.Context) {
 	defer close(e.stopped)
 	for {
-		if !e.step() {
+		if !e.decodeStep() {
 			select {
-			case <-e.work:
+			case <-e.wakeDecode:
 			case <-ctx.Done():
 				return
 			}
 		}
-		if !sleep(ctx, e.gate.slowed(e.cfg.TokenTime)) {
+		if !sleep(ctx, e.faults.slowed(e.cfg.TokenTime)) {
 			return
 		}
 	}
 }
 
-// step reports whether any stream is still decoding. Streams of a lower priority
-// number get memory first; one that finds none stalls until some is given back.
-func (e *Engine) step() bool {
-	if e.gate.current().Freeze {
+// decodeStep generates one token for each stream that is decoding, and reports whether
+// there are any. Streams with a lower priority number get memory first; a stream that
+// gets none stalls until memory is released.
+func (e *Engine) decodeStep() bool {
+	if e.faults.current().Freeze {
 		return true
 	}
 	e.mu.Lock()
@@ -112,8 +113,8 @@
 	}
 	sort.Slice(batch, func(i, j int) bool { return batch[i].priority < batch[j].priority })
 	for _, s := range batch {
-		need := e.pieces(s.kv.Tokens-s.kv.Generated+s.generated+1) - s.pieces
-		if need > 0 && !e.take(need) {
+		need := e.piecesFor(s.kv.Tokens-s.kv.Generated+s.generated+1) - s.pieces
+		if need > 0 && !e.reservePieces(need) {
 			e.stats.Stalls++
 			continue
 		}
@@ -130,71 +131,71 @@
 	if !readJSON(w, r, &req) {
 		return
 	}
-	s, mine := e.attach(w, req)
+	s, connID := e.attach(w, req)
 	if s == nil {
 		return
 	}
-	if e.crashesOn(s.kv.Sample) {
+	if e.crashOnText(s.kv.Sample) {
 		return
 	}
 	w.Header().Set("Content-Type", wire.FramesContentType)
-	e.sendFrames(r.Context(), w, req, s, mine)
+	e.sendFrames(r.Context(), w, req, s, connID)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if s.connection == mine && !s.freed {
+	if s.connID == connID && !s.freed {
 		e.detach(s)
 	}
 }
 
-// attach makes this call the one that the stream is sent to.
+// attach makes the current call the one that receives the stream.
 func (e *Engine) attach(w http.ResponseWriter, req wire.DecodeRequest) (*stream, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.streams[keyOf(req.Stream)]
 	if !ok || s.phase == phaseImporting {
-		writeError(w, http.StatusNotFound, wire.CodeUnknownStream, "no KV cache is held for this attempt")
+		writeError(w, http.StatusNotFound, wire.CodeUnknownStream, "the engine holds no KV cache for this attempt")
 		return nil, 0
 	}
 	if req.ResumeFrom < 0 || req.ResumeFrom > s.generated {
-		writeError(w, http.StatusConflict, wire.CodeInvalid, "resume point lies ahead of the stream")
+		writeError(w, http.StatusConflict, wire.CodeInvalid, "resume_from is beyond the generated tokens")
 		return nil, 0
 	}
-	runs := e.runs(req.Stream)
+	stats := e.requestStats(req.Stream)
 	if s.phase == phaseDecoding {
-		runs.Resumes++
+		stats.Resumes++
 	} else {
-		runs.Decodes++
+		stats.Decodes++
 		s.total, s.reason = answerLength(s.kv.PromptHash, req.MaxTokens)
 	}
 	s.id = req.Stream
 	s.priority = req.Priority
 	s.phase = phaseDecoding
 	s.attached = true
-	s.stopOrphan()
-	s.connection++
-	// The connection served until now finds that it is no longer the one.
+	s.stopResumeTimer()
+	s.connID++
+	// Wakes up the previously served connection, which then ends.
 	s.notify()
 	select {
-	case e.work <- struct{}{}:
+	case e.wakeDecode <- struct{}{}:
 	default:
 	}
-	return s, s.connection
+	return s, s.connID
 }
 
-// sendFrames writes frames from the resume point on until the terminator, the
-// end of the connection, a cancel or another connection.
-func (e *Engine) sendFrames(ctx context.Context, w http.ResponseWriter, req wire.DecodeRequest, s *stream, mine int) {
+// sendFrames writes frames from the resume point until the terminator is written, the
+// connection ends, the stream is cancelled or another connection takes over.
+func (e *Engine) sendFrames(ctx context.Context, w http.ResponseWriter, req wire.DecodeRequest, s *stream, connID int) {
 	frames := json.NewEncoder(w)
 	flush := http.NewResponseController(w)
 	_ = flush.Flush()
 	sent := req.ResumeFrom
 	for {
-		generated, serving := e.progress(s, mine)
+		generated, serving := e.progress(s, connID)
 		if !serving {
 			return
 		}
 		for ; sent < generated; sent++ {
-			if limit := e.gate.current().TruncateAfter; limit > 0 && sent-req.ResumeFrom >= limit {
+			if limit := e.faults.current().TruncateAfter; limit > 0 && sent-req.ResumeFrom >= limit {
 				return
 			}
 			frame := wire.Frame{RequestID: req.RequestID, Attempt: req.Attempt, Seq: sent, Token: tokenAt(s.kv.PromptHash, sent)}
@@ -204,7 +205,7 @@
 		}
 		if sent == s.total {
 			_ = frames.Encode(wire.Frame{RequestID: req.RequestID, Attempt: req.Attempt, Seq: sent, Done: true, FinishReason: s.reason})
-			e.finish(s)
+			e.complete(s)
 			return
 		}
 		_ = flush.Flush()
@@ -216,19 +217,19 @@
 	}
 }
 
-func (e *Engine) progress(s *stream, mine int) (generated int, serving bool) {
+func (e *Engine) progress(s *stream, connID int) (generated int, serving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if s.connection != mine {
-		// The wake-up may have been meant for the connection that took over.
+	if s.connID != connID {
+		// The wake-up may have been intended for the connection that took over.
 		s.notify()
 	}
-	return s.generated, s.connection == mine && !s.freed
+	return s.generated, s.connID == connID && !s.freed
 }
 
-func (e *Engine) finish(s *stream) {
+func (e *Engine) complete(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.runs(s.id).Completed++
-	e.free(s)
+	e.requestStats(s.id).Completed++
+	e.freeStream(s)
 }
--- a/stand/engine.go
+++ b/stand/engine.go
@@ -1,8 +1,8 @@
-// Package stand holds small stand-ins for the systems outside the project: model
-// engines, plain services, the log, the instance list and the weight store. Each
-// serves the protocol of docs/PROTOCOLS.md, fails on order through POST /faults
-// and tells at GET /stats what it saw. They serve tests, trials and a try-out of
-// the router; they measure nothing about real engines.
+// Package stand provides simple stand-ins for the external systems: model engines,
+// plain services, the log, the instance list and the weight store. Each implements the
+// protocol of docs/PROTOCOLS.md, injects faults set by POST /faults and reports at
+// GET /stats which calls it received. They are meant for tests, experiments and trying
+// out the router; results obtained with them do not apply to real engines.
 package stand
 
 import (
@@ -16,55 +16,60 @@
 	"github.com/cairnworks/cairnworks/port/httpport/wire"
 )
 
-// Roles of an engine.
+// Engine roles.
 const (
 	RolePrefill = "prefill"
 	RoleDecode  = "decode"
 )
 
-// EngineConfig sets an engine up. Zero fields take the defaults given here; they
-// follow the sizes that operators report: about twenty requests a decode engine,
-// memory in pieces of about 2,000 tokens, a KV cache that lives under a second.
+// EngineConfig configures an engine. Zero fields take the defaults stated for each
+// field. They follow the figures that operators report: about twenty requests per
+// decode engine, memory in pieces of about 2,000 tokens and a KV cache TTL below one
+// second.
 type EngineConfig struct {
-	// Role is RoleDecode by default.
+	// Role defaults to RoleDecode.
 	Role string
-	// Models that the engine serves; empty means any.
+	// Models lists the models that the engine serves; if empty, it serves any.
 	Models []string
-	// Slots is the number of requests that a decode engine holds; 20.
+	// Slots is the maximum number of requests on a decode engine; default 20.
 	Slots int
-	// Pieces of memory, 400, of PieceTokens tokens each, 2048.
+	// Pieces is the number of memory pieces, default 400, with PieceTokens tokens
+	// each, default 2048.
 	Pieces      int
 	PieceTokens int
-	// TokenTime is the time between two tokens of a stream; 10 ms.
+	// TokenTime is the time between two tokens of a stream; default 10 ms.
 	TokenTime time.Duration
-	// PrefillTokensPerSecond is 8000. Prefills run one after the other.
+	// PrefillTokensPerSecond defaults to 8000. Prefills run one at a time.
 	PrefillTokensPerSecond int
-	// MaxQueued prefills wait; 32.
+	// MaxQueued is the maximum number of waiting prefills; default 32.
 	MaxQueued int
-	// KVTTL is the life of an unclaimed KV cache; 800 ms.
+	// KVTTL is how long a KV cache is kept unless it is imported; default 800 ms.
 	KVTTL time.Duration
-	// KVBytesPerToken is 160 KiB, as the scheduler estimates it.
+	// KVBytesPerToken defaults to 160 KiB, the scheduler's estimate.
 	KVBytesPerToken int64
-	// LinkBytesPerSecond limits imports; 25e9, which is 200 Gbit/s. A prompt of
-	// 30,000 tokens then takes 0.2 s of the 0.8 s that its cache lives.
+	// LinkBytesPerSecond is the bandwidth for imports; default 25e9, or 200 Gbit/s. The
+	// transfer for a prompt of 30,000 tokens then takes 0.2 s of its cache's TTL of
+	// 0.8 s.
 	LinkBytesPerSecond int64
-	// ResumeTTL is how long a stream without a connection is held; 30 s.
+	// ResumeTTL is how long a stream without a connection is kept; default 30 s.
 	ResumeTTL time.Duration
-	// CacheBlocks bounds the prefix cache, in blocks of port.PrefixBlockWords
-	// tokens; 8192, which is some twenty prompts of the longest kind.
+	// CacheBlocks is the capacity of the prefix cache in blocks of
+	// port.PrefixBlockWords tokens; default 8192, enough for about twenty prompts of
+	// maximum length.
 	CacheBlocks int
-	// EventLag delays cache events; 500 ms. Every EventLossEvery-th is lost; 16.
+	// EventLag is the delay of cache events; default 500 ms. Every EventLossEvery-th
+	// event is lost; default 16.
 	EventLag       time.Duration
 	EventLossEvery uint64
-	// LoadLag is the age that a load report may reach; 500 ms.
+	// LoadLag is the maximum age of a load report; default 500 ms.
 	LoadLag time.Duration
 	// ChecksFencing makes the engine refuse orders with an old fencing token.
 	ChecksFencing bool
-	// LoadTime is the time of an order to load; 200 ms. With Weights, the address
-	// of a weight store, the engine waits for the store instead.
+	// LoadTime is how long an order to load takes; default 200 ms. If Weights, the
+	// address of a weight store, is set, the engine reads from the store instead.
 	LoadTime time.Duration
 	Weights  string
-	// OnCrash, if set, is called in place of an in-process restart.
+	// OnCrash, if set, is called instead of restarting in the process.
 	OnCrash func()
 }
 
@@ -95,7 +100,7 @@
 	}
 }
 
-// streamKey names one attempt of one request.
+// streamKey identifies one attempt of a request.
 type streamKey struct {
 	requestID string
 	attempt   uint32
@@ -106,85 +111,88 @@
 // Engine is a stand-in model engine.
 type Engine struct {
 	cfg    EngineConfig
-	gate   *gate
+	faults *faultInjector
 	client *http.Client
-	// work wakes the decode loop; stop ends it.
-	work    chan struct{}
-	stop    context.CancelFunc
-	stopped chan struct{}
+	// wakeDecode wakes up the decode loop; stop ends it.
+	wakeDecode chan struct{}
+	stop       context.CancelFunc
+	stopped    chan struct{}
 
-	mu     sync.Mutex
-	role   string
-	models []string
-	start  string
-	used   int
-	// epoch grows at each crash; work of an earlier one gives nothing back.
-	epoch      int
-	streams    map[streamKey]*stream
-	caches     map[string]*kvCache
-	prefills   map[streamKey]context.CancelFunc
-	turns      turnQueue
-	linkFree   time.Time
-	prefixes   *prefixCache
-	fence      uint64
-	report     wire.Load
-	reportDue  bool
-	nextHandle int
-	stats      EngineStats
+	mu         sync.Mutex
+	role       string
+	models     []string
+	start      string
+	piecesUsed int
+	// epoch increases at each crash. Work started in an earlier epoch must not release
+	// memory.
+	epoch         int
+	streams       map[streamKey]*stream
+	caches        map[string]*kvCache
+	prefills      map[streamKey]context.CancelFunc
+	queue         prefillQueue
+	linkFreeAt    time.Time
+	prefixes      *prefixCache
+	fence         uint64
+	report        wire.Load
+	reportPending bool
+	nextHandle    int
+	stats         EngineStats
 }
 
-// NewEngine returns a running engine; Close ends it.
+// NewEngine returns a running engine. It must be closed by Close.
 func NewEngine(cfg EngineConfig) *Engine {
 	cfg = cfg.withDefaults()
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Engine{
 		cfg: cfg, client: &http.Client{Transport: &http.Transport{}}, role: cfg.Role, models: cfg.Models,
-		work: make(chan struct{}, 1), stop: stop, stopped: make(chan struct{}),
+		wakeDecode: make(chan struct{}, 1), stop: stop, stopped: make(chan struct{}),
 		stats: EngineStats{Requests: map[string]*RequestStats{}},
 	}
-	e.gate = newGate(e.restart, cfg.OnCrash)
+	e.faults = newFaultInjector(e.restart, cfg.OnCrash)
 	e.restart()
 	go e.decodeLoop(ctx)
 	return e
 }
 
-// restart empties the engine as a new process would be. What was counted stays.
+// restart clears the engine's state, as a restart of the process would. Its statistics
+// are kept.
 func (e *Engine) restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.streams {
-		e.free(s)
+		e.freeStream(s)
 	}
 	for _, kv := range e.caches {
-		e.drop(kv)
+		e.removeCache(kv)
 	}
 	e.streams = map[streamKey]*stream{}
 	e.caches = map[string]*kvCache{}
 	e.prefills = map[streamKey]context.CancelFunc{}
 	e.prefixes = newPrefixCache(e.cfg.CacheBlocks, e.cfg.EventLossEvery)
-	e.used = 0
+	e.piecesUsed = 0
 	e.epoch++
 	e.stats.Starts++
 	e.start = strconv.FormatInt(time.Now().UnixNano(), 36)
-	e.report = e.loadNow()
+	e.report = e.currentLoad()
 }
 
-// Close ends the engine's own work. Calls in progress end with their connections.
+// Close stops the decode loop and frees all streams and caches. Calls in progress end
+// with their connections.
 func (e *Engine) Close() {
 	e.stop()
 	<-e.stopped
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.streams {
-		e.free(s)
+		e.freeStream(s)
 	}
 	for _, kv := range e.caches {
-		e.drop(kv)
+		e.removeCache(kv)
 	}
 	e.client.CloseIdleConnections()
 }
 
-// Handler serves the engine's protocol, its faults and its stats.
+// Handler returns the handler for the engine's protocol, faults and statistics.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/prefill", e.handlePrefill)
@@ -197,28 +205,29 @@
 	mux.HandleFunc("GET /v1/streams", e.handleStreams)
 	mux.HandleFunc("GET /v1/load", e.handleLoad)
 	mux.HandleFunc("GET /v1/cache-events", e.handleCacheEvents)
-	return e.gate.handler(mux, func() any { return e.Stats() })
+	return e.faults.handler(mux, func() any { return e.Stats() })
 }
 
-// admit checks what every new piece of work must meet and counts it.
+// admit checks that the engine has the role and model that new work requires, and
+// refuses the call otherwise. It counts new work for an engine that is leaving.
 func (e *Engine) admit(w http.ResponseWriter, role, model string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.gate.current().Leaving {
+	if e.faults.current().Leaving {
 		e.stats.WorkWhileLeaving++
 	}
 	if e.role != role {
 		writeError(w, http.StatusConflict, wire.CodeWrongRole, "this engine's role is "+e.role)
 		return false
 	}
-	if !e.serves(model) {
-		writeError(w, http.StatusNotFound, wire.CodeUnknownModel, "model is not loaded")
+	if !e.hasModel(model) {
+		writeError(w, http.StatusNotFound, wire.CodeUnknownModel, "the model is not loaded")
 		return false
 	}
 	return true
 }
 
-func (e *Engine) serves(model string) bool {
+func (e *Engine) hasModel(model string) bool {
 	for _, m := range e.models {
 		if m == model {
 			return true
@@ -227,50 +236,52 @@
 	return len(e.models) == 0
 }
 
-// pieces returns the memory pieces of so many tokens.
-func (e *Engine) pieces(tokens int) int {
+// piecesFor returns the number of memory pieces that hold the given number of tokens.
+func (e *Engine) piecesFor(tokens int) int {
 	return (tokens + e.cfg.PieceTokens - 1) / e.cfg.PieceTokens
 }
 
-// take reserves pieces; the caller holds mu.
-func (e *Engine) take(pieces int) bool {
-	if e.used+pieces > e.cfg.Pieces {
+// reservePieces reserves memory and reports whether there was enough. The caller must
+// hold mu.
+func (e *Engine) reservePieces(pieces int) bool {
+	if e.piecesUsed+pieces > e.cfg.Pieces {
 		return false
 	}
-	e.used += pieces
-	e.stats.PiecesPeak = max(e.stats.PiecesPeak, e.used)
-	e.changed()
+	e.piecesUsed += pieces
+	e.stats.PiecesPeak = max(e.stats.PiecesPeak, e.piecesUsed)
+	e.scheduleReport()
 	return true
 }
 
-// give returns pieces; the caller holds mu.
-func (e *Engine) give(pieces int) {
-	e.used -= pieces
-	e.changed()
+// releasePieces releases memory. The caller must hold mu.
+func (e *Engine) releasePieces(pieces int) {
+	e.piecesUsed -= pieces
+	e.scheduleReport()
 }
 
-// changed lets the load report follow, LoadLag later; the caller holds mu.
-func (e *Engine) changed() {
-	if e.reportDue {
+// scheduleReport schedules an update of the load report after LoadLag. The caller must
+// hold mu.
+func (e *Engine) scheduleReport() {
+	if e.reportPending {
 		return
 	}
-	e.reportDue = true
+	e.reportPending = true
 	time.AfterFunc(e.cfg.LoadLag, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.reportDue = false
-		e.report = e.loadNow()
+		e.reportPending = false
+		e.report = e.currentLoad()
 	})
 }
 
-func (e *Engine) loadNow() wire.Load {
+func (e *Engine) currentLoad() wire.Load {
 	running := len(e.streams)
-	if e.turns.busy {
+	if e.queue.busy {
 		running++
 	}
 	return wire.Load{
-		Role: e.role, Running: running, Slots: e.cfg.Slots, PiecesUsed: e.used, Pieces: e.cfg.Pieces,
-		Queued: len(e.turns.waiting), Leaving: e.gate.current().Leaving, Start: e.start,
+		Role: e.role, Running: running, Slots: e.cfg.Slots, PiecesUsed: e.piecesUsed, Pieces: e.cfg.Pieces,
+		Queued: len(e.queue.waiting), Leaving: e.faults.current().Leaving, Start: e.start,
 		Loaded: slices.Clone(e.models),
 	}
 }
--- a/stand/faults.go
+++ b/stand/faults.go
@@ -10,71 +10,72 @@
 	"github.com/cairnworks/cairnworks/port/httpport/wire"
 )
 
-// Faults is the body of POST /faults. It replaces the faults in force, but for
-// Crash, which happens once; {} switches everything off.
+// Faults is the body of POST /faults. It replaces the active faults, except that Crash
+// takes effect once; {} disables all faults.
 type Faults struct {
-	// Crash drops every connection and everything held, now.
+	// Crash immediately drops all connections and all state.
 	Crash bool `json:"crash,omitempty"`
-	// CrashOnText crashes the engine that runs a prompt with this text in its
-	// first or last 512 bytes.
+	// CrashOnText crashes an engine when it runs a prompt with this text in its first
+	// or last 512 bytes.
 	CrashOnText string `json:"crash_on_text,omitempty"`
-	// Freeze holds every call back, and every stream still, until it is switched off.
+	// Freeze suspends all calls and streams until it is disabled.
 	Freeze bool `json:"freeze,omitempty"`
-	// Down breaks every connection, the open ones now and each new one before
-	// anything is done. What is held stays held, as behind a broken network.
+	// Down breaks all connections: open ones immediately, and new ones before the call
+	// has any effect. State is kept, as in a network failure.
 	Down bool `json:"down,omitempty"`
-	// Refuse answers every call with a 503 that says "not_run".
+	// Refuse responds to every call with a 503 that says "not_run".
 	Refuse bool `json:"refuse,omitempty"`
-	// SlowFactor multiplies the time of work; 0 means 1.
+	// SlowFactor multiplies all processing times; 0 means 1.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
-	// DelayMS is added to each call before anything is done, in milliseconds.
+	// DelayMS delays each call before it has any effect, in milliseconds.
 	DelayMS int64 `json:"delay_ms,omitempty"`
-	// LoseAnswers breaks the connection of this many calls after their effect.
+	// LoseAnswers breaks the connections of the next calls, up to this number, after the
+	// calls have taken effect.
 	LoseAnswers int `json:"lose_answers,omitempty"`
-	// TruncateAfter ends each decode stream after this many tokens without a
-	// terminator; 0 means never.
+	// TruncateAfter ends each decode stream without a terminator after this many tokens;
+	// 0 means never.
 	TruncateAfter int `json:"truncate_after,omitempty"`
-	// Leaving makes the stand-in say that it is going. It still works, and counts
-	// the work it is given.
+	// Leaving makes the stand-in report that it is leaving. It still accepts work, and
+	// counts it.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// SeenCall is one call as it arrived.
+// SeenCall is a received call.
 type SeenCall struct {
 	Method string      `json:"method"`
 	Path   string      `json:"path"`
 	Header http.Header `json:"header"`
 }
 
-// seenKept is how many of the last calls keep their headers for stats.
-const seenKept = 512
+// maxSeenCalls is how many of the most recent calls are recorded.
+const maxSeenCalls = 512
 
-// gate stands before a stand-in's handlers. It applies the faults that all
-// stand-ins share and remembers the headers of the last calls.
-type gate struct {
+// faultInjector wraps a stand-in's handler. It injects the faults that are common to all
+// stand-ins and records the most recent calls.
+type faultInjector struct {
 	mu     sync.Mutex
 	faults Faults
 	seen   []SeenCall
-	// thaw is closed unless frozen.
-	thaw chan struct{}
-	// life ends at the next crash.
-	life context.Context
-	die  context.CancelFunc
-	// reset empties the stand-in after a crash.
+	// unfrozen is closed unless Freeze is active.
+	unfrozen chan struct{}
+	// lifetime is cancelled when all connections are dropped.
+	lifetime    context.Context
+	endLifetime context.CancelFunc
+	// reset clears the stand-in's state after a crash.
 	reset func()
-	// onCrash, if set, is called in place of reset; a process exits in it.
+	// onCrash, if set, is called instead of reset, and may exit the process.
 	onCrash func()
 }
 
-func newGate(reset, onCrash func()) *gate {
-	g := &gate{reset: reset, onCrash: onCrash, thaw: make(chan struct{})}
-	close(g.thaw)
-	g.life, g.die = context.WithCancel(context.Background())
-	return g
+func newFaultInjector(reset, onCrash func()) *faultInjector {
+	f := &faultInjector{reset: reset, onCrash: onCrash, unfrozen: make(chan struct{})}
+	close(f.unfrozen)
+	f.lifetime, f.endLifetime = context.WithCancel(context.Background())
+	return f
 }
 
-// handler serves faults and stats ahead of next.
-func (g *gate) handler(next http.Handler, stats func() any) http.Handler {
+// handler adds the faults and stats endpoints to next and injects faults into it.
+func (f *faultInjector) handler(next http.Handler, stats func() any) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /faults", func(w http.ResponseWriter, r *http.Request) {
 		var faults Faults
@@ -82,88 +83,88 @@
 			return
 		}
 		writeJSON(w, struct{}{})
-		g.set(faults)
+		f.set(faults)
 	})
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, stats()) })
-	mux.Handle("/", g.guard(next))
+	mux.Handle("/", f.inject(next))
 	return mux
 }
 
-func (g *gate) set(faults Faults) {
+func (f *faultInjector) set(faults Faults) {
 	crash := faults.Crash
 	faults.Crash = false
-	g.mu.Lock()
-	if g.faults.Freeze && !faults.Freeze {
-		close(g.thaw)
+	f.mu.Lock()
+	if f.faults.Freeze && !faults.Freeze {
+		close(f.unfrozen)
 	}
-	if !g.faults.Freeze && faults.Freeze {
-		g.thaw = make(chan struct{})
+	if !f.faults.Freeze && faults.Freeze {
+		f.unfrozen = make(chan struct{})
 	}
-	if faults.Down && !g.faults.Down {
-		g.newLife()
+	if faults.Down && !f.faults.Down {
+		f.dropConnections()
 	}
-	g.faults = faults
-	g.mu.Unlock()
+	f.faults = faults
+	f.mu.Unlock()
 	if crash {
-		g.crash()
+		f.crash()
 	}
 }
 
-// newLife breaks every connection; the caller holds mu.
-func (g *gate) newLife() {
-	g.die()
-	g.life, g.die = context.WithCancel(context.Background())
+// dropConnections breaks all connections. The caller must hold mu.
+func (f *faultInjector) dropConnections() {
+	f.endLifetime()
+	f.lifetime, f.endLifetime = context.WithCancel(context.Background())
 }
 
-// close breaks every connection for good.
-func (g *gate) close() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.die()
+// close permanently breaks all connections.
+func (f *faultInjector) close() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.endLifetime()
 }
 
-// crash ends every call in progress and empties the stand-in.
-func (g *gate) crash() {
-	if g.onCrash != nil {
-		g.onCrash()
+// crash aborts all calls in progress and clears the stand-in's state, or calls onCrash.
+func (f *faultInjector) crash() {
+	if f.onCrash != nil {
+		f.onCrash()
 		return
 	}
-	g.mu.Lock()
-	g.newLife()
-	g.mu.Unlock()
-	g.reset()
+	f.mu.Lock()
+	f.dropConnections()
+	f.mu.Unlock()
+	f.reset()
 }
 
-func (g *gate) current() Faults {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.faults
+func (f *faultInjector) current() Faults {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.faults
 }
 
-func (g *gate) headers() []SeenCall {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return append([]SeenCall(nil), g.seen...)
+func (f *faultInjector) seenCalls() []SeenCall {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return append([]SeenCall(nil), f.seen...)
 }
 
-// slowed returns d under the slow factor in force.
-func (g *gate) slowed(d time.Duration) time.Duration {
-	if factor := g.current().SlowFactor; factor > 0 {
+// slowed returns d multiplied by the active slow factor.
+func (f *faultInjector) slowed(d time.Duration) time.Duration {
+	if factor := f.current().SlowFactor; factor > 0 {
 		return time.Duration(float64(d) * factor)
 	}
 	return d
 }
 
-// guard runs next under the faults in force. A panic with http.ErrAbortHandler
-// breaks the connection without an answer, which is how a dead process looks.
-func (g *gate) guard(next http.Handler) http.Handler {
+// inject runs next with the active faults. A panic with http.ErrAbortHandler breaks the
+// connection without a response, like a crashed process.
+func (f *faultInjector) inject(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		faults, thaw, life := g.arrive(r)
+		faults, unfrozen, lifetime := f.recordCall(r)
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
-		defer context.AfterFunc(life, cancel)()
+		defer context.AfterFunc(lifetime, cancel)()
 		select {
-		case <-thaw:
+		case <-unfrozen:
 		case <-ctx.Done():
 		}
 		sleep(ctx, time.Duration(faults.DelayMS)*time.Millisecond)
@@ -171,46 +172,46 @@
 			panic(http.ErrAbortHandler)
 		}
 		if faults.Refuse {
-			writeError(w, http.StatusServiceUnavailable, wire.CodeUnavailable, "refusing by order")
+			writeError(w, http.StatusServiceUnavailable, wire.CodeUnavailable, "the refuse fault is active")
 			return
 		}
 		next.ServeHTTP(w, r.WithContext(ctx))
-		if life.Err() != nil {
+		if lifetime.Err() != nil {
 			panic(http.ErrAbortHandler)
 		}
 	})
 }
 
-func (g *gate) arrive(r *http.Request) (Faults, <-chan struct{}, context.Context) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if len(g.seen) == seenKept {
-		g.seen = g.seen[1:]
+func (f *faultInjector) recordCall(r *http.Request) (Faults, <-chan struct{}, context.Context) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if len(f.seen) == maxSeenCalls {
+		f.seen = f.seen[1:]
 	}
-	g.seen = append(g.seen, SeenCall{Method: r.Method, Path: r.URL.Path, Header: r.Header.Clone()})
-	return g.faults, g.thaw, g.life
+	f.seen = append(f.seen, SeenCall{Method: r.Method, Path: r.URL.Path, Header: r.Header.Clone()})
+	return f.faults, f.unfrozen, f.lifetime
 }
 
-// answer writes v, or loses it when a fault says so. It is called after the
-// effect of a call.
-func (g *gate) answer(w http.ResponseWriter, v any) {
-	g.maybeLose()
+// respond writes the response v, or breaks the connection if LoseAnswers is active. It
+// must be called after the call has taken effect.
+func (f *faultInjector) respond(w http.ResponseWriter, v any) {
+	f.loseAnswer()
 	writeJSON(w, v)
 }
 
-func (g *gate) maybeLose() {
-	g.mu.Lock()
-	lose := g.faults.LoseAnswers > 0
+func (f *faultInjector) loseAnswer() {
+	f.mu.Lock()
+	lose := f.faults.LoseAnswers > 0
 	if lose {
-		g.faults.LoseAnswers--
+		f.faults.LoseAnswers--
 	}
-	g.mu.Unlock()
+	f.mu.Unlock()
 	if lose {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// sleep waits for d and reports whether ctx still lives.
+// sleep waits for d or until ctx is done, and reports whether ctx is not done yet.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -238,7 +239,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// writeError refuses a call of which nothing has run.
+// writeError writes an error response that says "not_run". It must only be used if no
+// part of the call has run.
 func writeError(w http.ResponseWriter, status int, code, message string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/stand/log.go
+++ b/stand/log.go
@@ -10,21 +10,22 @@
 	"github.com/cairnworks/cairnworks/port/httpport/wire"
 )
 
-// LogConfig sets a log service up.
+// LogConfig configures a log service. Zero fields take the defaults.
 type LogConfig struct {
-	// AppendsPerSecond bounds append calls over all streams; 400.
+	// AppendsPerSecond limits the rate of append calls over all streams; default 400.
 	AppendsPerSecond int
-	// Retention is how long records are kept; 1 h.
+	// Retention is how long records are retained; default 1 h.
 	Retention time.Duration
-	// AppendTime is the time of an append; 2 ms.
+	// AppendTime is how long an append takes; default 2 ms.
 	AppendTime time.Duration
-	// MaxWait bounds the wait of a read; 30 s.
+	// MaxWait limits the wait time of a read; default 30 s.
 	MaxWait time.Duration
-	// OnCrash, if set, is called in place of doing nothing: records survive.
+	// OnCrash, if set, is called on a crash. Otherwise a crash only drops connections;
+	// records are kept.
 	OnCrash func()
 }
 
-// LogStats answers GET /stats of the log.
+// LogStats is the response of GET /stats of the log.
 type LogStats struct {
 	Appends        int            `json:"appends"`
 	AppendsRefused int            `json:"appends_refused"`
@@ -33,23 +34,24 @@
 	Seen           []SeenCall     `json:"seen"`
 }
 
-// Log is a stand-in of the platform's append-only log.
+// Log is a stand-in for the platform's append-only log.
 type Log struct {
 	cfg     LogConfig
-	gate    *gate
+	faults  *faultInjector
 	mu      sync.Mutex
 	streams map[string]*logStream
-	// allowance of appends and when it was last filled.
-	allowance float64
-	filled    time.Time
-	stats     LogStats
+	// appendTokens is the token bucket for append calls, last refilled at the time
+	// refilled.
+	appendTokens float64
+	refilled     time.Time
+	stats        LogStats
 }
 
 type logStream struct {
 	records []wire.Record
 	next    uint64
-	// grown is closed and replaced at each append.
-	grown chan struct{}
+	// appended is closed and replaced on each append.
+	appended chan struct{}
 }
 
 // NewLog returns an empty log.
@@ -58,24 +60,24 @@
 	setDefault(&cfg.Retention, time.Hour)
 	setDefault(&cfg.AppendTime, 2*time.Millisecond)
 	setDefault(&cfg.MaxWait, 30*time.Second)
-	l := &Log{cfg: cfg, streams: map[string]*logStream{}, filled: time.Now()}
-	l.allowance = float64(cfg.AppendsPerSecond)
-	l.gate = newGate(func() {}, cfg.OnCrash)
+	l := &Log{cfg: cfg, streams: map[string]*logStream{}, refilled: time.Now()}
+	l.appendTokens = float64(cfg.AppendsPerSecond)
+	l.faults = newFaultInjector(func() {}, cfg.OnCrash)
 	return l
 }
 
-// Close ends every read that waits, by breaking its connection.
-func (l *Log) Close() { l.gate.close() }
+// Close breaks all connections, which ends waiting reads.
+func (l *Log) Close() { l.faults.close() }
 
-// Handler serves the log, its faults and its stats.
+// Handler returns the handler for the log, its faults and its statistics.
 func (l *Log) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/streams/{stream}/records", l.handleAppend)
 	mux.HandleFunc("GET /v1/streams/{stream}/records", l.handleRead)
-	return l.gate.handler(mux, func() any { return l.Stats() })
+	return l.faults.handler(mux, func() any { return l.Stats() })
 }
 
-// Stats returns a copy of what the log counted.
+// Stats returns a copy of the log's statistics.
 func (l *Log) Stats() LogStats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,7 +86,7 @@
 	for name, s := range l.streams {
 		out.Records[name] = len(s.records)
 	}
-	out.Seen = l.gate.headers()
+	out.Seen = l.faults.seenCalls()
 	return out
 }
 
@@ -93,29 +95,30 @@
 	if !readJSON(w, r, &req) {
 		return
 	}
-	if !l.allowed(time.Now()) {
-		writeError(w, http.StatusTooManyRequests, wire.CodeTooManyAppends, "append rate exceeded")
+	if !l.allowAppend(time.Now()) {
+		writeError(w, http.StatusTooManyRequests, wire.CodeTooManyAppends, "append rate limit exceeded")
 		return
 	}
-	// The append is durable once the whole call was read: a writer that goes away
-	// while it waits finds its entries in the log.
+	// The append is durable once the whole request has been read, even if the writer
+	// disconnects while it waits for the response.
 	first := l.append(r.PathValue("stream"), req.Entries, time.Now())
-	sleep(r.Context(), l.gate.slowed(l.cfg.AppendTime))
-	l.gate.answer(w, wire.AppendResult{First: first})
+	sleep(r.Context(), l.faults.slowed(l.cfg.AppendTime))
+	l.faults.respond(w, wire.AppendResult{First: first})
 }
 
-// allowed takes one append from the allowance, which holds one second's worth.
-func (l *Log) allowed(now time.Time) bool {
+// allowAppend takes a token from the bucket, whose capacity is one second of appends, and
+// reports whether there was one.
+func (l *Log) allowAppend(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	rate := float64(l.cfg.AppendsPerSecond)
-	l.allowance = min(rate, l.allowance+now.Sub(l.filled).Seconds()*rate)
-	l.filled = now
-	if l.allowance < 1 {
+	l.appendTokens = min(rate, l.appendTokens+now.Sub(l.refilled).Seconds()*rate)
+	l.refilled = now
+	if l.appendTokens < 1 {
 		l.stats.AppendsRefused++
 		return false
 	}
-	l.allowance--
+	l.appendTokens--
 	return true
 }
 
@@ -129,15 +132,15 @@
 		s.next++
 	}
 	l.stats.Appends++
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	return first
 }
 
 func (l *Log) stream(name string) *logStream {
 	s, ok := l.streams[name]
 	if !ok {
-		s = &logStream{next: 1, grown: make(chan struct{})}
+		s = &logStream{next: 1, appended: make(chan struct{})}
 		l.streams[name] = s
 	}
 	return s
@@ -151,13 +154,13 @@
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
 	for {
-		page, grown := l.read(r.PathValue("stream"), from, limit, time.Now())
+		page, appended := l.read(r.PathValue("stream"), from, limit, time.Now())
 		if len(page.Records) > 0 || ctx.Err() != nil {
-			l.gate.answer(w, page)
+			l.faults.respond(w, page)
 			return
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-ctx.Done():
 		}
 	}
@@ -175,12 +178,12 @@
 	page := wire.Page{First: first, Next: s.next, Records: []wire.Record{}}
 	at := max(from, first)
 	if at >= s.next {
-		return page, s.grown
+		return page, s.appended
 	}
 	rest := s.records[at-first:]
 	if limit > 0 && len(rest) > limit {
 		rest = rest[:limit]
 	}
 	page.Records = append(page.Records, rest...)
-	return page, s.grown
+	return page, s.appended
 }
--- a/stand/plain.go
+++ b/stand/plain.go
@@ -9,31 +9,31 @@
 	"github.com/cairnworks/cairnworks/port/httpport/wire"
 )
 
-// PlainConfig sets a plain service up.
+// PlainConfig configures a plain service. Zero fields take the defaults.
 type PlainConfig struct {
-	// ServiceTime of a call; 5 ms.
+	// ServiceTime is how long a call takes; default 5 ms.
 	ServiceTime time.Duration
-	// Slots is the number of calls that run at once; 64. More are refused.
+	// Slots is the maximum number of concurrent calls; default 64. More are refused.
 	Slots int
-	// OnCrash, if set, is called in place of an in-process restart.
+	// OnCrash, if set, is called instead of restarting in the process.
 	OnCrash func()
 }
 
-// PlainStats answers GET /stats of a plain service. Every run counts as an
-// effect: the service does not look at idempotency keys.
+// PlainStats is the response of GET /stats of a plain service. Every run counts as a
+// side effect, because the service ignores idempotency keys.
 type PlainStats struct {
 	Runs             int            `json:"runs"`
 	ByIdempotencyKey map[string]int `json:"by_idempotency_key"`
 	ByRequestID      map[string]int `json:"by_request_id"`
-	// ByCall counts by method, path, query and the hash of the body.
+	// ByCall counts runs by CallKey: method, path, query and hash of the body.
 	ByCall           map[string]int `json:"by_call"`
 	Refused          int            `json:"refused"`
 	WorkWhileLeaving int            `json:"work_while_leaving"`
 	Seen             []SeenCall     `json:"seen"`
 }
 
-// PlainAnswer is the body of every answer of the service. It echoes the call, so
-// that a caller can tell whether the answer is its own.
+// PlainAnswer is the body of every response of the service. It echoes the call, so that
+// callers can check that they received the response to their own call.
 type PlainAnswer struct {
 	Method         string `json:"method"`
 	Path           string `json:"path"`
@@ -46,7 +46,7 @@
 // Plain is a stand-in plain service. It answers every method on every path.
 type Plain struct {
 	cfg     PlainConfig
-	gate    *gate
+	faults  *faultInjector
 	mu      sync.Mutex
 	running int
 	stats   PlainStats
@@ -59,19 +59,19 @@
 	p := &Plain{cfg: cfg, stats: PlainStats{
 		ByIdempotencyKey: map[string]int{}, ByRequestID: map[string]int{}, ByCall: map[string]int{},
 	}}
-	p.gate = newGate(func() {}, cfg.OnCrash)
+	p.faults = newFaultInjector(func() {}, cfg.OnCrash)
 	return p
 }
 
-// Close does nothing; it is there for symmetry with the other stand-ins.
+// Close does nothing. It exists for consistency with the other stand-ins.
 func (p *Plain) Close() {}
 
-// Handler serves the service, its faults and its stats.
+// Handler returns the handler for the service, its faults and its statistics.
 func (p *Plain) Handler() http.Handler {
-	return p.gate.handler(http.HandlerFunc(p.handleCall), func() any { return p.Stats() })
+	return p.faults.handler(http.HandlerFunc(p.handleCall), func() any { return p.Stats() })
 }
 
-// CallKey is the key of a call in PlainStats.ByCall.
+// CallKey returns the key of a call in PlainStats.ByCall.
 func CallKey(method, path, query string, body []byte) string {
 	return method + " " + path + "?" + query + " " + PromptHash(string(body))
 }
@@ -82,14 +82,14 @@
 		panic(http.ErrAbortHandler)
 	}
 	if !p.begin(r, body) {
-		writeError(w, http.StatusServiceUnavailable, wire.CodeSlotsFull, "too many calls at once")
+		writeError(w, http.StatusServiceUnavailable, wire.CodeSlotsFull, "too many concurrent calls")
 		return
 	}
-	sleep(r.Context(), p.gate.slowed(p.cfg.ServiceTime))
+	sleep(r.Context(), p.faults.slowed(p.cfg.ServiceTime))
 	p.mu.Lock()
 	p.running--
 	p.mu.Unlock()
-	p.gate.answer(w, PlainAnswer{
+	p.faults.respond(w, PlainAnswer{
 		Method: r.Method, Path: r.URL.Path, Query: r.URL.RawQuery,
 		Organisation:   r.Header.Get(wire.HeaderOrganisation),
 		IdempotencyKey: r.Header.Get(wire.HeaderIdempotencyKey),
@@ -97,7 +97,8 @@
 	})
 }
 
-// begin counts a call as run, at its start: a crash during it leaves the effect.
+// begin counts a call as run and reports whether a slot was free. Calls are counted at
+// their start, because a crash during the call does not undo its effect.
 func (p *Plain) begin(r *http.Request, body []byte) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +108,7 @@
 	}
 	p.running++
 	p.stats.Runs++
-	if p.gate.current().Leaving {
+	if p.faults.current().Leaving {
 		p.stats.WorkWhileLeaving++
 	}
 	if key := r.Header.Get(wire.HeaderIdempotencyKey); key != "" {
--- a/stand/prefill.go
+++ b/stand/prefill.go
@@ -12,10 +12,11 @@
 	"github.com/cairnworks/cairnworks/port/httpport/wire"
 )
 
-// sampleBytes of either end of a prompt are searched for CrashOnText.
+// sampleBytes is how many bytes at each end of a prompt are searched for
+// Faults.CrashOnText.
 const sampleBytes = 512
 
-// kvCache is a computed KV cache that waits to be imported.
+// kvCache is a computed KV cache that has not been imported yet.
 type kvCache struct {
 	handle string
 	stream wire.Stream
@@ -24,36 +25,37 @@
 	expiry *time.Timer
 }
 
-// turnQueue lets one prefill run at a time; of those that wait, the lowest
-// priority number goes first, then the longest wait.
-type turnQueue struct {
+// prefillQueue runs one prefill at a time. Waiting prefills are ordered by priority
+// number, lowest first, and then by waiting time.
+type prefillQueue struct {
 	busy    bool
-	waiting []*turn
+	waiting []*queueEntry
 }
 
-type turn struct {
+type queueEntry struct {
 	priority int
 	ready    chan struct{}
 }
 
-func (q *turnQueue) join(priority int) *turn {
-	t := &turn{priority: priority, ready: make(chan struct{})}
+func (q *prefillQueue) enqueue(priority int) *queueEntry {
+	entry := &queueEntry{priority: priority, ready: make(chan struct{})}
 	if !q.busy {
 		q.busy = true
-		close(t.ready)
-		return t
+		close(entry.ready)
+		return entry
 	}
 	at := len(q.waiting)
 	for at > 0 && q.waiting[at-1].priority > priority {
 		at--
 	}
-	q.waiting = slices.Insert(q.waiting, at, t)
-	return t
+	q.waiting = slices.Insert(q.waiting, at, entry)
+	return entry
 }
 
-// leave gives up a place or a turn; the next in line gets the turn.
-func (q *turnQueue) leave(t *turn) {
-	if at := slices.Index(q.waiting, t); at >= 0 {
+// remove removes a prefill that is waiting or running. If it was running, the next one
+// starts.
+func (q *prefillQueue) remove(entry *queueEntry) {
+	if at := slices.Index(q.waiting, entry); at >= 0 {
 		q.waiting = slices.Delete(q.waiting, at, at+1)
 		return
 	}
@@ -73,73 +75,74 @@
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	t := e.joinPrefill(w, req, cancel)
-	if t == nil {
+	entry := e.enqueuePrefill(w, req, cancel)
+	if entry == nil {
 		return
 	}
-	defer e.leavePrefill(req.Stream, t)
+	defer e.dequeuePrefill(req.Stream, entry)
 	select {
-	case <-t.ready:
+	case <-entry.ready:
 	case <-ctx.Done():
 		panic(http.ErrAbortHandler)
 	}
-	if e.crashesOn(sample(req.Prompt)) {
+	if e.crashOnText(promptSample(req.Prompt)) {
 		return
 	}
 	kv, cached, ok := e.runPrefill(ctx, w, req)
 	if !ok {
 		return
 	}
-	e.gate.answer(w, wire.PrefillResult{
+	e.faults.respond(w, wire.PrefillResult{
 		Handle: kv.handle, Tokens: kv.kv.Tokens, CachedTokens: cached,
 		ExpiresMS: e.cfg.KVTTL.Milliseconds(), Bytes: kv.kv.Bytes,
 	})
 }
 
-func (e *Engine) joinPrefill(w http.ResponseWriter, req wire.PrefillRequest, cancel context.CancelFunc) *turn {
+func (e *Engine) enqueuePrefill(w http.ResponseWriter, req wire.PrefillRequest, cancel context.CancelFunc) *queueEntry {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.turns.waiting) >= e.cfg.MaxQueued {
-		writeError(w, http.StatusServiceUnavailable, wire.CodeQueueFull, "too many prefills wait")
+	if len(e.queue.waiting) >= e.cfg.MaxQueued {
+		writeError(w, http.StatusServiceUnavailable, wire.CodeQueueFull, "too many prefills are waiting")
 		return nil
 	}
 	e.prefills[keyOf(req.Stream)] = cancel
-	e.changed()
-	return e.turns.join(req.Priority)
+	e.scheduleReport()
+	return e.queue.enqueue(req.Priority)
 }
 
-func (e *Engine) leavePrefill(s wire.Stream, t *turn) {
+func (e *Engine) dequeuePrefill(s wire.Stream, entry *queueEntry) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.prefills, keyOf(s))
-	e.turns.leave(t)
-	e.changed()
+	e.queue.remove(entry)
+	e.scheduleReport()
 }
 
-// runPrefill computes for as long as the uncached tokens take and keeps the result.
+// runPrefill waits for the computing time of the uncached tokens and stores the KV
+// cache.
 func (e *Engine) runPrefill(ctx context.Context, w http.ResponseWriter, req wire.PrefillRequest) (*kvCache, int, bool) {
 	tokens := CountTokens(req.Prompt) + len(req.Generated)
-	kv := &kvCache{stream: req.Stream, pieces: e.pieces(tokens), kv: wire.KV{
+	kv := &kvCache{stream: req.Stream, pieces: e.piecesFor(tokens), kv: wire.KV{
 		Model: req.Model, Tokens: tokens, Generated: len(req.Generated), Bytes: int64(tokens) * e.cfg.KVBytesPerToken,
-		PromptHash: PromptHash(req.Prompt), Sample: sample(req.Prompt),
+		PromptHash: PromptHash(req.Prompt), Sample: promptSample(req.Prompt),
 	}}
 	hashes := port.MeasurePrompt(req.Prompt).Prefixes
 	e.mu.Lock()
-	if !e.take(kv.pieces) {
+	if !e.reservePieces(kv.pieces) {
 		e.mu.Unlock()
 		writeError(w, http.StatusServiceUnavailable, wire.CodeMemoryShort, "not enough memory for the prompt")
 		return nil, 0, false
 	}
-	runs := e.runs(req.Stream)
-	runs.Prefills++
-	runs.PromptHash = kv.kv.PromptHash
+	stats := e.requestStats(req.Stream)
+	stats.Prefills++
+	stats.PromptHash = kv.kv.PromptHash
 	e.stats.PrefillTokens += tokens
 	cached := e.prefixes.match(hashes) * port.PrefixBlockWords
 	epoch := e.epoch
 	e.mu.Unlock()
 
 	work := time.Duration(tokens-cached) * time.Second / time.Duration(e.cfg.PrefillTokensPerSecond)
-	done := sleep(ctx, e.gate.slowed(work))
+	done := sleep(ctx, e.faults.slowed(work))
 
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,17 +150,17 @@
 		panic(http.ErrAbortHandler)
 	}
 	if !done {
-		e.give(kv.pieces)
-		e.wasted(kv)
+		e.releasePieces(kv.pieces)
+		e.countWasted(kv)
 		panic(http.ErrAbortHandler)
 	}
 	e.prefixes.store(hashes, time.Now().Add(e.cfg.EventLag))
-	e.keep(kv)
+	e.storeCache(kv)
 	return kv, cached, true
 }
 
-// keep holds a KV cache until it is taken or expires; the caller holds mu.
-func (e *Engine) keep(kv *kvCache) {
+// storeCache stores a KV cache until it is imported or expires. The caller must hold mu.
+func (e *Engine) storeCache(kv *kvCache) {
 	e.nextHandle++
 	kv.handle = e.start + "-" + kv.stream.RequestID + "-" + strconv.Itoa(e.nextHandle)
 	e.caches[kv.handle] = kv
@@ -165,55 +168,56 @@
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if e.caches[kv.handle] == kv {
-			e.drop(kv)
-			e.wasted(kv)
+			e.removeCache(kv)
+			e.countWasted(kv)
 		}
 	})
 }
 
-// drop frees a KV cache; the caller holds mu.
-func (e *Engine) drop(kv *kvCache) {
+// removeCache frees a KV cache. The caller must hold mu.
+func (e *Engine) removeCache(kv *kvCache) {
 	kv.expiry.Stop()
 	delete(e.caches, kv.handle)
-	e.give(kv.pieces)
+	e.releasePieces(kv.pieces)
 }
 
-func (e *Engine) wasted(kv *kvCache) {
+func (e *Engine) countWasted(kv *kvCache) {
 	e.stats.WastedPrefills++
 	e.stats.WastedPrefillTokens += kv.kv.Tokens
 }
 
-// handleKV describes a waiting KV cache, or gives it away on DELETE.
+// handleKV returns the description of a KV cache. On DELETE, it also frees the cache.
 func (e *Engine) handleKV(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	kv, ok := e.caches[r.PathValue("handle")]
 	if ok && r.Method == http.MethodDelete {
-		e.drop(kv)
+		e.removeCache(kv)
 	}
 	e.mu.Unlock()
 	if !ok {
-		writeError(w, http.StatusGone, wire.CodeKVExpired, "no such KV cache, or it expired")
+		writeError(w, http.StatusGone, wire.CodeKVExpired, "the KV cache does not exist or has expired")
 		return
 	}
 	writeJSON(w, kv.kv)
 }
 
-func sample(prompt string) string {
+func promptSample(prompt string) string {
 	if len(prompt) <= 2*sampleBytes {
 		return prompt
 	}
 	return prompt[:sampleBytes] + prompt[len(prompt)-sampleBytes:]
 }
 
-// crashesOn crashes the engine when a fault is set on the text of a prompt.
-func (e *Engine) crashesOn(sample string) bool {
-	text := e.gate.current().CrashOnText
+// crashOnText crashes the engine if the prompt contains Faults.CrashOnText, and reports
+// whether it did.
+func (e *Engine) crashOnText(sample string) bool {
+	text := e.faults.current().CrashOnText
 	if text == "" || !strings.Contains(sample, text) {
 		return false
 	}
 	e.mu.Lock()
 	e.stats.CrashesOnText++
 	e.mu.Unlock()
-	e.gate.crash()
+	e.faults.crash()
 	return true
 }
--- a/stand/stats.go
+++ b/stand/stats.go
@@ -6,29 +6,30 @@
 	"github.com/cairnworks/cairnworks/port/httpport/wire"
 )
 
-// RequestStats counts what an engine did for one request, over all attempts.
+// RequestStats counts the operations of an engine for one request, over all attempts.
 type RequestStats struct {
 	PromptHash string `json:"prompt_hash,omitempty"`
-	// LastAttempt is the highest attempt number seen.
+	// LastAttempt is the highest attempt number received.
 	LastAttempt uint32 `json:"last_attempt"`
 	Prefills    int    `json:"prefills"`
 	Imports     int    `json:"imports"`
 	Decodes     int    `json:"decodes"`
 	Resumes     int    `json:"resumes"`
 	Cancels     int    `json:"cancels"`
-	// Completed counts streams whose terminator was written.
+	// Completed is the number of streams whose terminator was written.
 	Completed int `json:"completed"`
 }
 
-// EngineStats answers GET /stats of an engine. Counts grow from the start of the
-// process on, through crashes in place.
+// EngineStats is the response of GET /stats of an engine. Counters start at the start of
+// the process and are not reset by restarts in the process.
 type EngineStats struct {
 	Requests map[string]*RequestStats `json:"requests"`
-	// Held counts streams and KV caches held now, PiecesUsed their memory.
+	// Held is the number of streams and KV caches currently held, PiecesUsed their
+	// memory.
 	Held       int `json:"held"`
 	PiecesUsed int `json:"pieces_used"`
 	PiecesPeak int `json:"pieces_peak"`
-	// Starts counts starts, the first included.
+	// Starts is the number of starts, including the first.
 	Starts              int          `json:"starts"`
 	PrefillTokens       int          `json:"prefill_tokens"`
 	WastedPrefills      int          `json:"wasted_prefills"`
@@ -48,37 +49,37 @@
 	Seen                []SeenCall   `json:"seen"`
 }
 
-// Stats returns a copy of what the engine counted.
+// Stats returns a copy of the engine's statistics.
 func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := e.stats
 	out.Requests = make(map[string]*RequestStats, len(e.stats.Requests))
-	for id, runs := range e.stats.Requests {
-		copied := *runs
+	for id, stats := range e.stats.Requests {
+		copied := *stats
 		out.Requests[id] = &copied
 	}
 	out.Held = len(e.streams) + len(e.caches)
-	out.PiecesUsed = e.used
+	out.PiecesUsed = e.piecesUsed
 	out.Role = e.role
 	out.Models = append([]string(nil), e.models...)
 	out.Orders = append([]wire.Order(nil), e.stats.Orders...)
-	out.Seen = e.gate.headers()
+	out.Seen = e.faults.seenCalls()
 	return out
 }
 
-// runs returns the counts of a request; the caller holds mu.
-func (e *Engine) runs(s wire.Stream) *RequestStats {
-	runs, ok := e.stats.Requests[s.RequestID]
+// requestStats returns the statistics of a request. The caller must hold mu.
+func (e *Engine) requestStats(s wire.Stream) *RequestStats {
+	stats, ok := e.stats.Requests[s.RequestID]
 	if !ok {
-		runs = &RequestStats{}
-		e.stats.Requests[s.RequestID] = runs
+		stats = &RequestStats{}
+		e.stats.Requests[s.RequestID] = stats
 	}
-	runs.LastAttempt = max(runs.LastAttempt, s.Attempt)
-	return runs
+	stats.LastAttempt = max(stats.LastAttempt, s.Attempt)
+	return stats
 }
 
-// Stats returns a copy of what the service counted.
+// Stats returns a copy of the service's statistics.
 func (p *Plain) Stats() PlainStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,6 +87,6 @@
 	out.ByIdempotencyKey = maps.Clone(p.stats.ByIdempotencyKey)
 	out.ByRequestID = maps.Clone(p.stats.ByRequestID)
 	out.ByCall = maps.Clone(p.stats.ByCall)
-	out.Seen = p.gate.headers()
+	out.Seen = p.faults.seenCalls()
 	return out
 }
