--- a/e2e/keys_test.go
+++ b/e2e/keys_test.go
@@ -56,7 +56,7 @@
 	assert.Equal(t, lookup.status, http.StatusOK)
 	for name := range f.upstreams {
 		var stats struct {
-			Seen []stand.Seen `json:"seen"`
+			Seen []stand.SeenCall `json:"seen"`
 		}
 		f.readStats(name, &stats)
 		assert.Assert(t, len(stats.Seen) > 0, name)
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -149,7 +149,7 @@
 		return f.readSnapshot(ctx, started)
 	}
 	records, next, err := f.Log.Since(ctx, f.Topic, next, wait)
-	if errors.Is(err, port.ErrForgotten) {
+	if errors.Is(err, port.ErrCompacted) {
 		f.Logger.Info("records expired; reading snapshot", zap.Stringer("topic", f.Topic), zap.Uint64("from", next))
 		return f.readSnapshot(ctx, started)
 	}
--- a/load/check.go
+++ b/load/check.go
@@ -196,7 +196,7 @@
 	}
 }
 
-func (c *checker) containsKey(call stand.Seen) bool {
+func (c *checker) containsKey(call stand.SeenCall) bool {
 	for _, values := range call.Header {
 		for _, o := range c.scenario.Organisations {
 			if o.Key != "" && strings.Contains(strings.Join(values, " "), o.Key) {
--- a/load/check_test.go
+++ b/load/check_test.go
@@ -46,7 +46,7 @@
 
 func evidenceOfOneRun() Evidence {
 	return Evidence{Idle: true, After: StandIns{
-		Engines: map[string]*stand.EngineStats{"e": {Requests: map[string]*stand.RequestRuns{
+		Engines: map[string]*stand.EngineStats{"e": {Requests: map[string]*stand.RequestStats{
 			"r1": {Prefills: 1, Decodes: 1},
 		}}},
 		PlainServices: map[string]*stand.PlainStats{"p": {
@@ -134,7 +134,7 @@
 		}, GuaranteeNotRun},
 		{"key sent to upstream", func(_ *Result, e *Evidence) {
 			header := map[string][]string{"X-Forwarded": {"Bearer cw-secret-a"}}
-			e.After.PlainServices["p"].Seen = []stand.Seen{{Method: "POST", Path: "/swaps", Header: header}}
+			e.After.PlainServices["p"].Seen = []stand.SeenCall{{Method: "POST", Path: "/swaps", Header: header}}
 		}, GuaranteeKeySecrecy},
 		{"memory held", func(_ *Result, e *Evidence) {
 			e.Idle = false
--- a/load/evidence.go
+++ b/load/evidence.go
@@ -137,8 +137,8 @@
 }
 
 // recentCalls returns the headers of the last calls that each stand-in received, by address.
-func (s StandIns) recentCalls() map[string][]stand.Seen {
-	out := map[string][]stand.Seen{}
+func (s StandIns) recentCalls() map[string][]stand.SeenCall {
+	out := map[string][]stand.SeenCall{}
 	for address, engine := range s.Engines {
 		out[address] = engine.Seen
 	}
