--- a/gen/cairnworks/once/v1/oncev1connect/once.connect.go
+++ b/gen/cairnworks/once/v1/oncev1connect/once.connect.go
@@ -2,8 +2,8 @@
 //
 // Source: cairnworks/once/v1/once.proto
 
-// Package cairnworks.once.v1 holds the records of the at-most-once guard in the
-// log and what instances say to the owner of a partition.
+// Package cairnworks.once.v1 defines the log records of the at-most-once guard and the
+// service through which instances send them to the owner of a partition.
 package oncev1connect
 
 import (
@@ -43,9 +43,9 @@
 
 // OnceServiceClient is a client for the cairnworks.once.v1.OnceService service.
 type OnceServiceClient interface {
-	// Claim looks a key up and, unless it is taken, appends the intent and waits
-	// until the log's order has decided it. Asked again with the same intent it
-	// gives the same result.
+	// Claim looks up a key and, if the key is free, appends the intent and waits until the
+	// order of the log has decided which intent wins. It is idempotent: a repeated request
+	// with the same intent returns the same decision.
 	Claim(context.Context, *connect.Request[v1.ClaimRequest]) (*connect.Response[v1.ClaimResponse], error)
 	// Append appends an outcome or a void.
 	Append(context.Context, *connect.Request[v1.AppendRequest]) (*connect.Response[v1.AppendResponse], error)
@@ -95,9 +95,9 @@
 
 // OnceServiceHandler is an implementation of the cairnworks.once.v1.OnceService service.
 type OnceServiceHandler interface {
-	// Claim looks a key up and, unless it is taken, appends the intent and waits
-	// until the log's order has decided it. Asked again with the same intent it
-	// gives the same result.
+	// Claim looks up a key and, if the key is free, appends the intent and waits until the
+	// order of the log has decided which intent wins. It is idempotent: a repeated request
+	// with the same intent returns the same decision.
 	Claim(context.Context, *connect.Request[v1.ClaimRequest]) (*connect.Response[v1.ClaimResponse], error)
 	// Append appends an outcome or a void.
 	Append(context.Context, *connect.Request[v1.AppendRequest]) (*connect.Response[v1.AppendResponse], error)
--- a/gen/cairnworks/peer/v1/peerv1connect/peer.connect.go
+++ b/gen/cairnworks/peer/v1/peerv1connect/peer.connect.go
@@ -2,8 +2,8 @@
 //
 // Source: cairnworks/peer/v1/peer.proto
 
-// Package cairnworks.peer.v1 is what instances say to one another. Callers,
-// upstreams and operators never speak it.
+// Package cairnworks.peer.v1 defines the RPCs between instances. Callers, upstreams and
+// operators do not use them.
 package peerv1connect
 
 import (
@@ -68,17 +68,16 @@
 
 // SchedulerServiceClient is a client for the cairnworks.peer.v1.SchedulerService service.
 type SchedulerServiceClient interface {
-	// Reserve waits in the service's queue until a decode slot, its memory and
-	// the transfer's link time are granted or the request's deadline cannot be
-	// met any more.
+	// Reserve waits in the service's queue until a decode slot, its memory and link time for
+	// the transfer are granted, or until the request's deadline can no longer be met.
 	Reserve(context.Context, *connect.Request[v1.ReserveRequest]) (*connect.Response[v1.ReserveResponse], error)
-	// Renew extends the leases of every grant an instance still uses.
+	// Renew extends the leases of all grants that an instance still uses.
 	Renew(context.Context, *connect.Request[v1.RenewRequest]) (*connect.Response[v1.RenewResponse], error)
-	// Release gives a grant back with what became of it.
+	// Release releases a grant and reports its outcome.
 	Release(context.Context, *connect.Request[v1.ReleaseRequest]) (*connect.Response[v1.ReleaseResponse], error)
-	// PrefillDone frees the prefill place of a grant whose decode goes on.
+	// PrefillDone releases the prefill slot of a grant whose decode continues.
 	PrefillDone(context.Context, *connect.Request[v1.PrefillDoneRequest]) (*connect.Response[v1.PrefillDoneResponse], error)
-	// Status reports the queue and the slots as the scheduler sees them.
+	// Status returns the scheduler's view of the queue and the slots.
 	Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error)
 }
 
@@ -162,17 +161,16 @@
 
 // SchedulerServiceHandler is an implementation of the cairnworks.peer.v1.SchedulerService service.
 type SchedulerServiceHandler interface {
-	// Reserve waits in the service's queue until a decode slot, its memory and
-	// the transfer's link time are granted or the request's deadline cannot be
-	// met any more.
+	// Reserve waits in the service's queue until a decode slot, its memory and link time for
+	// the transfer are granted, or until the request's deadline can no longer be met.
 	Reserve(context.Context, *connect.Request[v1.ReserveRequest]) (*connect.Response[v1.ReserveResponse], error)
-	// Renew extends the leases of every grant an instance still uses.
+	// Renew extends the leases of all grants that an instance still uses.
 	Renew(context.Context, *connect.Request[v1.RenewRequest]) (*connect.Response[v1.RenewResponse], error)
-	// Release gives a grant back with what became of it.
+	// Release releases a grant and reports its outcome.
 	Release(context.Context, *connect.Request[v1.ReleaseRequest]) (*connect.Response[v1.ReleaseResponse], error)
-	// PrefillDone frees the prefill place of a grant whose decode goes on.
+	// PrefillDone releases the prefill slot of a grant whose decode continues.
 	PrefillDone(context.Context, *connect.Request[v1.PrefillDoneRequest]) (*connect.Response[v1.PrefillDoneResponse], error)
-	// Status reports the queue and the slots as the scheduler sees them.
+	// Status returns the scheduler's view of the queue and the slots.
 	Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error)
 }
 
@@ -326,15 +324,16 @@
 
 // RateServiceClient is a client for the cairnworks.peer.v1.RateService service.
 type RateServiceClient interface {
-	// Acquire takes tokens from one share of one organisation's bucket.
+	// Acquire takes tokens from one share of an organisation's bucket.
 	Acquire(context.Context, *connect.Request[v1.AcquireRequest]) (*connect.Response[v1.AcquireResponse], error)
-	// Refund gives back tokens that an admitted request did not use.
+	// Refund returns tokens that an admitted request did not use.
 	Refund(context.Context, *connect.Request[v1.RefundRequest]) (*connect.Response[v1.RefundResponse], error)
-	// Extend asks a fence member to confirm that a term has not been fenced.
+	// Extend asks a fence member to acknowledge that terms have not been fenced.
 	Extend(context.Context, *connect.Request[v1.ExtendRequest]) (*connect.Response[v1.ExtendResponse], error)
-	// Fence asks a fence member never to extend a term again.
+	// Fence asks a fence member to acknowledge no further Extend of a term.
 	Fence(context.Context, *connect.Request[v1.FenceRequest]) (*connect.Response[v1.FenceResponse], error)
-	// HandOver moves a shard with its levels to a successor during a drain.
+	// HandOver tells the successor of a shard, for example during a drain, that the previous
+	// holder has stopped, and transfers the levels of its buckets.
 	HandOver(context.Context, *connect.Request[v1.HandOverRequest]) (*connect.Response[v1.HandOverResponse], error)
 }
 
@@ -418,15 +417,16 @@
 
 // RateServiceHandler is an implementation of the cairnworks.peer.v1.RateService service.
 type RateServiceHandler interface {
-	// Acquire takes tokens from one share of one organisation's bucket.
+	// Acquire takes tokens from one share of an organisation's bucket.
 	Acquire(context.Context, *connect.Request[v1.AcquireRequest]) (*connect.Response[v1.AcquireResponse], error)
-	// Refund gives back tokens that an admitted request did not use.
+	// Refund returns tokens that an admitted request did not use.
 	Refund(context.Context, *connect.Request[v1.RefundRequest]) (*connect.Response[v1.RefundResponse], error)
-	// Extend asks a fence member to confirm that a term has not been fenced.
+	// Extend asks a fence member to acknowledge that terms have not been fenced.
 	Extend(context.Context, *connect.Request[v1.ExtendRequest]) (*connect.Response[v1.ExtendResponse], error)
-	// Fence asks a fence member never to extend a term again.
+	// Fence asks a fence member to acknowledge no further Extend of a term.
 	Fence(context.Context, *connect.Request[v1.FenceRequest]) (*connect.Response[v1.FenceResponse], error)
-	// HandOver moves a shard with its levels to a successor during a drain.
+	// HandOver tells the successor of a shard, for example during a drain, that the previous
+	// holder has stopped, and transfers the levels of its buckets.
 	HandOver(context.Context, *connect.Request[v1.HandOverRequest]) (*connect.Response[v1.HandOverResponse], error)
 }
 
