--- a/once/handler.go
+++ b/once/handler.go
@@ -35,9 +35,9 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	hold, cancel := context.WithTimeout(ctx, claimServerTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, claimServerTimeout)
 	defer cancel()
-	reply, err := h.service.claimLocal(hold, number, claimRequest{intent: req.Msg.Record, rec: rec, lookupOnly: req.Msg.LookupOnly})
+	reply, err := h.service.claimLocal(waitCtx, number, claimRequest{intent: req.Msg.Record, rec: rec, lookupOnly: req.Msg.LookupOnly})
 	if errors.Is(err, context.DeadlineExceeded) {
 		reply, err = claimReply{state: statePending}, nil
 	}
@@ -53,9 +53,9 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	hold, cancel := context.WithTimeout(ctx, appendServerTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, appendServerTimeout)
 	defer cancel()
-	err = h.service.appendLocal(hold, number, req.Msg.Record)
+	err = h.service.appendLocal(waitCtx, number, req.Msg.Record)
 	if err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
--- a/once/protocol/doc.go
+++ b/once/protocol/doc.go
@@ -2,9 +2,9 @@
 // the state of each idempotency key after a prefix of a partition's stream, and Claim decides
 // what the owner of an intent may do. The package uses no clock, network or log.
 //
-// It handles the following load pattern: a caller got no response to a booking and repeats it at
-// another instance while the first call may still be running or its instance has died. Without
-// the protocol the booking would run twice.
+// It prevents the following failure: a caller gets no response to a call that must not be
+// repeated, such as a booking, and sends it again to another instance while the first call may
+// still be running or its instance has died. Without the protocol the call would run twice.
 //
 // # Rules
 //
--- a/once/protocol/explore_test.go
+++ b/once/protocol/explore_test.go
@@ -29,8 +29,8 @@
 
 // Callers send the same booking to several instances at once and again later, one of them with a
 // different body. Meanwhile appends take effect late or twice, instances lag, crash at any point
-// and restart, and the window passes. No interleaving may run a booking twice; the shop would
-// be charged twice.
+// and restart, and the window passes. No interleaving may run a booking twice; its customer
+// would be charged twice.
 func TestKeyRunsOnceInEveryInterleaving(t *testing.T) {
 	for name, s := range map[string]scenario{
 		"a crash and a lost upstream response": {nodes: 2, bodies: []byte{1, 1}, maxCrashes: 1, lostResponses: true},
--- a/once/protocol/model_test.go
+++ b/once/protocol/model_test.go
@@ -299,16 +299,16 @@
 		return
 	}
 	x := s.index(m, m.nodes[n])
-	fate, _ := x.Decision(modelKey, IntentID{e.call(), e.version()})
+	decision, _ := x.Decision(modelKey, IntentID{e.call(), e.version()})
 	if s.mutation == ownIntentAlwaysWins {
-		fate = DecisionWon
+		decision = DecisionWon
 	}
 	claim := s.claim(i, *c)
-	claim.SetDecision(fate)
+	claim.SetDecision(decision)
 	switch {
 	case claim.MayDispatch():
 		c.phase = won
-	case fate == DecisionLost:
+	case decision == DecisionLost:
 		if claim.Withdraw() && s.mutation != lostIntentNotVoided {
 			m.send(KindVoid, i, e.version())
 		}
--- a/once/query.go
+++ b/once/query.go
@@ -27,7 +27,7 @@
 }
 
 // Lookup returns the state of a key without claiming it. Operators use it to find out what happened
-// to a booking.
+// to a call.
 func (s *Service) Lookup(ctx context.Context, organisation, service, key string) KeyState {
 	call := route.GuardedCall{Organisation: organisation, Service: service, IdempotencyKey: key}
 	intent := s.newIntent(call, s.cfg.Clock())
--- a/once/service_test.go
+++ b/once/service_test.go
@@ -121,7 +121,7 @@
 }
 
 // A client sends the same booking several times at once to two instances. Only one call may run;
-// without the guard the shop would be charged twice.
+// without the guard its customer would be charged twice.
 func TestConcurrentCallsWithTheSameKey(t *testing.T) {
 	runWithFleet(t, func(t *testing.T, f *testFleet) {
 		tickets := make(chan *route.Ticket, 4)
