--- a/config/fakes_test.go
+++ b/config/fakes_test.go
@@ -103,52 +103,52 @@
 	}
 }
 
-// logView is one instance's connection to the log.
-type logView struct {
+// logLink is one instance's connection to the log.
+type logLink struct {
 	*memLog
 	mu   sync.Mutex
 	down chan struct{}
 }
 
-func (v *logView) setDown(down bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (k *logLink) setDown(down bool) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
 	switch {
-	case down && v.down == nil:
-		v.down = make(chan struct{})
+	case down && k.down == nil:
+		k.down = make(chan struct{})
 	case !down:
-		v.down = nil
+		k.down = nil
 	}
 }
 
-func (v *logView) isDown() bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.down != nil
+func (k *logLink) isDown() bool {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return k.down != nil
 }
 
-func (v *logView) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (port.Page, error) {
-	if v.isDown() {
+func (k *logLink) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (port.Page, error) {
+	if k.isDown() {
 		return port.Page{}, errDown
 	}
-	page, err := v.memLog.Read(ctx, stream, from, limit, wait)
-	if v.isDown() {
+	page, err := k.memLog.Read(ctx, stream, from, limit, wait)
+	if k.isDown() {
 		return port.Page{}, errDown
 	}
 	return page, err
 }
 
-func (v *logView) Append(ctx context.Context, stream string, entries ...port.Entry) (uint64, error) {
-	if v.isDown() {
+func (k *logLink) Append(ctx context.Context, stream string, entries ...port.Entry) (uint64, error) {
+	if k.isDown() {
 		return 0, errDown
 	}
-	return v.memLog.Append(ctx, stream, entries...)
+	return k.memLog.Append(ctx, stream, entries...)
 }
 
 // node is one instance of a fleet.
 type node struct {
 	*Follower
-	view   *logView
+	link   *logLink
 	cancel context.CancelFunc
 	done   chan struct{}
 	// isolated nodes cannot be reached by their peers.
@@ -175,10 +175,10 @@
 }
 
 func (f *fleet) start(address string, logDown bool) *node {
-	n := &node{view: &logView{memLog: f.log}, done: make(chan struct{})}
-	n.view.setDown(logDown)
+	n := &node{link: &logLink{memLog: f.log}, done: make(chan struct{})}
+	n.link.setDown(logDown)
 	n.Follower = NewFollower(FollowerConfig{
-		Log: n.view, Self: address, Retention: f.retention, Seed: uint64(crc32.ChecksumIEEE([]byte(address))),
+		Log: n.link, Self: address, Retention: f.retention, Seed: uint64(crc32.ChecksumIEEE([]byte(address))),
 		Peers: func() []Peer { return f.peers(address) },
 		Dial:  func(to string) peerv1connect.ConfigServiceClient { return client{f, to} },
 	})
--- a/config/follow_log.go
+++ b/config/follow_log.go
@@ -83,7 +83,7 @@
 	judged, err := applyPage(replay, page)
 	f.reportJudged(judged)
 	f.adoptReplay(replay, true, page.Next <= replay.next)
-	f.noticeExpiry(page.First)
+	f.detectExpiry(page.First)
 	return err
 }
 
--- a/config/follower_test.go
+++ b/config/follower_test.go
@@ -83,7 +83,7 @@
 		}
 		advance(time.Second)
 		for i := 1; i < 9; i++ {
-			f.nodes[fmt.Sprintf("10.0.0.%d:1", i)].view.setDown(true)
+			f.nodes[fmt.Sprintf("10.0.0.%d:1", i)].link.setDown(true)
 		}
 		advance(longPoll + time.Second)
 		mustPublish(t, f.log, -2)
@@ -105,12 +105,12 @@
 		stale := f.start("10.0.0.1:1", false)
 		advance(time.Second)
 		stale.isolated.Store(true)
-		stale.view.setDown(true)
+		stale.link.setDown(true)
 		advance(longPoll)
 		mustPublish(t, f.log, 2)
 		current := f.start("10.0.0.2:1", false)
 		advance(time.Second)
-		current.view.setDown(true)
+		current.link.setDown(true)
 		stale.isolated.Store(false)
 		current.isolated.Store(true)
 		stale.knowsNoPeers.Store(true)
@@ -137,7 +137,7 @@
 		advance(time.Minute)
 		assert.Assert(t, !fresh.Ready() && !other.Ready())
 		assert.Assert(t, f.fetches.Load() <= 4, "%d fetches: instances that start together must ask each peer only once", f.fetches.Load())
-		fresh.view.setDown(false)
+		fresh.link.setDown(false)
 		advance(5 * time.Second)
 		assertVersionOnAll(t, f, 1)
 	})
@@ -188,25 +188,25 @@
 		mustPublish(t, f.log, 1)
 		n := f.start("10.0.0.1:1", false)
 		advance(time.Second)
-		n.view.setDown(true)
+		n.link.setDown(true)
 		advance(longPoll)
 		mustPublish(t, f.log, 2)
 		advance(time.Hour)
 		mustPublish(t, f.log, 3)
 		f.log.expire(time.Minute)
 		mustPublish(t, f.log, 4)
-		n.view.setDown(false)
+		n.link.setDown(false)
 		advance(5 * time.Second)
 		assert.Equal(t, n.version(), uint64(4))
 
 		// All records expired before they were read: the held version stays active, and
 		// nothing is republished, since another version may have been published in between.
-		n.view.setDown(true)
+		n.link.setDown(true)
 		advance(longPoll)
 		mustPublish(t, f.log, 5)
 		advance(time.Hour)
 		f.log.expire(time.Minute)
-		n.view.setDown(false)
+		n.link.setDown(false)
 		advance(time.Minute)
 		assert.Equal(t, n.version(), uint64(4))
 		assert.Equal(t, len(f.log.records), 0)
@@ -232,7 +232,7 @@
 				case n == nil:
 					f.start(at, r.IntN(3) == 0)
 				case action < 2:
-					n.view.setDown(!n.view.isDown())
+					n.link.setDown(!n.link.isDown())
 				case action == 2:
 					n.isolated.Store(!n.isolated.Load())
 				case action == 3:
@@ -247,7 +247,7 @@
 			}
 			for _, n := range f.nodes {
 				n.isolated.Store(false)
-				n.view.setDown(false)
+				n.link.setDown(false)
 			}
 			advance(20 * time.Second)
 			latest, err := Latest(context.Background(), f.log)
@@ -338,7 +338,7 @@
 		mustPublish(t, f.log, 1)
 		n := f.start("10.0.0.1:1", true)
 		n.ObservePeerVersion("10.0.0.2:1", 9)
-		n.view.setDown(false)
+		n.link.setDown(false)
 		advance(3 * time.Second)
 		assert.Equal(t, n.version(), uint64(1))
 	})
@@ -354,7 +354,7 @@
 		mustPublish(t, f.log, 1)
 		n := f.start("10.0.0.1:1", false)
 		advance(time.Second)
-		n.view.setDown(true)
+		n.link.setDown(true)
 		advance(longPoll)
 		mustPublish(t, f.log, 2)
 		f.start("10.0.0.2:1", false)
--- a/config/publisher_test.go
+++ b/config/publisher_test.go
@@ -105,9 +105,9 @@
 // written, so that the operator can simply retry.
 func TestRejectedPublishWritesNothing(t *testing.T) {
 	log := newMemLog()
-	view := &logView{memLog: log}
-	view.setDown(true)
-	_, err := testPublisher(view, "p").Publish(context.Background(), testSet(1), 0, "")
+	link := &logLink{memLog: log}
+	link.setDown(true)
+	_, err := testPublisher(link, "p").Publish(context.Background(), testSet(1), 0, "")
 	assert.ErrorIs(t, err, ErrNotPublished)
 	bad := testSet(1)
 	bad.Keys[0].Organisation = "nobody"
--- a/config/record.go
+++ b/config/record.go
@@ -148,19 +148,19 @@
 	var h Header
 	sum, text, _ := bytes.Cut(line, []byte(" "))
 	if string(sum) != fmt.Sprintf("%08x", crc32.ChecksumIEEE(text)) {
-		return h, fmt.Errorf("%w: header checksum", errDamaged)
+		return h, fmt.Errorf("%w: header checksum mismatch", errDamaged)
 	}
 	if err := decodeStrict(bytes.NewReader(text), &h); err != nil {
 		return h, fmt.Errorf("%w: header: %v", errDamaged, err)
 	}
 	if h.Format != recordFormat {
-		return h, fmt.Errorf("%w: format %d", errDamaged, h.Format)
+		return h, fmt.Errorf("%w: unknown format %d", errDamaged, h.Format)
 	}
 	switch h.Kind {
 	case KindPublish, KindChange, KindRepublish, KindRestart:
 		return h, nil
 	default:
-		return h, fmt.Errorf("%w: kind %q", errDamaged, h.Kind)
+		return h, fmt.Errorf("%w: unknown kind %q", errDamaged, h.Kind)
 	}
 }
 
@@ -171,8 +171,12 @@
 	}
 	var text bytes.Buffer
 	text.Grow(declaredSize(payload))
-	if n, err := text.ReadFrom(io.LimitReader(zr, maxSetBytes+1)); err != nil || n > maxSetBytes {
-		return fmt.Errorf("%w: content: %v, %d bytes", errDamaged, err, n)
+	n, err := text.ReadFrom(io.LimitReader(zr, maxSetBytes+1))
+	if err != nil {
+		return fmt.Errorf("%w: content: %v after %d bytes", errDamaged, err, n)
+	}
+	if n > maxSetBytes {
+		return fmt.Errorf("%w: content is larger than %d bytes", errDamaged, maxSetBytes)
 	}
 	if err := decodeStrict(&text, into); err != nil {
 		return fmt.Errorf("%w: content: %v", errDamaged, err)
--- a/config/republish.go
+++ b/config/republish.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// noticeExpiry detects that the record expired earlier than the configured retention.
-func (f *Follower) noticeExpiry(first uint64) {
+// detectExpiry detects that the record expired earlier than the configured retention.
+func (f *Follower) detectExpiry(first uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.fullRecord.version > 0 && first > f.fullRecord.offset && f.fullRecord.expiredAt.IsZero() {
@@ -95,8 +95,8 @@
 	return c, !now.Before(c.dueAt(f.cfg.Retention, f.hasLowestAddress(), f.addressFraction()))
 }
 
-// dueAt returns when the record should be republished. An instance without the lowest address
-// leaves the one with the lowest time to do it first.
+// dueAt returns when the record should be republished. Instances other than the one with the
+// lowest address wait longer, so that normally only that one republishes.
 func (c *fullSetRecord) dueAt(retention time.Duration, lowest bool, spread float64) time.Time {
 	due := c.appendedAt.Add(retention / 2)
 	extra := time.Duration(0)
@@ -125,8 +125,8 @@
 	return float64(h.Sum32()) / math.MaxUint32
 }
 
-// republish appends the set once. The result of the append is only logged: the record is
-// noticed when it is read, and the republish is retried later if it is not.
+// republish appends the set once. The result of the append is only logged: the record
+// takes effect when it is read, and the republish is retried later if it does not appear.
 func (f *Follower) republish(ctx context.Context, c fullSetRecord) {
 	data, err := encodeSet(Header{Format: recordFormat, Kind: KindRepublish, Base: c.version, Through: c.through}, *c.set)
 	if err == nil {
