--- a/order/command.go
+++ b/order/command.go
@@ -33,7 +33,8 @@
 	// Fence is the order's fencing token, the log offset of its claim.
 	Fence uint64
 	// Confirmed is set if the upstream's own state shows the effect. It is false only
-	// for an upstream that checks tokens and does not report what it has loaded.
+	// for an upstream that checks fencing tokens and does not report what it has
+	// loaded.
 	Confirmed bool
 }
 
@@ -102,8 +103,8 @@
 }
 
 // waitForEarlierLeases refuses a command that is based on an outdated state. For an
-// upstream that does not check tokens it also waits until no earlier holder can send;
-// otherwise a paused holder's order could arrive after this one and overwrite it.
+// upstream that does not check fencing tokens it also waits until no earlier holder can
+// send; otherwise a paused holder's order could arrive after this one and overwrite it.
 func (s *Service) waitForEarlierLeases(ctx context.Context, cmd Command) error {
 	for {
 		var conflict error
--- a/order/config.go
+++ b/order/config.go
@@ -22,7 +22,7 @@
 // Defaults of Config.
 const (
 	// DefaultLease is long enough for an engine to change its role. A failed holder
-	// blocks an upstream that does not check tokens for the same time.
+	// blocks an upstream that does not check fencing tokens for the same time.
 	DefaultLease = time.Minute
 	// DefaultLoadLease is long enough to load a model: engines respond to such an order
 	// once the weights are loaded, and 200 GB at 1 GB/s take over three minutes.
--- a/order/fakes_test.go
+++ b/order/fakes_test.go
@@ -27,7 +27,7 @@
 	defer e.mu.Unlock()
 	e.orders++
 	if e.checksFencing && o.Fence < e.fence {
-		return verdict.Refuse(verdict.ReasonUpstreamRefused, 0, "token %d is older than %d", o.Fence, e.fence)
+		return verdict.Refuse(verdict.ReasonUpstreamRefused, 0, "fencing token %d is older than %d", o.Fence, e.fence)
 	}
 	e.fence = o.Fence
 	if !e.ignoreOrders {
--- a/order/protocol/doc.go
+++ b/order/protocol/doc.go
@@ -16,14 +16,14 @@
 //     accepted, and only within its lease. The lease starts before the claim is
 //     appended. A result record releases the claim early.
 //  3. The fencing token of an order is the offset of its claim.
-//  4. For an upstream that does not check tokens, a claim is appended only after the
-//     lease of every earlier accepted claim without a result has expired. The waiting
+//  4. For an upstream that does not check fencing tokens, a claim is appended only
+//     after the lease of every earlier accepted claim without a result has expired. The waiting
 //     instance starts each lease when it reads the claim, and adds Margin.
 //
 // # Why a stale order cannot overwrite a newer one
 //
 // Let claims A and B be accepted for one upstream, A at the lower offset. An upstream
-// that checks tokens and has seen B's higher token refuses A's. For one that does not
+// that checks fencing tokens and has seen B's higher one refuses A's. For one that does not
 // check: B was accepted, so its base offset is at or after A (rule 1) and its holder
 // had read A. It appended B after waiting for A's lease, counted from when it read A.
 // That is after A was appended, and hence after A's holder started its lease. So A's
--- a/order/protocol/model_test.go
+++ b/order/protocol/model_test.go
@@ -80,7 +80,7 @@
 	now           uint8
 	log, inFlight recordList
 	holders       [3]holder
-	// delivered holds the tokens of the orders that the upstream accepted, in order of
+	// delivered holds the fencing tokens of the orders that the upstream accepted, in order of
 	// arrival.
 	delivered      [3]uint8
 	deliveredCount uint8
@@ -225,7 +225,7 @@
 // checkOrder returns an error if a stale order arrived after a newer one.
 func (m modelState) checkOrder() error {
 	if !slices.IsSorted(m.delivered[:m.deliveredCount]) {
-		return fmt.Errorf("orders arrived with tokens %v: a stale order overwrote a newer one", m.delivered[:m.deliveredCount])
+		return fmt.Errorf("orders arrived with fencing tokens %v: a stale order overwrote a newer one", m.delivered[:m.deliveredCount])
 	}
 	return nil
 }
@@ -256,8 +256,8 @@
 // order is in effect.
 func TestStaleOrderNeverOverwritesNewer(t *testing.T) {
 	for name, c := range map[string]modelConfig{
-		"upstream checks tokens":         {holders: 2, maxTicks: 6, checksFencing: true},
-		"upstream does not check tokens": {holders: 2, maxTicks: 6},
+		"upstream checks fencing tokens":         {holders: 2, maxTicks: 6, checksFencing: true},
+		"upstream does not check fencing tokens": {holders: 2, maxTicks: 6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/order/send.go
+++ b/order/send.go
@@ -61,8 +61,8 @@
 	case observed == effectUnknown && cmd.Upstream.ChecksFencing:
 		return verdict.HasRun, false, nil
 	default:
-		// An upstream that does not check tokens may have received a stale order since,
-		// so that its acceptance of this one is not sufficient.
+		// An upstream that does not check fencing tokens may have received a stale order
+		// since, so that its acceptance of this one is not sufficient.
 		return verdict.HasRun, false, verdict.Fail(verdict.HasRun, verdict.ReasonOrderUnconfirmed, nil,
 			"the upstream accepted the order but its state does not show the effect")
 	}
--- a/order/service_test.go
+++ b/order/service_test.go
@@ -102,8 +102,8 @@
 }
 
 // An instance is paused between claiming and sending, and resumes after another instance
-// has sent a newer order. The upstream does not check tokens, so that the late order
-// must not be sent: it would overwrite the newer one.
+// has sent a newer order. The upstream does not check fencing tokens, so that the
+// late order must not be sent: it would overwrite the newer one.
 func TestPausedHolderDoesNotSendAfterItsLease(t *testing.T) {
 	withFixture(t, false, func(t *testing.T, s *fixture) {
 		s.pauseBeforeSend = 2 * DefaultLease
@@ -124,7 +124,7 @@
 }
 
 // The instance is paused as above, but for less than its lease, and the upstream checks
-// tokens. The newer order must not wait, and the upstream refuses the late one.
+// fencing tokens. The newer order must not wait, and the upstream refuses the late one.
 func TestUpstreamRefusesStaleToken(t *testing.T) {
 	withFixture(t, true, func(t *testing.T, s *fixture) {
 		s.pauseBeforeSend = DefaultLease / 2
@@ -153,8 +153,8 @@
 	})
 }
 
-// An upstream that does not check tokens accepts an order and ignores it. The operator
-// must get an error.
+// An upstream that does not check fencing tokens accepts an order and ignores it. The
+// operator must get an error.
 func TestOrderWithoutEffect(t *testing.T) {
 	withFixture(t, false, func(t *testing.T, s *fixture) {
 		s.engine.ignoreOrders = true
@@ -163,8 +163,8 @@
 	})
 }
 
-// The log is unavailable. No order may be sent without a token, and the operator must
-// get "not run".
+// The log is unavailable. No order may be sent without a fencing token, and the operator
+// must get "not run".
 func TestLogUnavailable(t *testing.T) {
 	withFixture(t, true, func(t *testing.T, s *fixture) {
 		cmd := s.command(t, s.a, "prefill")
