--- a/membership/actor.go
+++ b/membership/actor.go
@@ -63,7 +63,7 @@
 	p.handleEvents()
 }
 
-// handleEvents publishes the new state and notifies the owner of events.
+// handleEvents publishes the new state and calls the registered callbacks.
 func (p *protocolActor) handleEvents() {
 	events := p.node.TakeEvents()
 	before := p.service.snapshot.Load().all
--- a/membership/commands.go
+++ b/membership/commands.go
@@ -22,8 +22,8 @@
 }
 
 // OnNewIncarnation registers a callback for when this instance was declared dead, because it
-// was paused or partitioned from the others, and took a new incarnation. The owner must drop
-// every grant and lease of the previous incarnation because others may hold them now.
+// was paused or partitioned from the others, and took a new incarnation. The callback must
+// drop every grant and lease of the previous incarnation because others may hold them now.
 func (s *Service) OnNewIncarnation(f func(previous, current uint64)) {
 	s.register(func(c *callbacks) { c.onNewIncarnation = append(c.onNewIncarnation, f) })
 }
--- a/membership/gossip/config.go
+++ b/membership/gossip/config.go
@@ -62,11 +62,11 @@
 	// side of a partition about once a second, and one contact is enough.
 	stableAfter             = 2 * time.Minute
 	stableReconnectInterval = 10 * time.Second
-	// newerConfigInterval is how often the owner is notified again that a peer has a
-	// newer configuration, in case fetching it failed.
+	// newerConfigInterval is how often the application is notified again that a
+	// peer has a newer configuration, in case fetching it failed.
 	newerConfigInterval = time.Second
 	// urgentFanout is the number of random members to which a change that matters to
-	// the owner is pushed immediately. Three reach 1-e^-3, about 95 %, of any number
+	// the application is pushed immediately. Three reach 1-e^-3, about 95 %, of any number
 	// of members within a few ticks; pings carry the update to the rest.
 	urgentFanout = 3
 	// leaveFanout is the number of members notified directly of a leave.
--- a/membership/gossip/merge.go
+++ b/membership/gossip/merge.go
@@ -36,7 +36,7 @@
 	unchanged mergeResult = iota
 	// internalChange is a change that concerns only the protocol.
 	internalChange
-	// visibleChange is a change that matters to the owner.
+	// visibleChange is a change that matters to the application.
 	visibleChange
 )
 
@@ -87,7 +87,7 @@
 	m.since = now.Add(-r.Age)
 	m.ownProbeFailed = false
 	n.markTableChanged(now)
-	if !visibleToOwner(old, r) {
+	if !visibleToApplication(old, r) {
 		return internalChange
 	}
 	if r.State.Terminal() {
@@ -97,8 +97,9 @@
 	return visibleChange
 }
 
-// visibleToOwner reports whether the change from old to r matters to the owner.
-func visibleToOwner(old, r Record) bool {
+// visibleToApplication reports whether the change from old to r matters to the
+// application.
+func visibleToApplication(old, r Record) bool {
 	return old.Incarnation != r.Incarnation ||
 		old.State.Terminal() != r.State.Terminal() ||
 		old.Draining != r.Draining
@@ -107,8 +108,8 @@
 // mergeSelf handles a received record of this instance. A suspicion is refuted with a
 // higher sequence number. The death of an incarnation is final: others may already
 // hold the leases tied to it, and an instance that continued with it would be a second
-// holder. The instance continues with a new incarnation and its owner drops what it
-// held.
+// holder. The instance continues with a new incarnation and the application drops
+// what was granted to the old one.
 func (n *Node) mergeSelf(r Record) {
 	if n.self.State.Terminal() || r.Incarnation < n.self.Incarnation {
 		return
--- a/membership/gossip/node.go
+++ b/membership/gossip/node.go
@@ -41,7 +41,8 @@
 	nextPing       time.Time
 }
 
-// Events are the changes since the last call of TakeEvents that the owner must handle.
+// Events are the changes since the last call of TakeEvents that the application, the code
+// that runs the Node, must handle.
 type Events struct {
 	// RecordsUpdated is set when any record changed, even if only its configuration
 	// version.
--- a/membership/gossip/updates.go
+++ b/membership/gossip/updates.go
@@ -12,7 +12,7 @@
 	// transmissions counts how often the record of each queued member was sent.
 	transmissions map[string]int
 	budget        tokenBucket
-	// urgent is set after a change that owners act on, and urgentVersion after a
+	// urgent is set after a change that the application acts on, and urgentVersion after a
 	// higher configuration version became known, until the next pushUrgentUpdates.
 	urgent        bool
 	urgentVersion bool
@@ -32,7 +32,8 @@
 	n.updates.urgent = true
 }
 
-// pushUrgentUpdates immediately pushes changes that owners act on to a few members.
+// pushUrgentUpdates immediately pushes changes that matter to the application to a few
+// members.
 // If only pings carried them, a new configuration or a death would take half a second
 // to double the number of members that know of it.
 func (n *Node) pushUrgentUpdates(now time.Time) {
--- a/membership/gossip/version.go
+++ b/membership/gossip/version.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// newerConfigState tracks which higher version was reported to the owner and when it is
-// reported next.
+// newerConfigState tracks which higher version was reported to the application and
+// when it is reported next.
 type newerConfigState struct {
 	nextReport time.Time
 	reported   uint64
@@ -19,8 +19,8 @@
 	}
 }
 
-// checkNewerConfig notifies the owner of a peer with a higher version, immediately for a
-// new version and then repeatedly until this instance has it.
+// checkNewerConfig notifies the application of a peer with a higher version, immediately
+// for a new version and then repeatedly until this instance has it.
 func (n *Node) checkNewerConfig(now time.Time) {
 	version := n.index().highestVersion
 	if version == 0 || (version <= n.newerConfig.reported && now.Before(n.newerConfig.nextReport)) {
--- a/membership/gossip_test.go
+++ b/membership/gossip_test.go
@@ -142,7 +142,7 @@
 
 // A process is paused for ten seconds and then continues, while its grants were given to
 // others. It must learn that it was declared dead, take exactly one new incarnation and notify
-// its owner; otherwise two instances would use one grant. It was partitioned from the others
+// the application; otherwise two instances would use one grant. It was partitioned from the others
 // just before the pause and suspects some of them. After the pause its expired timers must not
 // make it declare them dead, or they would drop their grants as well.
 func TestPausedInstanceReturnsUnderNewIncarnation(t *testing.T) {
