--- a/peer/credentials.go
+++ b/peer/credentials.go
@@ -57,9 +57,9 @@
 // relationKey is the context key of the caller's fleetid.Relation.
 type relationKey struct{}
 
-// authenticate rejects calls without the secret: a client that can call a scheduler can take
-// every slot, and one that can call a rate home can empty every bucket. It also rejects calls
-// from other fleets, whose log differs from this instance's.
+// authenticate rejects calls without the secret: a client that can call a scheduler can reserve
+// every decode slot, and one that can call a rate home can empty every organisation's token
+// bucket. It also rejects calls from other fleets, whose log differs from this instance's.
 func (c credentials) authenticate(next http.Handler) http.Handler {
 	if c.secret == "" {
 		return next
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A client without the secret that reaches the peer address must be rejected: it could take
-// every decode slot and empty every organisation's bucket.
+// A client without the secret that reaches the peer address must be rejected: it could
+// reserve every decode slot and empty every organisation's token bucket.
 func TestCallsWithoutTheSecretAreRefused(t *testing.T) {
 	served := 0
 	server := NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served++ }), nil, "secret")
