--- a/instance/join.go
+++ b/instance/join.go
@@ -36,7 +36,7 @@
 	return secret, nil
 }
 
-// buildFleetID creates the keeper of the fleet ID, which distinguishes this fleet's instances from
+// buildFleetID creates the verifier of the fleet ID, which distinguishes this fleet's instances from
 // those of other fleets.
 func (i *Instance) buildFleetID() {
 	store := fleetid.NewLogStore(i.platform.log, i.logRetention())
@@ -80,8 +80,8 @@
 		i.follower.ObservePeerVersion(peer.Address, version)
 	})
 	i.members.OnChange(func([]membership.Member) { i.refreshSchedulers() })
-	i.members.OnNewIncarnation(func(old, renewed uint64) {
-		i.log.Warn("declared dead while paused", zap.Uint64("old_incarnation", old), zap.Uint64("incarnation", renewed))
+	i.members.OnNewIncarnation(func(previous, current uint64) {
+		i.log.Warn("declared dead while paused", zap.Uint64("old_incarnation", previous), zap.Uint64("incarnation", current))
 		i.schedulerClient.DropAll()
 	})
 }
--- a/instance/ready.go
+++ b/instance/ready.go
@@ -15,8 +15,8 @@
 	// readyPollInterval is the interval at which a starting instance checks canSpend.
 	readyPollInterval = 50 * time.Millisecond
 	// readyTimeout limits the wait. It exceeds the time for which a new home waits until the lease
-	// of its predecessor expires. After it, the log is down or a peer hangs, and an instance that
-	// serves with fewer shares is better than none.
+	// of its predecessor expires. If the wait takes longer, the log is down or a peer hangs, and an
+	// instance that can use only some shares of the token rate is better than none.
 	readyTimeout = 15 * time.Second
 )
 
