--- a/order/config.go
+++ b/order/config.go
@@ -27,9 +27,9 @@
 	// DefaultLoadLease is long enough to load a model: engines respond to such an order
 	// once the weights are loaded, and 200 GB at 1 GB/s take over three minutes.
 	DefaultLoadLease = 10 * time.Minute
-	// DefaultReadBack is how long the upstream's state is polled for the order's effect.
+	// DefaultReadBackTimeout is how long the upstream's state is polled for the order's effect.
 	// Load reports lag by seconds.
-	DefaultReadBack = 30 * time.Second
+	DefaultReadBackTimeout = 30 * time.Second
 )
 
 // Config configures a Service. Log and Engines are required.
@@ -47,8 +47,8 @@
 	// model or adapter. Each is at most protocol.MaxLease.
 	Lease     time.Duration
 	LoadLease time.Duration
-	// ReadBack bounds the wait for the order's effect to show in the upstream's state.
-	ReadBack time.Duration
+	// ReadBackTimeout bounds the wait for the order's effect to show in the upstream's state.
+	ReadBackTimeout time.Duration
 }
 
 // Service sends orders to upstreams on behalf of one instance.
@@ -66,7 +66,7 @@
 	}
 	setDefault(&cfg.Lease, DefaultLease)
 	setDefault(&cfg.LoadLease, DefaultLoadLease)
-	setDefault(&cfg.ReadBack, DefaultReadBack)
+	setDefault(&cfg.ReadBackTimeout, DefaultReadBackTimeout)
 	for _, lease := range []time.Duration{cfg.Lease, cfg.LoadLease} {
 		if lease < 0 || lease > protocol.MaxLease {
 			return nil, fmt.Errorf("order: lease %v is not between 0 and %v", lease, protocol.MaxLease)
--- a/order/send.go
+++ b/order/send.go
@@ -69,9 +69,9 @@
 }
 
 // readBack polls the upstream's state until it shows the order's effect, does not report
-// it at all, or Config.ReadBack has passed.
+// it at all, or Config.ReadBackTimeout has passed.
 func (s *Service) readBack(ctx context.Context, engine port.Engine, cmd Command) effect {
-	ctx, cancel := context.WithTimeout(ctx, s.cfg.ReadBack)
+	ctx, cancel := context.WithTimeout(ctx, s.cfg.ReadBackTimeout)
 	defer cancel()
 	last := effectUnknown
 	for {
