--- a/instance/join.go
+++ b/instance/join.go
@@ -30,8 +30,8 @@
 	switch {
 	case secret == "":
 		secret = loopbackSecret
-	case len(secret) < membership.MinSecret:
-		return "", oops.In("instance").With("file", s.Peers.SecretFile).Errorf("the peer secret is shorter than %d bytes", membership.MinSecret)
+	case len(secret) < membership.MinSecretBytes:
+		return "", oops.In("instance").With("file", s.Peers.SecretFile).Errorf("the peer secret is shorter than %d bytes", membership.MinSecretBytes)
 	}
 	return secret, nil
 }
@@ -76,7 +76,7 @@
 // registerCallbacks registers the handlers for changes of the configuration and the membership.
 func (i *Instance) registerCallbacks() {
 	i.follower.Subscribe(i.applyConfig)
-	i.members.OnConfigVersion(func(peer membership.Member, version uint64) {
+	i.members.OnNewerConfig(func(peer membership.Member, version uint64) {
 		i.follower.ObservePeerVersion(peer.Address, version)
 	})
 	i.members.OnChange(func([]membership.Member) { i.refreshSchedulers() })
--- a/membership/actor.go
+++ b/membership/actor.go
@@ -110,7 +110,7 @@
 }
 
 func (s *Service) notifyNewerConfig(newer gossip.NewerConfig) {
-	for _, f := range s.currentCallbacks().onConfigVersion {
+	for _, f := range s.currentCallbacks().onNewerConfig {
 		f(memberOf(newer.Peer), newer.Version)
 	}
 }
--- a/membership/commands.go
+++ b/membership/commands.go
@@ -14,11 +14,11 @@
 	s.register(func(c *callbacks) { c.onChange = append(c.onChange, f) })
 }
 
-// OnConfigVersion registers a callback for when a live peer has a higher configuration
+// OnNewerConfig registers a callback for when a live peer has a higher configuration
 // version than this instance. It is called immediately, and again every second with one of
 // the peers that have it until SetConfigVersion has been called with that version.
-func (s *Service) OnConfigVersion(f func(peer Member, version uint64)) {
-	s.register(func(c *callbacks) { c.onConfigVersion = append(c.onConfigVersion, f) })
+func (s *Service) OnNewerConfig(f func(peer Member, version uint64)) {
+	s.register(func(c *callbacks) { c.onNewerConfig = append(c.onNewerConfig, f) })
 }
 
 // OnNewIncarnation registers a callback for when this instance was declared dead, because it
--- a/membership/config.go
+++ b/membership/config.go
@@ -28,13 +28,13 @@
 	// List is the platform's instance list, or nil if there is none.
 	List port.InstanceList
 	// Secret is the shared secret of the fleet that authenticates datagrams. It has
-	// at least MinSecret bytes.
+	// at least MinSecretBytes.
 	Secret []byte
-	// AlsoAccepted are additional secrets accepted in received datagrams. A secret is
+	// AdditionalSecrets are accepted in received datagrams but do not sign. A secret is
 	// rotated in three rollouts: accept the new one, sign with it and accept the old
 	// one, drop the old one. If it were replaced in a single rollout, the instances
 	// already restarted and the others would declare each other dead.
-	AlsoAccepted [][]byte
+	AdditionalSecrets [][]byte
 	// Fleet distinguishes datagrams of this fleet from those of other fleets with the
 	// same secret. If it is nil, datagrams of any instance with the secret are
 	// accepted.
@@ -54,9 +54,9 @@
 	Metrics tally.Scope
 }
 
-// MinSecret is the minimum length of the shared secret in bytes. Shorter secrets can be
+// MinSecretBytes is the minimum length of the shared secret. Shorter secrets can be
 // found by brute force.
-const MinSecret = 16
+const MinSecretBytes = 16
 
 func (c Config) validate() error {
 	var errs []error
@@ -64,7 +64,7 @@
 		errs = append(errs, errors.New("instance name is missing"))
 	}
 	for _, secret := range c.secrets() {
-		if len(secret) < MinSecret {
+		if len(secret) < MinSecretBytes {
 			errs = append(errs, errors.New("gossip secret is shorter than 16 bytes"))
 		}
 	}
@@ -78,5 +78,5 @@
 
 // secrets returns all accepted secrets; the first one signs.
 func (c Config) secrets() [][]byte {
-	return append([][]byte{c.Secret}, c.AlsoAccepted...)
+	return append([][]byte{c.Secret}, c.AdditionalSecrets...)
 }
--- a/membership/service.go
+++ b/membership/service.go
@@ -57,7 +57,7 @@
 
 type callbacks struct {
 	onChange         []func([]Member)
-	onConfigVersion  []func(Member, uint64)
+	onNewerConfig    []func(Member, uint64)
 	onNewIncarnation []func(previous, current uint64)
 }
 
--- a/membership/udp_test.go
+++ b/membership/udp_test.go
@@ -34,12 +34,12 @@
 	t.Helper()
 	scope := tally.NewTestScope("", nil)
 	s, err := membership.New(membership.Config{
-		Holder:       request.Holder{Instance: name, Address: "127.0.0.1:0"},
-		DataCentre:   "split-a",
-		Seeds:        seeds,
-		Secret:       secret,
-		AlsoAccepted: [][]byte{alsoAccepted},
-		Metrics:      scope,
+		Holder:            request.Holder{Instance: name, Address: "127.0.0.1:0"},
+		DataCentre:        "split-a",
+		Seeds:             seeds,
+		Secret:            secret,
+		AdditionalSecrets: [][]byte{alsoAccepted},
+		Metrics:           scope,
 	})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
