--- a/instance/join.go
+++ b/instance/join.go
@@ -30,13 +30,13 @@
 	switch {
 	case secret == "":
 		secret = loopbackSecret
-	case len(secret) < membership.MinSecret:
-		return "", oops.In("instance").With("file", s.Peers.SecretFile).Errorf("the peer secret is shorter than %d bytes", membership.MinSecret)
+	case len(secret) < membership.MinSecretBytes:
+		return "", oops.In("instance").With("file", s.Peers.SecretFile).Errorf("the peer secret is shorter than %d bytes", membership.MinSecretBytes)
 	}
 	return secret, nil
 }
 
-// buildFleetID creates the keeper of the fleet ID, which distinguishes this fleet's instances from
+// buildFleetID creates the verifier of the fleet ID, which distinguishes this fleet's instances from
 // those of other fleets.
 func (i *Instance) buildFleetID() {
 	store := fleetid.NewLogStore(i.platform.log, i.logRetention())
@@ -76,12 +76,12 @@
 // registerCallbacks registers the handlers for changes of the configuration and the membership.
 func (i *Instance) registerCallbacks() {
 	i.follower.Subscribe(i.applyConfig)
-	i.members.OnConfigVersion(func(peer membership.Member, version uint64) {
+	i.members.OnNewerConfig(func(peer membership.Member, version uint64) {
 		i.follower.ObservePeerVersion(peer.Address, version)
 	})
 	i.members.OnChange(func([]membership.Member) { i.refreshSchedulers() })
-	i.members.OnNewIncarnation(func(old, renewed uint64) {
-		i.log.Warn("declared dead while paused", zap.Uint64("old_incarnation", old), zap.Uint64("incarnation", renewed))
+	i.members.OnNewIncarnation(func(previous, current uint64) {
+		i.log.Warn("declared dead while paused", zap.Uint64("old_incarnation", previous), zap.Uint64("incarnation", current))
 		i.schedulerClient.DropAll()
 	})
 }
--- a/membership/actor.go
+++ b/membership/actor.go
@@ -63,7 +63,7 @@
 	p.handleEvents()
 }
 
-// handleEvents publishes the new state and notifies the owner of events.
+// handleEvents publishes the new state and calls the registered callbacks.
 func (p *protocolActor) handleEvents() {
 	events := p.node.TakeEvents()
 	before := p.service.snapshot.Load().all
@@ -110,7 +110,7 @@
 }
 
 func (s *Service) notifyNewerConfig(newer gossip.NewerConfig) {
-	for _, f := range s.currentCallbacks().onConfigVersion {
+	for _, f := range s.currentCallbacks().onNewerConfig {
 		f(memberOf(newer.Peer), newer.Version)
 	}
 }
--- a/membership/commands.go
+++ b/membership/commands.go
@@ -14,16 +14,16 @@
 	s.register(func(c *callbacks) { c.onChange = append(c.onChange, f) })
 }
 
-// OnConfigVersion registers a callback for when a live peer has a higher configuration
+// OnNewerConfig registers a callback for when a live peer has a higher configuration
 // version than this instance. It is called immediately, and again every second with one of
 // the peers that have it until SetConfigVersion has been called with that version.
-func (s *Service) OnConfigVersion(f func(peer Member, version uint64)) {
-	s.register(func(c *callbacks) { c.onConfigVersion = append(c.onConfigVersion, f) })
+func (s *Service) OnNewerConfig(f func(peer Member, version uint64)) {
+	s.register(func(c *callbacks) { c.onNewerConfig = append(c.onNewerConfig, f) })
 }
 
 // OnNewIncarnation registers a callback for when this instance was declared dead, because it
-// was paused or partitioned from the others, and took a new incarnation. The owner must drop
-// every grant and lease of the previous incarnation because others may hold them now.
+// was paused or partitioned from the others, and took a new incarnation. The callback must
+// drop every grant and lease of the previous incarnation because others may hold them now.
 func (s *Service) OnNewIncarnation(f func(previous, current uint64)) {
 	s.register(func(c *callbacks) { c.onNewIncarnation = append(c.onNewIncarnation, f) })
 }
--- a/order/send.go
+++ b/order/send.go
@@ -61,17 +61,17 @@
 	case observed == effectUnknown && cmd.Upstream.ChecksFencing:
 		return verdict.HasRun, false, nil
 	default:
-		// An upstream that does not check tokens may have received a stale order since,
-		// so that its acceptance of this one is not sufficient.
+		// An upstream that does not check fencing tokens may have received a stale order
+		// since, so that its acceptance of this one is not sufficient.
 		return verdict.HasRun, false, verdict.Fail(verdict.HasRun, verdict.ReasonOrderUnconfirmed, nil,
 			"the upstream accepted the order but its state does not show the effect")
 	}
 }
 
 // readBack polls the upstream's state until it shows the order's effect, does not report
-// it at all, or Config.ReadBack has passed.
+// it at all, or Config.ReadBackTimeout has passed.
 func (s *Service) readBack(ctx context.Context, engine port.Engine, cmd Command) effect {
-	ctx, cancel := context.WithTimeout(ctx, s.cfg.ReadBack)
+	ctx, cancel := context.WithTimeout(ctx, s.cfg.ReadBackTimeout)
 	defer cancel()
 	last := effectUnknown
 	for {
