--- a/config/record.go
+++ b/config/record.go
@@ -171,12 +171,8 @@
 	}
 	var text bytes.Buffer
 	text.Grow(declaredSize(payload))
-	n, err := text.ReadFrom(io.LimitReader(zr, maxSetBytes+1))
-	if err != nil {
-		return fmt.Errorf("%w: content: %v after %d bytes", errDamaged, err, n)
-	}
-	if n > maxSetBytes {
-		return fmt.Errorf("%w: content is larger than %d bytes", errDamaged, maxSetBytes)
+	if n, err := text.ReadFrom(io.LimitReader(zr, maxSetBytes+1)); err != nil || n > maxSetBytes {
+		return fmt.Errorf("%w: content: %v, %d bytes", errDamaged, err, n)
 	}
 	if err := decodeStrict(&text, into); err != nil {
 		return fmt.Errorf("%w: content: %v", errDamaged, err)
