--- a/decision/escrow/home.go
+++ b/decision/escrow/home.go
@@ -152,8 +152,8 @@
 	// queue callers behind one another: those told to wait longer would be answered late, and
 	// an answer in time takes no more tokens than a late one.
 	Retry time.Duration
-	// Level is the bucket's level after the request, Part the share of the rate that flows in.
-	Level, Part float64
+	// Level is the bucket's level after the request, Share the share of the rate that flows in.
+	Level, Share float64
 }
 
 // Take removes tokens from an organisation's bucket, all or none.
@@ -163,7 +163,7 @@
 		return Decision{Unknown: true, Retry: unknownRetryAfter}
 	}
 	if b.limit.Rate <= 0 {
-		return Decision{Granted: true, Part: 1}
+		return Decision{Granted: true, Share: 1}
 	}
 	h.refill(now, ShardOf(org), 0)
 	share := h.shards[ShardOf(org)].share()
@@ -174,10 +174,10 @@
 	enough := max(min(need, fullThreshold*b.limit.Burst), 1)
 	if b.level < enough {
 		wait := (enough - b.level) / (b.limit.Rate * max(share, minShare))
-		return Decision{Retry: time.Duration(wait * float64(time.Second)), Level: b.level, Part: share}
+		return Decision{Retry: time.Duration(wait * float64(time.Second)), Level: b.level, Share: share}
 	}
 	b.level -= need
-	return Decision{Granted: true, Level: b.level, Part: share}
+	return Decision{Granted: true, Level: b.level, Share: share}
 }
 
 const (
--- a/gateway/quota.go
+++ b/gateway/quota.go
@@ -257,7 +257,7 @@
 	if home == q.self {
 		d := q.takeLocal(q.now(), org, tokens)
 		q.mu.Unlock()
-		return QuotaDecision{Admitted: d.Granted, Retry: d.Retry, Home: home.Name, Level: d.Level, Part: d.Part}
+		return QuotaDecision{Admitted: d.Granted, Retry: d.Retry, Home: home.Name, Level: d.Level, Part: d.Share}
 	}
 	q.mu.Unlock()
 	g, err := q.network.RequestTokens(ctx, home.Name, fleet.Ask{Organisation: org, Tokens: tokens})
@@ -393,7 +393,7 @@
 		return kept.grant
 	}
 	d := q.takeLocal(now, a.Organisation, a.Tokens)
-	g := fleet.Grant{ID: a.ID, Granted: d.Granted, Unknown: d.Unknown, Retry: d.Retry, Level: d.Level, Part: d.Part}
+	g := fleet.Grant{ID: a.ID, Granted: d.Granted, Unknown: d.Unknown, Retry: d.Retry, Level: d.Level, Part: d.Share}
 	q.recentGrants[a.ID] = recentGrant{g, now}
 	return g
 }
