--- a/caller/plain.go
+++ b/caller/plain.go
@@ -59,9 +59,9 @@
 // findCallRule returns the first rule that matches the call. A service without rules accepts
 // any call: GET, HEAD and OPTIONS are idempotent as defined by HTTP, and all other methods are
 // treated as not repeatable.
-func findCallRule(service *object.Service, method, path string) (object.Call, error) {
+func findCallRule(service *object.Service, method, path string) (object.CallRule, error) {
 	if len(service.Calls) == 0 {
-		return object.Call{Idempotent: method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions}, nil
+		return object.CallRule{Idempotent: method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions}, nil
 	}
 	pathMatched := false
 	for _, rule := range service.Calls {
@@ -74,9 +74,9 @@
 		pathMatched = true
 	}
 	if pathMatched {
-		return object.Call{}, verdict.Refuse(verdict.ReasonMethodNotAllowed, 0, "%s is not allowed on %s", method, path)
+		return object.CallRule{}, verdict.Refuse(verdict.ReasonMethodNotAllowed, 0, "%s is not allowed on %s", method, path)
 	}
-	return object.Call{}, verdict.Refuse(verdict.ReasonUnknownService, 0, "service %s has no call %s", service.Name, path)
+	return object.CallRule{}, verdict.Refuse(verdict.ReasonUnknownService, 0, "service %s has no call %s", service.Name, path)
 }
 
 // serviceRequest builds the upstream call from an allow-list of headers. Copying all headers
--- a/caller/server_test.go
+++ b/caller/server_test.go
@@ -64,7 +64,7 @@
 		},
 		Services: []object.Service{
 			{Name: "scribe", Kind: object.KindModel, Models: []string{"m"}, MaxPromptTokens: 5, MaxOutputTokens: 50},
-			{Name: "desk", Kind: object.KindPlain, MaxBodyBytes: 8, Calls: []object.Call{
+			{Name: "desk", Kind: object.KindPlain, MaxBodyBytes: 8, Calls: []object.CallRule{
 				{Method: http.MethodGet, Path: "/ledger/", Idempotent: true}, {Method: http.MethodPost, Path: "/book", Cost: 7},
 			}},
 			{Name: "private", Kind: object.KindModel, Models: []string{"p"}},
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -105,7 +105,7 @@
 		Limits: []object.Limit{limit},
 		Services: []object.Service{
 			{Name: "pisar", Kind: object.KindModel, Models: []string{"pisar-small"}, MaxPromptTokens: 8000, MaxOutputTokens: 1000, MaxWaitMS: 20_000},
-			{Name: "dezurstva", Kind: object.KindPlain, MaxWaitMS: 20_000, Calls: []object.Call{
+			{Name: "dezurstva", Kind: object.KindPlain, MaxWaitMS: 20_000, Calls: []object.CallRule{
 				{Method: http.MethodGet, Path: "/roster/", Idempotent: true, Cost: lookupCost},
 				{Method: http.MethodPost, Path: "/swaps"},
 			}},
--- a/instance/embedded/embedded.go
+++ b/instance/embedded/embedded.go
@@ -114,7 +114,7 @@
 		Keys:          []object.Key{{Name: "zoo-split-1", Organisation: "zoo-split", Hash: object.HashKey(key)}},
 		Services: []object.Service{
 			{Name: "pisar", Kind: object.KindModel, Models: []string{"pisar-small"}, MaxPromptTokens: 16384, MaxOutputTokens: 2048},
-			{Name: "dezurstva", Kind: object.KindPlain, Calls: []object.Call{
+			{Name: "dezurstva", Kind: object.KindPlain, Calls: []object.CallRule{
 				{Method: http.MethodGet, Path: "/roster/", Idempotent: true},
 				{Method: http.MethodPost, Path: "/swaps", Cost: 5},
 			}},
--- a/object/check_services.go
+++ b/object/check_services.go
@@ -91,7 +91,7 @@
 // its calls. If only the earlier rule is idempotent, calls that must run at most once
 // would be retried, and the only symptom would be duplicate effects, such as a booking
 // made twice.
-func (c *checker) checkShadowed(ref Ref, earlier []Call, call Call, field string) {
+func (c *checker) checkShadowed(ref Ref, earlier []CallRule, call CallRule, field string) {
 	for i, e := range earlier {
 		if e.Method == call.Method && e.matchesPath(call.Path) {
 			c.add(Fault{Kind: FaultShadowed, Object: ref, Other: ref, Field: field,
@@ -102,7 +102,7 @@
 }
 
 // matchesPath reports whether the rule matches a path.
-func (c *Call) matchesPath(path string) bool {
+func (c *CallRule) matchesPath(path string) bool {
 	if strings.HasSuffix(c.Path, "/") {
 		return strings.HasPrefix(path, c.Path)
 	}
@@ -110,13 +110,13 @@
 }
 
 // Match returns the first rule of a plain service that matches a call.
-func (s *Service) Match(method, path string) (Call, bool) {
+func (s *Service) Match(method, path string) (CallRule, bool) {
 	for _, call := range s.Calls {
 		if call.Method == method && call.matchesPath(path) {
 			return call, true
 		}
 	}
-	return Call{}, false
+	return CallRule{}, false
 }
 
 // requiredRoles returns the roles of which a service of a kind needs upstreams.
--- a/object/defaults.go
+++ b/object/defaults.go
@@ -74,7 +74,7 @@
 	}
 	for i := range out.Services {
 		out.Services[i].Models = append([]string(nil), out.Services[i].Models...)
-		out.Services[i].Calls = append([]Call(nil), out.Services[i].Calls...)
+		out.Services[i].Calls = append([]CallRule(nil), out.Services[i].Calls...)
 	}
 	return out
 }
--- a/object/object.go
+++ b/object/object.go
@@ -67,7 +67,7 @@
 	// for interactive services and 120000 for deferrable ones.
 	MaxWaitMS int `json:"max_wait_ms,omitempty"`
 	// Calls are the rules for plain services; the first match applies.
-	Calls []Call `json:"calls,omitempty"`
+	Calls []CallRule `json:"calls,omitempty"`
 	// MaxBodyBytes bounds a request body; 0 means 1 MiB.
 	MaxBodyBytes int64 `json:"max_body_bytes,omitempty"`
 	// Discovered services have no upstream objects; their upstreams register
@@ -100,8 +100,8 @@
 	ReservationMS int `json:"reservation_ms,omitempty"`
 }
 
-// Call is a rule for the calls of a plain service that match its method and path.
-type Call struct {
+// CallRule is a rule for the calls of a plain service that match its method and path.
+type CallRule struct {
 	Method string `json:"method"`
 	// Path is matched exactly, or as a prefix when it ends with a slash.
 	Path string `json:"path"`
--- a/object/object_test.go
+++ b/object/object_test.go
@@ -76,7 +76,7 @@
 		{"calls of a model", func(s *Set) { s.Services[0].Calls = s.Services[1].Calls }, FaultNotApplicable, Ref{TypeService, "pisar"}, "calls"},
 		{"negative wait", func(s *Set) { s.Services[0].MaxWaitMS = -1 }, FaultOutOfRange, Ref{TypeService, "pisar"}, "max_wait_ms"},
 		{"booking shadowed", func(s *Set) {
-			s.Services[1].Calls = []Call{{Method: "POST", Path: "/", Idempotent: true}, {Method: "POST", Path: "/swaps"}}
+			s.Services[1].Calls = []CallRule{{Method: "POST", Path: "/", Idempotent: true}, {Method: "POST", Path: "/swaps"}}
 		}, FaultShadowed, Ref{TypeService, "dezurstva"}, "calls[1]"},
 		{"method", func(s *Set) { s.Services[1].Calls[0].Method = "get" }, FaultBadValue, Ref{TypeService, "dezurstva"}, "calls[0].method"},
 		{"name", func(s *Set) { s.Limits = append(s.Limits, Limit{Name: "a/b", TokensPerSecond: 1, Burst: 1}) }, FaultBadName, Ref{TypeLimit, "a/b"}, "name"},
