--- a/decision/group/config.go
+++ b/decision/group/config.go
@@ -22,7 +22,7 @@
 	FirstToken time.Duration
 	// BetweenTokens is the target time between tokens.
 	BetweenTokens time.Duration
-	// KVExpiry is how long an engine keeps a prefill result for the transfer.
+	// KVExpiry is how long an engine keeps a prefill result until it is transferred.
 	KVExpiry time.Duration
 	// KVBytesPerToken is the number of KV cache bytes transferred per prompt token.
 	KVBytesPerToken int64
@@ -50,10 +50,10 @@
 	maxFailedPlacements int
 	maxResumedKeys      int
 	limitPolicy         placement.LimitPolicy
-	// disablePrefixAffinity ignores prefix caches; disableClaims never reserves
+	// disablePrefixAffinity ignores prefix caches; disableReservations never reserves
 	// memory for parked requests.
 	disablePrefixAffinity bool
-	disableClaims         bool
+	disableReservations   bool
 }
 
 // InitialEstimates are used until outcomes have been observed. About twenty
@@ -111,15 +111,15 @@
 	// maxFailedPlacements limits the requests that one decision fails to place; the
 	// others are tried after parkedRetryInterval.
 	maxFailedPlacements = 4
-	// maxResumedKeys is how many skipped keys become eligible again when a grant is
+	// maxResumedKeys is how many suspended keys become eligible again when a grant is
 	// released: one release seldom frees enough for more.
 	maxResumedKeys = 4
 	// parkedRetryInterval is how often parked requests are retried when nothing else
 	// happens. It is short compared to the booking of a link.
 	parkedRetryInterval = 10 * time.Millisecond
-	// claimRetryInterval is how often a parked request looks for memory to claim. The
+	// reserveRetryInterval is how often a parked request looks for memory to reserve. The
 	// search is expensive because it reads the grants of every decode upstream.
-	claimRetryInterval = 100 * time.Millisecond
+	reserveRetryInterval = 100 * time.Millisecond
 	// noUpstreamRetryAfter is the retry delay given to callers while no upstream is
 	// usable: health probes and configuration changes take effect within seconds.
 	noUpstreamRetryAfter = 2 * time.Second
--- a/decision/group/dispatch.go
+++ b/decision/group/dispatch.go
@@ -17,7 +17,7 @@
 	next := g.queue.NextExpiry()
 	for _, w := range g.parked {
 		next = earliest(next, w.latestStart)
-		if w.claimedOn == nil {
+		if w.reservedOn == nil {
 			next = earliest(next, now.Add(parkedRetryInterval))
 		}
 	}
@@ -69,7 +69,7 @@
 		w := it.Value
 		if plan := g.place(now, w); plan != nil {
 			g.issueGrant(now, w, plan)
-			// A request that was skipped may fit now that this one did.
+			// A request whose key was suspended may fit now that this one did.
 			g.queue.Resume()
 			continue
 		}
@@ -100,7 +100,7 @@
 
 func (g *Group) refuseExpired(now time.Time, w *waiter) {
 	g.refuse(w, verdict.Refuse(verdict.ReasonQueueTimeout, g.retryAfter(now, w),
-		"no place came free within %s", now.Sub(w.submitted).Round(time.Millisecond)))
+		"no capacity became free within %s", now.Sub(w.submitted).Round(time.Millisecond)))
 }
 
 // hasFreeSlots reports whether every role that a request needs has a free slot.
--- a/decision/group/group.go
+++ b/decision/group/group.go
@@ -39,9 +39,9 @@
 	// useCounter counts grants, for upstream.lastUse.
 	useCounter uint64
 
-	prefixIndex *prefill.Index
-	cacheTrust  *prefill.IndexPrecision
-	estimates   *estimates
+	prefixIndex    *prefill.Index
+	indexPrecision *prefill.IndexPrecision
+	estimates      *estimates
 	// prefillDoneReported is set by the first call of PrefillDone. From then on a
 	// prefill slot is kept until PrefillDone or Release.
 	prefillDoneReported bool
@@ -67,11 +67,11 @@
 	// cost is the estimated engine time in seconds.
 	cost float64
 	item *queue.Item[*waiter]
-	// claimedOn is the upstream that reserves memory for a parked request.
-	claimedOn     *upstream
-	claimedPieces int
-	// nextClaimAt is the earliest time of the next search for memory to claim.
-	nextClaimAt time.Time
+	// reservedOn is the upstream that reserves memory for a parked request.
+	reservedOn     *upstream
+	reservedPieces int
+	// nextReserveAt is the earliest time of the next search for memory to reserve.
+	nextReserveAt time.Time
 }
 
 // grantRecord is a granted request.
@@ -112,11 +112,11 @@
 		grants:  make(map[uint64]*grantRecord),
 		usage:   make(map[string]*organisationUsage),
 
-		refusedWork: make(map[string]refusedWork),
-		nextGrantID: cfg.FirstGrantID,
-		prefixIndex: prefill.NewIndex(),
-		cacheTrust:  prefill.NewIndexPrecision(),
-		estimates:   newEstimates(cfg),
+		refusedWork:    make(map[string]refusedWork),
+		nextGrantID:    cfg.FirstGrantID,
+		prefixIndex:    prefill.NewIndex(),
+		indexPrecision: prefill.NewIndexPrecision(),
+		estimates:      newEstimates(cfg),
 	}
 }
 
--- a/decision/group/parked.go
+++ b/decision/group/parked.go
@@ -7,14 +7,14 @@
 	"github.com/cairnworks/cairnworks/decision/queue"
 )
 
-// park keeps a request that no upstream can serve now, if memory was claimed for it
-// or it does not need more memory. Other requests return to the queue, which skips
+// park keeps a request that no upstream can serve now, if memory was reserved for it
+// or it does not need more memory. Other requests return to the queue, which suspends
 // their key until a grant is released.
 func (g *Group) park(now time.Time, it *queue.Item[*waiter]) {
 	w := it.Value
 	if len(g.parked) < g.cfg.tuning.maxParked {
-		needsMemory := g.claim(now, w)
-		if !needsMemory || w.claimedOn != nil {
+		needsMemory := g.reserve(now, w)
+		if !needsMemory || w.reservedOn != nil {
 			g.parked = append(g.parked, w)
 			return
 		}
@@ -33,14 +33,14 @@
 	g.parkedTriedAt = now
 	for i := 0; i < len(g.parked); {
 		w := g.parked[i]
-		previousClaim := w.claimedOn
-		g.unclaim(w)
+		previousReservation := w.reservedOn
+		g.unreserve(w)
 		if plan := g.place(now, w); plan != nil {
 			g.unpark(i)
 			g.issueGrant(now, w, plan)
 			continue
 		}
-		if g.renewClaim(now, w, previousClaim) && w.claimedOn == nil {
+		if g.renewReservation(now, w, previousReservation) && w.reservedOn == nil {
 			g.unpark(i)
 			g.queue.Requeue(w.item)
 			continue
@@ -49,26 +49,26 @@
 	}
 }
 
-// renewClaim restores the previous claim if its memory is still expected in time and
-// looks for another one otherwise. The result is that of claim.
-func (g *Group) renewClaim(now time.Time, w *waiter, previousClaim *upstream) (needsMemory bool) {
-	if previousClaim != nil && previousClaim.usable() {
-		pieces := previousClaim.capacity.PiecesFor(w.PromptTokens, w.MaxTokens)
-		if at, ok := previousClaim.memoryFreeAt(now, pieces); ok && at.Before(w.latestStart) {
-			g.claimOn(w, previousClaim)
+// renewReservation restores the previous reservation if its memory is still expected in
+// time and looks for another one otherwise. The result is that of reserve.
+func (g *Group) renewReservation(now time.Time, w *waiter, previousReservation *upstream) (needsMemory bool) {
+	if previousReservation != nil && previousReservation.usable() {
+		pieces := previousReservation.capacity.PiecesFor(w.PromptTokens, w.MaxTokens)
+		if at, ok := previousReservation.memoryFreeAt(now, pieces); ok && at.Before(w.latestStart) {
+			g.reserveOn(w, previousReservation)
 			return true
 		}
 	}
-	return g.claim(now, w)
+	return g.reserve(now, w)
 }
 
 func (g *Group) unpark(i int) {
-	g.unclaim(g.parked[i])
+	g.unreserve(g.parked[i])
 	g.parked = append(g.parked[:i], g.parked[i+1:]...)
 	g.resumeKeys()
 }
 
-// resumeKeys makes up to maxResumedKeys skipped keys of the queue eligible again.
+// resumeKeys makes up to maxResumedKeys suspended keys of the queue eligible again.
 func (g *Group) resumeKeys() {
 	for range g.cfg.tuning.maxResumedKeys {
 		if !g.queue.Resume() {
@@ -77,32 +77,32 @@
 	}
 }
 
-// removeParked removes a parked request without a grant and refunds its cost to the
-// organisation's account in the queue.
+// removeParked removes a parked request without a grant and refunds its cost to its
+// organisation in the queue.
 func (g *Group) removeParked(i int) {
 	w := g.parked[i]
 	g.unpark(i)
 	g.queue.AdjustCharge(w.Class, w.Organisation, w.KeyID, -w.cost)
 }
 
-// claim reserves memory, as it becomes free, on one upstream for a request that fits
+// reserve reserves memory, as it becomes free, on one upstream for a request that fits
 // on none. It chooses the upstream that is expected to have enough first, and none
 // if that is too late for the request: smaller requests could not use the reserved
-// memory meanwhile. At most half of the upstreams have a claim at a time, so that
+// memory meanwhile. At most half of the upstreams have a reservation at a time, so that
 // the others remain available. needsMemory is false if an upstream that the request
 // does not avoid has enough memory, so that only a slot or a link is missing.
-func (g *Group) claim(now time.Time, w *waiter) (needsMemory bool) {
+func (g *Group) reserve(now time.Time, w *waiter) (needsMemory bool) {
 	if g.fitsMemory(now, w) {
 		return false
 	}
-	if g.cfg.tuning.disableClaims || now.Before(w.nextClaimAt) || g.countClaims() >= max(1, len(g.servingUpstreams)/2) || !g.withinFairShare(w) {
+	if g.cfg.tuning.disableReservations || now.Before(w.nextReserveAt) || g.countReservations() >= max(1, len(g.servingUpstreams)/2) || !g.withinFairShare(w) {
 		return true
 	}
-	w.nextClaimAt = now.Add(claimRetryInterval)
+	w.nextReserveAt = now.Add(reserveRetryInterval)
 	var best *upstream
 	bestAt := w.latestStart
 	for _, u := range g.servingUpstreams {
-		if !u.usable() || u.hasClaim || u.capacity.Pieces == 0 || avoided(w, u, g.servingUpstreams) {
+		if !u.usable() || u.hasReservation || u.capacity.Pieces == 0 || avoided(w, u, g.servingUpstreams) {
 			continue
 		}
 		pieces := u.capacity.PiecesFor(w.PromptTokens, w.MaxTokens)
@@ -111,7 +111,7 @@
 		}
 	}
 	if best != nil {
-		g.claimOn(w, best)
+		g.reserveOn(w, best)
 	}
 	return true
 }
@@ -125,28 +125,28 @@
 	})
 }
 
-func (g *Group) countClaims() int {
-	claims := 0
+func (g *Group) countReservations() int {
+	reservations := 0
 	for _, w := range g.parked {
-		if w.claimedOn != nil {
-			claims++
+		if w.reservedOn != nil {
+			reservations++
 		}
 	}
-	return claims
+	return reservations
 }
 
-func (g *Group) claimOn(w *waiter, u *upstream) {
-	w.claimedOn = u
-	w.claimedPieces = u.capacity.PiecesFor(w.PromptTokens, w.MaxTokens)
-	u.hasClaim = true
-	u.capacity.ReservePieces(w.claimedPieces)
+func (g *Group) reserveOn(w *waiter, u *upstream) {
+	w.reservedOn = u
+	w.reservedPieces = u.capacity.PiecesFor(w.PromptTokens, w.MaxTokens)
+	u.hasReservation = true
+	u.capacity.ReservePieces(w.reservedPieces)
 }
 
-func (g *Group) unclaim(w *waiter) {
-	if w.claimedOn == nil {
+func (g *Group) unreserve(w *waiter) {
+	if w.reservedOn == nil {
 		return
 	}
-	w.claimedOn.capacity.UnreservePieces(w.claimedPieces)
-	w.claimedOn.hasClaim = false
-	w.claimedOn, w.claimedPieces = nil, 0
+	w.reservedOn.capacity.UnreservePieces(w.reservedPieces)
+	w.reservedOn.hasReservation = false
+	w.reservedOn, w.reservedPieces = nil, 0
 }
--- a/decision/group/place.go
+++ b/decision/group/place.go
@@ -77,7 +77,7 @@
 		}
 		plan := placementPlan{prefillUpstream: u}
 		plan.uncachedTokens = prefill.UncachedTokens(w.PromptTokens, hashes, matched, g.cfg.PrefixBlockTokens)
-		expectedTokens := g.cacheTrust.ExpectedUncached(w.PromptTokens, plan.uncachedTokens)
+		expectedTokens := g.indexPrecision.ExpectedUncached(w.PromptTokens, plan.uncachedTokens)
 		plan.expectedPrefill = u.speed.Estimate(g.estimates.speed.Estimate(expectedTokens))
 		if u.spec.DataCentre != w.DataCentre {
 			plan.expectedPrefill += prefill.CrossDataCentreDelay
--- a/decision/group/property_test.go
+++ b/decision/group/property_test.go
@@ -93,7 +93,7 @@
 }
 
 // Guards against leaks of slots, memory and link bookings when a request ends because
-// its client disconnects, its prefill fails, or its upstream crashes, leaves or
+// its caller disconnects, its prefill fails, or its upstream crashes, leaves or
 // returns. A leak is not noticed immediately: the service accepts fewer and fewer
 // requests until a restart.
 func TestRequestsReleaseAllResources(t *testing.T) {
--- a/decision/group/release.go
+++ b/decision/group/release.go
@@ -104,7 +104,7 @@
 	}
 	if out.OutputTokens > 1 && out.Decode > 0 {
 		between := out.Decode / time.Duration(out.OutputTokens-1)
-		rec.servingUpstream.capacity.Observe(now, placement.ResponseStats{
+		rec.servingUpstream.capacity.Observe(now, placement.AnswerStats{
 			Granted: rec.grantedAt, RunningAtGrant: rec.runningAtGrant,
 			TimeBetweenTokens: between, Target: g.cfg.BetweenTokens,
 			Policy:    g.cfg.tuning.limitPolicy,
@@ -125,5 +125,5 @@
 		return
 	}
 	cachedPrefill := g.estimates.speed.Estimate(rec.uncachedTokens)
-	g.cacheTrust.Learn(rec.prefillUpstream.speed.Estimate(fullPrefill), rec.prefillUpstream.speed.Estimate(cachedPrefill), took)
+	g.indexPrecision.Learn(rec.prefillUpstream.speed.Estimate(fullPrefill), rec.prefillUpstream.speed.Estimate(cachedPrefill), took)
 }
--- a/decision/group/submit.go
+++ b/decision/group/submit.go
@@ -90,10 +90,10 @@
 // checkAdmission returns the refusal of a request that must not be queued, or nil.
 func (g *Group) checkAdmission(now time.Time, w *waiter) *verdict.Verdict {
 	if !g.anyUsable() {
-		return verdict.Refuse(verdict.ReasonNoUpstream, noUpstreamRetryAfter, "no upstream of the service takes work")
+		return verdict.Refuse(verdict.ReasonNoUpstream, noUpstreamRetryAfter, "no upstream of the service accepts requests")
 	}
 	if !g.canEverFit(w) {
-		return verdict.Refuse(verdict.ReasonPromptTooLong, 0, "prompt and answer pass the memory of every upstream")
+		return verdict.Refuse(verdict.ReasonPromptTooLong, 0, "prompt and answer exceed the memory of every upstream")
 	}
 	wait := g.expectedWait(now, w)
 	if !now.Before(g.firstTokenDeadline(w)) {
@@ -131,7 +131,7 @@
 
 // expectedWait estimates how long a new request waits for its grant.
 func (g *Group) expectedWait(now time.Time, w *waiter) time.Duration {
-	// Parked requests and skipped keys wait for memory or a link that this request
+	// Parked requests and suspended keys wait for memory or a link that this request
 	// may not need.
 	if !g.queue.Ready() && g.hasFreeSlots(now) {
 		return 0
--- a/decision/group/thresholds_test.go
+++ b/decision/group/thresholds_test.go
@@ -11,7 +11,7 @@
 func (s site) measure(name string) measures         { return s.runPattern(name, 7, Config{}, false) }
 func (s site) measureBaseline(name string) measures { return s.runPattern(name, 7, Config{}, true) }
 
-// forEachSite runs a check for each service of both users.
+// forEachSite runs a check for each service of both users' deployments.
 func forEachSite(t *testing.T, check func(t *testing.T, s site)) {
 	t.Parallel()
 	for _, s := range []site{pisar, giltScribe, dezurstva, leafDesk} {
--- a/decision/group/upstream.go
+++ b/decision/group/upstream.go
@@ -22,8 +22,8 @@
 	reportedLeaving bool
 	// removed is set when the upstream is no longer in the set of SetUpstreams.
 	removed bool
-	// hasClaim is set while memory is reserved for a parked request.
-	hasClaim bool
+	// hasReservation is set while memory is reserved for a parked request.
+	hasReservation bool
 	// grants are those that the upstream serves as decode or plain upstream.
 	grants []*grantRecord
 	// lastUse breaks ties: the upstream whose last grant is older is preferred.
--- a/decision/group/usage.go
+++ b/decision/group/usage.go
@@ -12,7 +12,7 @@
 	grants int
 	// engines is the sum of the grants' engineShare.
 	engines float64
-	// interactive is the part of engines used by interactive requests.
+	// interactive is the share of engines used by interactive requests.
 	interactive float64
 }
 
@@ -44,9 +44,9 @@
 }
 
 // withinFairShare reports whether the organisation would stay within an equal share
-// of the engines if the request were granted; only then may memory be claimed for
+// of the engines if the request were granted; only then may memory be reserved for
 // it. Otherwise an organisation that sends many requests of a minute each would
-// claim all memory as it becomes free, and short requests of organisations below
+// reserve all memory as it becomes free, and short requests of organisations below
 // their share would be refused.
 func (g *Group) withinFairShare(w *waiter) bool {
 	enginesHeld := 0.0
@@ -60,8 +60,8 @@
 }
 
 // fairShareWait estimates the wait of a deferrable request if its organisation gets
-// an equal share of the engines in use. Interactive requests of the organisation use
-// their part of that share first; the rest serves its deferrable queue.
+// an equal share of the engines in use. Interactive requests of the organisation are
+// served from that share first; the rest serves its deferrable queue.
 func (g *Group) fairShareWait(w *waiter) time.Duration {
 	interactiveEngines := 0.0
 	organisations := len(g.usage)
--- a/decision/group/workload_test.go
+++ b/decision/group/workload_test.go
@@ -12,7 +12,7 @@
 	"github.com/cairnworks/cairnworks/request"
 )
 
-// site is one service of one of the users, at its size.
+// site is one service of a user's deployment, with the size that it has there.
 type site struct {
 	name            string
 	kind            object.Kind
--- a/decision/placement/limit.go
+++ b/decision/placement/limit.go
@@ -7,25 +7,25 @@
 	// MinCutFactor is the lowest factor by which one reduction multiplies the limit, so
 	// that a single outlier does not drain an upstream.
 	MinCutFactor float64
-	// Tolerance is the multiple of the target above which a response counts as slow. 95 %
-	// of responses meet the target, so a single response just above it is no evidence.
+	// Tolerance is the multiple of the target above which an answer counts as slow. 95 %
+	// of answers meet the target, so a single one just above it is no evidence.
 	Tolerance float64
 	// MinSlotShare is the share of the slots that is kept when the whole group misses the
 	// target. Fewer requests per upstream then do not restore the target, and further
-	// reductions would only reject more requests.
+	// reductions would only refuse more requests.
 	MinSlotShare float64
 }
 
 // DefaultLimitPolicy at most halves a limit at a time; docs/LOAD.md has the parameter sweeps.
 var DefaultLimitPolicy = LimitPolicy{MinCutFactor: 0.5, Tolerance: 1.05, MinSlotShare: 0.25}
 
-// ResponseStats describes a finished response of a decode upstream.
-type ResponseStats struct {
+// AnswerStats describes a finished answer of a decode upstream.
+type AnswerStats struct {
 	// Granted is when the request got its slot, RunningAtGrant the size of the batch that
 	// it joined.
 	Granted        time.Time
 	RunningAtGrant int
-	// TimeBetweenTokens is the mean over the response, Target the highest acceptable one.
+	// TimeBetweenTokens is the mean over the answer, Target the highest acceptable one.
 	TimeBetweenTokens time.Duration
 	Target            time.Duration
 	// GroupSlow reports whether the mean of the whole group misses the target as well.
@@ -34,14 +34,14 @@
 }
 
 // Limit is the number of concurrent requests that a decode upstream is given. It starts at
-// the number of slots, is reduced in proportion when responses are slower than the target,
-// and grows by one for each full round of responses within it (additive increase,
+// the number of slots, is reduced in proportion when answers are slower than the target,
+// and grows by one for each full round of answers within it (additive increase,
 // multiplicative decrease, as in TCP), or with time while the upstream is idle. The zero
 // value is a full limit.
 type Limit struct {
 	// reduction is the number of slots minus the limit.
 	reduction float64
-	// reducedAt is the time of the last reduction. Responses whose requests were granted
+	// reducedAt is the time of the last reduction. Answers whose requests were granted
 	// before it ran in the larger batch and do not show how the smaller one performs.
 	reducedAt time.Time
 	// idleSince is when the upstream last held a request or its limit was last raised.
@@ -49,11 +49,11 @@
 }
 
 // RaiseInterval is the idle time after which a reduced limit doubles. Limits grow with
-// responses, and an upstream with a very low limit looks full next to upstreams with free
+// answers, and an upstream with a very low limit looks full next to upstreams with free
 // capacity, so it would never get the request that shows its recovery. An idle upstream of
-// twenty slots regains its full limit after 25 s. The first slow response reduces the limit
+// twenty slots regains its full limit after 25 s. The first slow answer reduces the limit
 // again, so an upstream that is still slow costs only a few requests in that time, about as
-// many as health trials do.
+// many as health probes do.
 const RaiseInterval = 5 * time.Second
 
 // raise doubles the limit of an upstream that has been idle for RaiseInterval.
@@ -73,8 +73,8 @@
 	return min(slots, max(1, int(float64(slots)-l.reduction)))
 }
 
-// observe reduces the limit after a slow response, and raises it after one within the target.
-func (l *Limit) observe(slots, running int, now time.Time, r ResponseStats) {
+// observe reduces the limit after a slow answer, and raises it after one within the target.
+func (l *Limit) observe(slots, running int, now time.Time, r AnswerStats) {
 	if r.TimeBetweenTokens <= 0 || !r.Granted.After(l.reducedAt) {
 		return
 	}
@@ -89,7 +89,7 @@
 		l.reducedAt = now
 		return
 	}
-	// Only a response from a batch near the limit indicates that a larger one is possible.
+	// Only an answer from a batch near the limit indicates that a larger one is possible.
 	if l.reduction > 0 && running >= int(limit)-1 {
 		l.set(slots, float64(slots)-l.reduction+1/limit)
 	}
--- a/decision/placement/placement.go
+++ b/decision/placement/placement.go
@@ -3,13 +3,13 @@
 //
 // Load pattern: decode upstreams are nearly full, report their state late, and slow down
 // with each request in their batch. Without exact accounting, a request is prefilled and then
-// finds no slot; without memory for the whole response, a decode stops in the middle;
+// finds no slot; without memory for the whole answer, a decode stops in the middle;
 // without a limit that follows the token rate, a slow upstream is filled to its nominal
-// slots and all of its responses miss the target.
+// slots and all of its answers miss the target.
 //
-// A grant reserves pieces for the prompt and the longest possible response from before the
+// A grant reserves pieces for the prompt and the longest possible answer from before the
 // prefill until its release, so that growth during decoding cannot fail. With pieces of
-// 2048 tokens a response of a few hundred tokens reserves at most one piece more than it
+// 2048 tokens an answer of a few hundred tokens reserves at most one piece more than it
 // uses; a smaller estimate combined with preemption was rejected for this reason.
 package placement
 
@@ -55,7 +55,7 @@
 	pieces int
 }
 
-// PiecesFor returns the number of pieces to reserve for a prompt and its longest response. It
+// PiecesFor returns the number of pieces to reserve for a prompt and its longest answer. It
 // is 0 for upstreams without memory accounting.
 func (u *Upstream) PiecesFor(promptTokens, maxTokens int) int {
 	if u.Pieces == 0 {
@@ -100,7 +100,7 @@
 func (u *Upstream) UnreservePieces(pieces int) { u.reserved -= pieces }
 
 // Report processes an upstream's own count. Usage beyond the grants is attributed to another
-// scheduler: if those slots were granted as well, the upstream would reject a decode after
+// scheduler: if those slots were granted as well, the upstream would refuse a decode after
 // its prefill. Usage below the grants only means that the report is delayed.
 func (u *Upstream) Report(now time.Time, reported Usage) {
 	u.dropOldReleases(now)
@@ -129,7 +129,7 @@
 // few times per RaiseInterval.
 func (u *Upstream) RaiseLimit(now time.Time) { u.limit.raise(u.Slots, u.running, now) }
 
-// Observe adjusts the limit to a finished response.
-func (u *Upstream) Observe(now time.Time, r ResponseStats) {
+// Observe adjusts the limit to a finished answer.
+func (u *Upstream) Observe(now time.Time, r AnswerStats) {
 	u.limit.observe(u.Slots, u.running+1, now, r)
 }
--- a/decision/placement/query.go
+++ b/decision/placement/query.go
@@ -16,7 +16,7 @@
 func (u *Upstream) Running() int { return u.running }
 
 // Allowed returns the number of concurrent requests that the upstream is given: its slots, or
-// fewer while its responses are slower than the target.
+// fewer while its answers are slower than the target.
 func (u *Upstream) Allowed() int { return u.limit.allowed(u.Slots) }
 
 // FreeSlots returns the number of requests that can be added.
