--- a/decision/escrow/escrow.go
+++ b/decision/escrow/escrow.go
@@ -2,7 +2,7 @@
 // them spend the same token, even while the fleet is partitioned.
 //
 // Load pattern: hundreds of instances share an organisation's requests, so each sees one of them
-// every many seconds, and a fixed share of the rate never pays for a single long request. At
+// every many seconds, and a fixed share of the rate never suffices for a single long request. At
 // times one organisation sends several times its rate. Meanwhile instances crash, freeze and
 // lose contact with one another.
 //
@@ -11,13 +11,13 @@
 // shares of the rate that are too small to serve anything
 // (TestLargeFleetServesWithinTheRate).
 //
-// Each instance accrues credit, an equal share of the time during which every rate flows. It
-// transfers its credit to the home of the organisation, an instance that all choose by the same
-// rule, and the home converts the credit into tokens in a bucket. Transferred credit is deducted
-// from the sender, so at any moment the shares add up to one rate: homes that the two sides of a
-// partition choose differently divide the rate as the sides do, and a home that crashes loses
-// what it held and no more. Instances need not agree on which home is the right one, and no
-// clocks are compared.
+// Each instance accrues credit, an equal share of the elapsed time; a second of credit is worth
+// one second of any organisation's rate. It transfers its credit to the home of the organisation,
+// an instance that all choose by the same rule, and the home converts the credit into tokens in a
+// bucket. Transferred credit is deducted from the sender, so at any moment the shares add up to
+// one rate: if the two sides of a partition choose different homes, each home receives the shares
+// of its side, and a home that crashes loses only the tokens that it held. Instances need not
+// agree on which home is the right one, and no clocks are compared.
 //
 //   - Transferred credit is reported as a cumulative total for each run of the receiver, so that
 //     lost, duplicated and late messages change nothing.
@@ -25,8 +25,8 @@
 //     home is lost.
 //   - A bucket accepts no more than one rate, however many instances send to it, because shares
 //     add up to more than one rate while instances know too few of one another.
-//   - A bucket keeps no larger fraction of the burst than its share of the rate. One that
-//     senders have moved away from does not keep a burst for the time when they return.
+//   - A bucket keeps no larger fraction of the burst than its share of the rate. A bucket whose
+//     senders have changed to another home does not retain a burst until they return.
 //   - A home that learns that another has replaced it hands over what is left in its buckets,
 //     also as a cumulative total.
 //
--- a/decision/escrow/escrow_test.go
+++ b/decision/escrow/escrow_test.go
@@ -223,7 +223,7 @@
 }
 
 // Guards against many instances that each grant a large request that their share of the rate never
-// pays for.
+// suffices for.
 func TestShareOfTheRateDoesNotCountAsFull(t *testing.T) {
 	w := newNetwork(40, Limit{Rate: 10_000, Burst: 10_000}, 10)
 	w.run(3*time.Second, noDemand)
--- a/decision/escrow/home.go
+++ b/decision/escrow/home.go
@@ -120,7 +120,8 @@
 func (in *shardInflow) share() float64 { return min(in.recent*inflowTolerance, 1) }
 
 // refill adds tokens for some seconds of the rate, up to the given share of the burst. Tokens
-// above that, left when senders moved away or handed over by another home, decay exponentially.
+// above that, left after senders changed to another home or handed over by one, decay
+// exponentially.
 func (b *bucket) refill(seconds, share float64, elapsed time.Duration) {
 	most := b.limit.Burst * share
 	if excess := b.level - most; excess > 0 {
@@ -148,9 +149,9 @@
 	Granted bool
 	// Unknown reports that the organisation has no bucket here.
 	Unknown bool
-	// Retry is the time until there are enough tokens if nobody else takes any. It does not
-	// queue callers behind one another: those told to wait longer would be answered late, and
-	// an answer in time takes no more tokens than a late one.
+	// Retry is the time until there are enough tokens if nobody else takes any. Callers are
+	// not queued behind one another: those with longer times would be answered late, and a
+	// late answer takes as many tokens as one in time.
 	Retry time.Duration
 	// Level is the bucket's level after the request, Share the share of the rate that flows in.
 	Level, Share float64
@@ -185,8 +186,9 @@
 	unknownRetryAfter = 300 * time.Millisecond
 	// fullThreshold is the fraction of the burst from which a bucket counts as full.
 	fullThreshold = 0.95
-	// minShare bounds the retry time when little credit flows in. By then another home has
-	// taken over or the rate flows in again. Buckets with a smaller share do not count as in use.
+	// minShare bounds the retry time when little credit flows in. After that time another home
+	// has taken over or credit flows in again. Buckets with a smaller share do not count as in
+	// use.
 	minShare = 0.25
 )
 
