--- a/decision/length/length.go
+++ b/decision/length/length.go
@@ -1,20 +1,19 @@
 // Package length estimates the number of output tokens of a request.
 //
-// Load pattern: callers set the same large output limit on all requests. Their estimates
-// of the output length are right in the median, but individual ones are often far off. A
+// Load pattern: callers set the same large output limit on all requests. Their hints of
+// the output length are right in the median, but individual ones are often far off. A
 // request claims memory on a decode engine for its entire run.
 //
 // Without it, claims of the output limit leave nearly half of the engines' memory unused at
-// all times, and claims of the caller's estimate are too small for every second request
+// all times, and claims of the caller's hint are too small for every second request
 // (TestEstimateBeatsHint measures the error of each).
 //
-// Output lengths and callers' estimates both vary by factors, so the model is a linear
-// regression of the logarithm of the length on the logarithm of the estimate, over the
-// finished requests of a service. Where estimates carry little information the slope is
-// near zero and the mean length determines the result; where they are accurate the result
-// follows them. The samples of all instances are combined: where sixty instances share the
-// requests, each on its own would claim the output limit for its first 20 s
-// (TestFleetKnowsLengthsSooner).
+// Output lengths and hints both vary by factors, so the model is a linear regression of
+// the logarithm of the length on the logarithm of the hint, over the finished requests of
+// a service. Where hints carry little information the slope is near zero and the mean
+// length determines the result; where they are accurate the result follows them. The
+// samples of all instances are combined: where sixty instances share the requests, each on
+// its own would claim the output limit for its first 20 s (TestFleetKnowsLengthsSooner).
 package length
 
 import "math"
@@ -44,7 +43,7 @@
 }
 
 // Sums summarises finished requests: their total weight N, and the weighted means of the
-// logarithms of the callers' estimates (X) and of the lengths (Y), of the squares of both
+// logarithms of the callers' hints (X) and of the lengths (Y), of the squares of both
 // and of their product.
 type Sums struct{ N, X, Y, XX, XY, YY float64 }
 
@@ -101,7 +100,7 @@
 	return all
 }
 
-// Observe adds a finished request: the caller's estimate (0 if there is none) and the actual
+// Observe adds a finished request: the caller's hint (0 if there is none) and the actual
 // number of output tokens.
 func (e *Estimator) Observe(hint, tokens int) {
 	if tokens <= 0 {
--- a/decision/length/length_test.go
+++ b/decision/length/length_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// randomRequests returns random output lengths and callers' estimates of them. Both have a
+// randomRequests returns random output lengths and callers' hints of them. Both have a
 // log-normal distribution.
 func randomRequests(rng *rand.Rand, n int) (hints, tokens []int) {
 	for range n {
@@ -19,7 +19,7 @@
 	return hints, tokens
 }
 
-// Guards against estimates that are hardly better than the callers' own, which are right in the
+// Guards against estimates that are hardly better than the callers' hints, which are right in the
 // median and often off by a factor, or than the output limit. Claims of the former are too small
 // for half of the requests, claims of the latter leave memory unused; both cost requests.
 func TestEstimateBeatsHint(t *testing.T) {
@@ -65,7 +65,7 @@
 	assert.Equal(t, e.Estimate(100, 9360, 0), 9360)
 }
 
-// Guards against wrong estimates for callers that give none, which get the mean, and against
+// Guards against wrong estimates for callers that give no hint, which get the mean, and against
 // invalid values that distort the samples.
 func TestMissingHints(t *testing.T) {
 	e := New(DefaultConfig())
