--- a/decision/room/room.go
+++ b/decision/room/room.go
@@ -1,14 +1,15 @@
-// Package room decides on which engine a request reserves its memory.
+// Package room decides on which engine a request claims its memory. A claim is counted by
+// the instances only; the engine itself does not know of it.
 //
 // Load pattern: a decode engine runs about ten long requests at once. The memory of
 // each grows to twice the size of its prompt while it runs, and bursts bring two to
 // four times the usual load. All instances place requests on the same engines.
 //
-// Without reservations, requests go to the engines that run the fewest, and an engine
+// Without claims, requests go to the engines that run the fewest, and an engine
 // runs out of memory as they grow. It then preempts its newest request in the middle of
-// the stream and recomputes the prompt, or rejects a request whose prompt has just been
+// the stream and recomputes the prompt, or refuses a request whose prompt has just been
 // prefilled; either way a prefill is wasted. TestClaimsPreventOverflow counts the
-// overflows with and without full reservations.
+// overflows with and without full claims.
 //
 // Rules:
 //   - A request claims its maximum memory when it is placed, and holds the claim until it
@@ -23,8 +24,8 @@
 //     engines in the same data centre are preferred, because a transfer between data
 //     centres takes twice as long.
 //   - Where the loads reported by other instances are outdated, the less loaded of two
-//     randomly sampled engines is chosen (SetSampler). All instances would otherwise pick
-//     the same engine from the same old figures and overload it (TestSampledClaimsSpread).
+//     randomly sampled engines is chosen (SetSampler). All instances would otherwise choose
+//     the same engine from the same old loads and overload it (TestSampledClaimsSpread).
 package room
 
 import (
@@ -60,7 +61,7 @@
 	peerTotals map[string]Load
 	// sample returns a random number below its argument. If nil, all engines are compared.
 	sample func(n int) int
-	// disabled engines rejected a request although its claim should have fitted. They get
+	// disabled engines refused a request although its claim should have fitted. They get
 	// no claims until they are enabled again.
 	disabled map[string]bool
 	// running lists the requests that were placed through this allocator and have not
--- a/decision/room/room_test.go
+++ b/decision/room/room_test.go
@@ -90,8 +90,9 @@
 	assert.Assert(t, id != "e0")
 }
 
-// Guards against requests that are sent to an engine that rejects them although they should
-// fit, or that is about to change its role. The first is disabled, the second claimed whole.
+// Guards against requests that are sent to an engine that refuses them although they should
+// fit, or that is about to change its role. The first is disabled, and the whole memory of the
+// second is claimed.
 func TestDisabledAndFullyClaimedEnginesGetNoRequests(t *testing.T) {
 	r := New()
 	r.SetEngines(engines(1))
@@ -123,7 +124,7 @@
 
 // Guards against instances that overload one engine while others are idle. Sixty instances
 // place short calls on six engines and learn of each other's loads a second late, so all of
-// them consider the same engine the least loaded, and its callers are rejected or wait.
+// them consider the same engine the least loaded, and its callers are refused or wait.
 // Comparing two sampled engines spreads the calls.
 func TestSampledClaimsSpread(t *testing.T) {
 	const (
@@ -132,7 +133,7 @@
 		callTicks      = 6
 		slots          = 6
 	)
-	rejectedShare := func(sample bool) float64 {
+	refusedShare := func(sample bool) float64 {
 		rng := rand.New(rand.NewPCG(7, 7))
 		rooms := make([]*Allocator, instances)
 		for i := range rooms {
@@ -152,7 +153,7 @@
 			end      int
 		}
 		var calls []call
-		asked, rejected := 0, 0
+		asked, refused := 0, 0
 		for tick := range 3000 {
 			// Each instance reports once per interval.
 			i := tick % reportInterval
@@ -184,7 +185,7 @@
 				asked++
 				id, ok := rooms[from].Claim(Demand{Tokens: 0}, nil)
 				if !ok || busy[id] >= slots {
-					rejected++
+					refused++
 					if ok {
 						rooms[from].Release(id, 0)
 					}
@@ -194,11 +195,11 @@
 				calls = append(calls, call{from, id, tick + callTicks})
 			}
 		}
-		return float64(rejected) / float64(asked)
+		return float64(refused) / float64(asked)
 	}
-	lowest, sampled := rejectedShare(false), rejectedShare(true)
-	t.Logf("rejected: %.3f with the lowest of all, %.3f with the lower of two samples", lowest, sampled)
-	assert.Assert(t, sampled < lowest/3, "rejected: %.3f with the lowest of all, %.3f with the lower of two samples", lowest, sampled)
+	lowest, sampled := refusedShare(false), refusedShare(true)
+	t.Logf("refused: %.3f with the lowest of all, %.3f with the lower of two samples", lowest, sampled)
+	assert.Assert(t, sampled < lowest/3, "refused: %.3f with the lowest of all, %.3f with the lower of two samples", lowest, sampled)
 }
 
 // Measures one claim with 400 peers. The allocator updates its totals with each report: adding
--- a/decision/room/running_test.go
+++ b/decision/room/running_test.go
@@ -20,11 +20,11 @@
 // engines with memory for 55,000 tokens each, in steps of 50 ms. Each request generates 600
 // output tokens per second.
 type simulation struct {
-	allocator        *Allocator
-	rng              *rand.Rand
-	now              time.Duration
-	running          []*simulatedRequest
-	placed, rejected int
+	allocator       *Allocator
+	rng             *rand.Rand
+	now             time.Duration
+	running         []*simulatedRequest
+	placed, refused int
 	// overflows counts steps of engines that use more memory than they have.
 	overflows int
 }
@@ -50,7 +50,7 @@
 	}
 	id, ok := s.allocator.Claim(demand, nil)
 	if !ok {
-		s.rejected++
+		s.refused++
 		return
 	}
 	s.placed++
@@ -94,16 +94,16 @@
 	}
 }
 
-// Guards against requests that are rejected during a burst although memory is free: other requests
+// Guards against requests that are refused during a burst although memory is free: other requests
 // claim it but do not use it, as they have just started or are about to end.
 func TestBurstUsesMemoryThatOthersWillHaveFreed(t *testing.T) {
 	full, peak := newSimulation(), newSimulation()
 	full.run(true)
 	peak.run(false)
-	t.Logf("full claims: %d placed, %d rejected, %d overflows; predicted peak: %d placed, %d rejected, %d overflows",
-		full.placed, full.rejected, full.overflows, peak.placed, peak.rejected, peak.overflows)
-	assert.Assert(t, full.rejected > 30, "the burst is too small")
-	assert.Assert(t, peak.rejected < full.rejected)
+	t.Logf("full claims: %d placed, %d refused, %d overflows; predicted peak: %d placed, %d refused, %d overflows",
+		full.placed, full.refused, full.overflows, peak.placed, peak.refused, peak.overflows)
+	assert.Assert(t, full.refused > 30, "the burst is too small")
+	assert.Assert(t, peak.refused < full.refused)
 	assert.Assert(t, peak.overflows <= 1200*2/100, "engines overflow in %d of 2,400 steps", peak.overflows)
 }
 
