--- a/decision/split/split.go
+++ b/decision/split/split.go
@@ -2,9 +2,9 @@
 // decode.
 //
 // Load pattern: operators start a third of the engines as prefill engines. Prefilling a
-// prompt takes a tenth of a second of an engine. Decoding its answer takes some seconds
-// of a tenth to a sixth of another engine's memory, so that decode engines are full in
-// every burst while prefill engines are idle, or the other way round for long prompts
+// prompt occupies an engine for a tenth of a second. Decoding its answer occupies a tenth
+// to a sixth of another engine's memory for some seconds, so that decode engines are full
+// in every burst while prefill engines are idle, or the other way round for long prompts
 // with short answers.
 //
 // Without it: requests that one pool cannot take are refused while engines of the other
@@ -16,7 +16,7 @@
 // depends only on the ratio of the two and not on the request rate, so it is known after
 // a few requests and does not follow each burst. The observations of all instances are
 // pooled: where sixty instances share the requests, a single one has seen enough only
-// after 20 s, and until then ten idle prefill engines stood beside full decode engines
+// after 20 s, and until then ten prefill engines were idle while decode engines were full
 // (TestPeerStatsSpeedUpDecision).
 package split
 
@@ -68,7 +68,7 @@
 	speedWindow = 32
 	// speedQuantile is the quantile of their speeds that is used. Most prompts wait behind
 	// others, so that the median is too slow. The fastest may be one whose prompt was
-	// already cached, or a response that matches no prompt; a single one of these made
+	// already cached, or an answer that matches no prompt; a single one of these made
 	// prefill engines look thirty times as fast as they are.
 	speedQuantile = 0.75
 )
--- a/decision/split/split_test.go
+++ b/decision/split/split_test.go
@@ -73,7 +73,7 @@
 
 // Guards against a single cached prompt, which is prefilled at once, being taken for the
 // engines' speed. It made one prefill engine look sufficient for all prompts, and callers
-// waited behind it for the rest of the day.
+// waited for that engine for the rest of the day.
 func TestOneFastPromptChangesNothing(t *testing.T) {
 	for before := range 8 {
 		a := New(DefaultConfig())
@@ -101,7 +101,7 @@
 
 // Guards against instances that decide by their own requests alone. Where seventy instances
 // share forty requests a second, one has enough observations only after many seconds, and
-// until then decode engines refuse work beside idle prefill engines.
+// until then decode engines refuse requests while prefill engines are idle.
 func TestPeerStatsSpeedUpDecision(t *testing.T) {
 	a := observedRequests(1)
 	_, ok := a.Recommend(44, 15)
