--- a/decision/health/health.go
+++ b/decision/health/health.go
@@ -21,7 +21,7 @@
 //     upstream is ejected and gets only probes and a minimal weight. After
 //     successful probes its weight is restored in steps.
 //   - At most a third of the upstreams are ejected at once (one of two). If half of
-//     them fail, the others could not carry the load, and the cause lies elsewhere.
+//     them fail, the others could not handle the load, and the cause lies elsewhere.
 package health
 
 import (
--- a/decision/hub/hub.go
+++ b/decision/hub/hub.go
@@ -1,8 +1,9 @@
 // Package hub chooses which instances of a fleet the others report to, and which of these hubs
 // is the home of each subject.
 //
-// Load pattern: hundreds of instances, each with few requests, need to know what all others have
-// placed and learnt. A few of the machines have several times the processor time of the rest.
+// Load pattern: hundreds of instances, each with few requests, need to know which requests all
+// others have placed and which statistics they have collected. A few of the machines have several
+// times the processor time of the rest.
 //
 // Without it: all-to-all reports grow with the square of the fleet size. At 295 instances one
 // round of reports of one instance occupies its link for a quarter of a second, during which
--- a/decision/transfer/transfer.go
+++ b/decision/transfer/transfer.go
@@ -2,8 +2,8 @@
 //
 // Load pattern: many prefills finish close together, and their results leave through the
 // same link or enter the same decode upstream. Without bookings the transfers share the
-// rate, all of them slow down, and results expire (they live for less than a second)
-// after their prefill was paid for. The symptom is transfer failures that rise with load
+// rate, all of them slow down, and results expire (they are kept for less than a second),
+// which wastes their prefills. The symptom is transfer failures that rise with load
 // while every engine is healthy.
 //
 // Each link has a schedule of bookings. A transfer is booked before its prefill starts, at
--- a/decision/waiting/waiting.go
+++ b/decision/waiting/waiting.go
@@ -1,17 +1,17 @@
 // Package waiting implements the queue of requests that wait for an engine: which one is
 // placed next, and how long each may wait.
 //
-// Load pattern: bursts bring two to four times what the decode engines hold. An answer
-// whose first event arrives within the objective is worth five times a later one, and
-// both take the same memory.
+// Load pattern: bursts bring two to four times the requests that the decode engines can
+// run. An answer whose first event arrives within the objective is worth five times a
+// later one, and both take the same memory.
 //
 // Without it: once a burst has filled a first-come, first-served queue with long waits,
 // every request is late, including those that arrive after the burst. The engines are as
-// busy as before, but their work is worth a fifth (TestBurstIsServedInTime measures it).
+// busy as before, but their answers are worth a fifth (TestBurstIsServedInTime measures it).
 //
 // Rules:
 //   - A request waits as long as it can still meet its objective. Then it is refused at
-//     once with a time to retry after.
+//     once with the time after which to retry.
 //   - Among those that can meet it, the lower priority number is placed first, then the
 //     organisation that was served the fewest tokens lately, then the earlier arrival.
 //   - A request that does not fit may be overtaken, since engines differ in free memory,
