--- a/verdict/reason.go
+++ b/verdict/reason.go
@@ -1,6 +1,6 @@
 package verdict
 
-// Reason is the cause of a rejection or failure. Its value is used as a metric tag and as the
+// Reason is the cause of a refusal or failure. Its value is used as a metric tag and as the
 // "code" field of error bodies, and must not change once released.
 type Reason string
 
@@ -59,7 +59,7 @@
 	ReasonRetentionOver        Reason = "retention_over"
 	// ReasonGuardFull means that the maximum number of idempotency keys is stored.
 	ReasonGuardFull Reason = "guard_full"
-	// ReasonAnswerNotKept means that the call was executed but its response was not stored.
+	// ReasonAnswerNotKept means that the call was executed but its answer was not stored.
 	ReasonAnswerNotKept Reason = "answer_not_kept"
 )
 
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,5 +1,5 @@
 // Package verdict describes why a request got no complete response: whether an upstream may
-// have executed it, the reason, and when a retry can succeed. Every rejection and failure that
+// have executed it, the reason, and when a retry can succeed. Every refusal and failure that
 // an instance returns contains a Verdict.
 package verdict
 
