--- a/upstream/directory.go
+++ b/upstream/directory.go
@@ -67,7 +67,7 @@
 	// instruction.
 	evacuated map[string]bool
 	// byService is shared by all readers. It is rebuilt when it is first read after a change and
-	// not with each change, because reading the store brings thousands of entries at once. stale
+	// not with each change, because reading the store adds thousands of entries at once. stale
 	// is set while it is out of date.
 	byService map[string][]Entry
 	stale     bool
@@ -136,8 +136,8 @@
 // reports whether this is a change.
 //
 // Operators evacuate a data centre before they shut it down. Its upstreams do not know about it
-// and still report that they are ready, and requests sent to them would be lost with the power.
-// The directory therefore treats them as leaving.
+// and still report that they are ready, and requests sent to them would be lost when the power
+// is cut. The directory therefore treats them as leaving.
 func (d *Directory) Evacuate(dataCentre string, evacuated bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/upstream/directory_test.go
+++ b/upstream/directory_test.go
@@ -28,7 +28,7 @@
 	assert.Assert(t, ok)
 }
 
-// Guards against further requests to an address that now belongs to another engine, which rejects
+// Guards against further requests to an address that now belongs to another engine, which refuses
 // them. The old entry remains in the directory until its upstream publishes a change.
 func TestGoneUntilTheEntryChanges(t *testing.T) {
 	d := NewDirectory()
