--- a/object/check_limits.go
+++ b/object/check_limits.go
@@ -29,7 +29,7 @@
 }
 
 // checkBurst reports services whose largest request costs more than the burst. Such a
-// request could never be admitted, while each rejection would advise a retry.
+// request could never be admitted, while each refusal would advise a retry.
 // Thousands of organisations may share a limit, so that each pair of limit and service
 // is reported once.
 func (c *checker) checkBurst(o Organisation, limit Limit, reported map[[2]string]bool) {
