--- a/observe/stall.go
+++ b/observe/stall.go
@@ -31,7 +31,7 @@
 		}
 		at := now()
 		if gap := at - last; gap > minStall {
-			logger.Warn("process stood still", zap.Duration("gap", gap))
+			logger.Warn("process stalled", zap.Duration("gap", gap))
 		}
 		last = at
 	}
