--- a/examples/fleet.sh
+++ b/examples/fleet.sh
@@ -1,14 +1,14 @@
 #!/bin/sh
-# Starts a fleet on loopback to try docs/OPERATIONS.md with: the log, the list, 13
-# upstreams and nine instances in three data centres.
+# Starts a fleet on loopback for trying out docs/OPERATIONS.md: the platform's log and
+# list, 13 upstreams and nine instances in three data centres.
 #
 #   examples/fleet.sh platform         log, list and upstreams
 #   examples/fleet.sh instance 0 1 2   instances 0 to 8
-#   examples/fleet.sh upstream NAME    one upstream again
-#   examples/fleet.sh stop             ends everything that is still running
+#   examples/fleet.sh upstream NAME    one upstream that has stopped
+#   examples/fleet.sh stop             kills all processes started this way
 #
-# BIN is the directory of the programs, DIR takes settings, logs and process ids.
-# Instance N listens on 2400N for callers, 2410N for peers, 2420N for operators.
+# BIN is the directory of the programs, DIR that of settings, logs and process ids.
+# Instance N listens on port 2400N for callers, 2410N for peers, 2420N for operators.
 set -eu
 BIN=${BIN:-bin}
 DIR=${DIR:-bin/fleet}
@@ -19,8 +19,8 @@
 	name=$1
 	shift
 	"$@" >>"$DIR/logs/$name.log" 2>&1 &
-	# Kept beside earlier ones: a second process of a name cannot listen, and stop
-	# must still know the first.
+	# Appended to the earlier ids: if a name is started twice, the second process
+	# cannot listen on the same port, and stop must still kill the first.
 	echo $! >>"$DIR/pids/$name"
 }
 
@@ -28,7 +28,7 @@
 
 name() { echo "$(data_centre "$1")-$(($1 / 3 + 1))"; }
 
-# The example's addresses moved to loopback: 10.0.A.BC becomes port 23ABC.
+# Maps the addresses in objects.json to loopback: 10.0.A.BC becomes port 23ABC.
 objects() { sed 's/10\.0\.\([0-9]\)\.\([0-9]*\):80[0-9]0/127.0.0.1:23\1\2/' "$here/objects.json" >"$DIR/objects.json"; }
 
 upstreams() { tr -d ' ",' <"$DIR/objects.json" | awk -F: '
--- a/scenarios/fleet.sh
+++ b/scenarios/fleet.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Starts the processes that a scenario names, on loopback: the log on port 18301, the
-# list on 18302, engines from 18101 and plain services from 18201 on as the object set
-# has them, entry instances from 18001 on (peers from 18401, operators from 18501).
+# Starts the processes of a scenario on loopback: the platform's log on port 18301, its
+# list on 18302, the engines (ports from 18101) and plain services (from 18201) of the
+# object set, and entry instances (callers from 18001, peers 18401, operators 18501).
 #
 #   scenarios/fleet.sh start NAME BIN DIR   NAME is jadran or brazos, BIN holds the programs
-#   scenarios/fleet.sh stop DIR             ends what start began, by process id
+#   scenarios/fleet.sh stop DIR             ends the processes listed in DIR/pids
 #
 # start writes DIR/pids, for `cairnload run --pids`. The object set NAME.objects.json has
 # to be published afterwards.
@@ -48,7 +48,7 @@
 
 stop() {
   while read -r _ pid; do
-    # A process that has ended may have left its id to another program.
+    # Another program may have the id of a process that has ended.
     if grep -qa cairn "/proc/$pid/cmdline" 2>/dev/null; then
       kill "$pid" || true
     fi
--- a/test.sh
+++ b/test.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# The whole check, as CI runs it: format, vet, staticcheck, build, tests with -race.
+# Runs all checks, as CI does: gofmt, vet, staticcheck, build, and tests with -race.
 set -euo pipefail
 cd "$(dirname "$0")"
 
 unformatted=$(gofmt -l $(git ls-files --cached --others --exclude-standard --deduplicate '*.go' | while read -r f; do [ -f "$f" ] && echo "$f"; done))
 if [ -n "$unformatted" ]; then
-  printf 'not gofmt-clean:\n%s\n' "$unformatted"
+  printf 'files not formatted with gofmt:\n%s\n' "$unformatted"
   exit 1
 fi
 go vet ./...
@@ -13,11 +13,11 @@
 ./bin/staticcheck ./...
 go build -o bin/ ./cmd/...
 
-# Tests named first on a line of KNOWN-RED.txt may fail; everything else must pass. Entries that
-# begin with a command skip no test.
+# Tests whose name begins a line of KNOWN-RED.txt are skipped; all others must pass. Entries that
+# do not begin with the name of a test skip none.
 skip=()
 if [ -s KNOWN-RED.txt ]; then
-  echo "known red:"
+  echo "known failures (KNOWN-RED.txt):"
   cat KNOWN-RED.txt
   names=$({ grep -oE '^Test[A-Za-z0-9_]+' KNOWN-RED.txt || true; } | paste -sd'|' -)
   if [ -n "$names" ]; then
