--- a/decision/escrow/escrow.go
+++ b/decision/escrow/escrow.go
@@ -12,9 +12,9 @@
 // (TestLargeFleetServesWithinTheRate).
 //
 // Each instance accrues credit, an equal share of the elapsed time; a second of credit is worth
-// one second of any organisation's rate. It transfers its credit to the home of the organisation,
-// an instance that all choose by the same rule, and the home converts the credit into tokens in a
-// bucket. Transferred credit is deducted from the sender, so at any moment the shares add up to
+// one second of any organisation's rate. The instance transfers its credit to the home of the
+// organisation, an instance that all choose by the same rule, and the home converts the credit into
+// tokens in a bucket. Transferred credit is deducted from the sender, so at any moment the shares add up to
 // one rate: if the two sides of a partition choose different homes, each home receives the shares
 // of its side, and a home that crashes loses only the tokens that it held. Instances need not
 // agree on which home is the right one, and no clocks are compared.
