--- a/instance/path.go
+++ b/instance/path.go
@@ -27,11 +27,11 @@
 	}
 	retrier := retry.New(retry.DefaultConfig(), rand.Float64)
 	models := &route.ModelRunner{
-		Self: i.self, Placer: i.schedulerClient, Engines: i.engines, Address: i.upstreamAddress,
+		Self: i.self, Scheduler: i.schedulerClient, Engines: i.engines, Address: i.upstreamAddress,
 		Retrier: retrier, Log: i.log, Metrics: i.metrics,
 	}
 	plain := &route.PlainRunner{
-		Placer: i.schedulerClient, Guard: i.guard, Services: i.services, Address: i.upstreamAddress,
+		Scheduler: i.schedulerClient, Guard: i.guard, Services: i.services, Address: i.upstreamAddress,
 		Retrier: retrier, Log: i.log, Metrics: i.metrics,
 	}
 	i.callerHandler = caller.NewServer(caller.Config{
--- a/route/attempt.go
+++ b/route/attempt.go
@@ -93,7 +93,7 @@
 		a.recordFailure(OutcomePrefillFailed, a.grant.Prefill, err)
 		return result, err
 	}
-	a.Placer.PrefillDone(a.grant)
+	a.Scheduler.PrefillDone(a.grant)
 	if len(a.generated) == 0 {
 		a.answer.PromptTokens, a.answer.CachedTokens = result.Tokens, result.CachedTokens
 	}
--- a/route/model.go
+++ b/route/model.go
@@ -44,9 +44,9 @@
 // ModelRunner runs model requests. Each attempt consists of a reservation, prefill, KV transfer and
 // decode; failed attempts are retried if the Retrier allows it.
 type ModelRunner struct {
-	Self    func() request.Holder
-	Placer  Placer
-	Engines port.EngineDialer
+	Self      func() request.Holder
+	Scheduler Scheduler
+	Engines   port.EngineDialer
 	// Address returns the IP:port of an upstream by its object's name.
 	Address func(upstream string) (string, bool)
 	Retrier Retrier
@@ -150,7 +150,7 @@
 
 // runAttempt runs the request once with a new grant.
 func (r *modelRun) runAttempt(ctx context.Context, attempt uint32) error {
-	grant, err := r.Placer.Reserve(ctx, r.remainingRequest(), attempt, r.avoid)
+	grant, err := r.Scheduler.Reserve(ctx, r.remainingRequest(), attempt, r.avoid)
 	if err != nil {
 		return err
 	}
@@ -162,7 +162,7 @@
 	}
 	err = a.run(ctx)
 	a.outcome.Fingerprint = r.req.Fingerprint
-	r.Placer.Release(grant, a.outcome)
+	r.Scheduler.Release(grant, a.outcome)
 	if a.outcome.FailedUpstream != "" {
 		r.avoid = append(r.avoid, a.outcome.FailedUpstream)
 	}
--- a/route/plain.go
+++ b/route/plain.go
@@ -46,9 +46,9 @@
 
 // PlainRunner runs calls of plain services. Calls that are not idempotent run at most once.
 type PlainRunner struct {
-	Placer   Placer
-	Guard    Guard
-	Services port.ServiceDialer
+	Scheduler Scheduler
+	Guard     Guard
+	Services  port.ServiceDialer
 	// Address returns the IP:port of an upstream by its object's name.
 	Address func(upstream string) (string, bool)
 	Retrier Retrier
@@ -169,12 +169,12 @@
 // runAttempt makes a single attempt. On failure, it also returns the name of the upstream that
 // failed, if any.
 func (p *PlainRunner) runAttempt(ctx context.Context, call PlainCall, attempt uint32, avoid []string) (PlainAnswer, string, error) {
-	grant, err := p.Placer.Reserve(ctx, call.Request, attempt, avoid)
+	grant, err := p.Scheduler.Reserve(ctx, call.Request, attempt, avoid)
 	if err != nil {
 		return PlainAnswer{}, "", err
 	}
 	outcome := Outcome{Kind: OutcomeDone}
-	defer func() { p.Placer.Release(grant, outcome) }()
+	defer func() { p.Scheduler.Release(grant, outcome) }()
 	address, ok := p.Address(grant.Decode)
 	if !ok {
 		outcome.Kind = OutcomeCancelled
--- a/route/plain_test.go
+++ b/route/plain_test.go
@@ -19,26 +19,26 @@
 	"github.com/cairnworks/cairnworks/verdict"
 )
 
-// fakePlacer grants all reservations, or refuses retries with retryRefusal, and records the
+// fakeScheduler grants all reservations, or refuses retries with retryRefusal, and records the
 // outcomes of the grants.
-type fakePlacer struct {
+type fakeScheduler struct {
 	grants       int
 	outcomes     []group.OutcomeKind
 	retryRefusal *verdict.Verdict
 }
 
-func (p *fakePlacer) Reserve(_ context.Context, req *request.Request, attempt uint32, _ []string) (*Grant, error) {
-	if p.retryRefusal != nil && attempt > 1 {
-		return nil, p.retryRefusal
+func (s *fakeScheduler) Reserve(_ context.Context, req *request.Request, attempt uint32, _ []string) (*Grant, error) {
+	if s.retryRefusal != nil && attempt > 1 {
+		return nil, s.retryRefusal
 	}
-	p.grants++
-	return &Grant{ID: uint64(p.grants), Service: req.Service, RequestID: req.ID, Attempt: attempt, Decode: "u"}, nil
+	s.grants++
+	return &Grant{ID: uint64(s.grants), Service: req.Service, RequestID: req.ID, Attempt: attempt, Decode: "u"}, nil
 }
 
-func (p *fakePlacer) PrefillDone(*Grant) {}
+func (s *fakeScheduler) PrefillDone(*Grant) {}
 
-func (p *fakePlacer) Release(_ *Grant, outcome Outcome) {
-	p.outcomes = append(p.outcomes, outcome.Kind)
+func (s *fakeScheduler) Release(_ *Grant, outcome Outcome) {
+	s.outcomes = append(s.outcomes, outcome.Kind)
 }
 
 // fakeGuard counts finished and abandoned tickets.
@@ -112,11 +112,11 @@
 		{"lookup after a crash and failed dials", true, "", []any{crashed, unreachable, unreachable}, 3, verdict.MayHaveRun, "", 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			service, guard, placer := &scriptedService{answers: test.answers}, &fakeGuard{}, &fakePlacer{}
+			service, guard, scheduler := &scriptedService{answers: test.answers}, &fakeGuard{}, &fakeScheduler{}
 			metrics := observe.NewMetrics()
 			defer metrics.Close()
 			p := &PlainRunner{
-				Placer: placer, Guard: guard, Retrier: alwaysRetry{}, Log: zap.NewNop(), Metrics: metrics,
+				Scheduler: scheduler, Guard: guard, Retrier: alwaysRetry{}, Log: zap.NewNop(), Metrics: metrics,
 				Services: func(string) port.PlainService { return service },
 				Address:  func(string) (string, bool) { return "127.0.0.1:1", true },
 			}
@@ -126,7 +126,7 @@
 				Idempotent: test.idempotent,
 			})
 			assert.Equal(t, service.calls, test.calls)
-			assert.Equal(t, len(placer.outcomes), placer.grants, "a grant was not released")
+			assert.Equal(t, len(scheduler.outcomes), scheduler.grants, "a grant was not released")
 			assert.Equal(t, guard.finished, test.finished)
 			assert.Equal(t, guard.abandoned, test.abandoned)
 			if test.body != "" {
@@ -147,7 +147,7 @@
 	defer metrics.Close()
 	service := &scriptedService{answers: []any{verdict.Fail(verdict.MayHaveRun, verdict.ReasonUpstreamCrashed, io.EOF, "broke")}}
 	p := &PlainRunner{
-		Placer: &fakePlacer{retryRefusal: verdict.Refuse(verdict.ReasonQueueTimeout, time.Second, "full")}, Guard: &fakeGuard{},
+		Scheduler: &fakeScheduler{retryRefusal: verdict.Refuse(verdict.ReasonQueueTimeout, time.Second, "full")}, Guard: &fakeGuard{},
 		Retrier: alwaysRetry{}, Log: zap.NewNop(), Metrics: metrics,
 		Services: func(string) port.PlainService { return service },
 		Address:  func(string) (string, bool) { return "127.0.0.1:1", true },
--- a/route/stages.go
+++ b/route/stages.go
@@ -1,6 +1,6 @@
-// Package route implements the request path: at-most-once guard, rate limit, placement, prefill, KV
-// transfer, decode, answer. The stages are accessed through the interfaces defined here; each stage
-// either succeeds or fails with a verdict.
+// Package route implements the request path: at-most-once guard, rate limit, reservation of
+// upstream slots, prefill, KV transfer, decode, answer. The stages are accessed through the
+// interfaces defined here; each stage either succeeds or fails with a verdict.
 package route
 
 import (
@@ -70,8 +70,8 @@
 	OutcomeUpstreamCrashed = group.OutcomeUpstreamCrashed
 )
 
-// Placer reserves capacity on upstreams. It is the client side of the group scheduler.
-type Placer interface {
+// Scheduler reserves capacity on upstreams. It is the client side of the group scheduler.
+type Scheduler interface {
 	// Reserve waits for a grant until the request's deadline or refuses.
 	Reserve(ctx context.Context, req *request.Request, attempt uint32, avoid []string) (*Grant, error)
 	// PrefillDone reports that the grant's prefill slot is free again.
--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -39,7 +39,7 @@
 	Metrics *observe.Metrics
 }
 
-// Client implements route.Placer using the schedulers of the fleet.
+// Client implements route.Scheduler using the schedulers of the fleet.
 type Client struct {
 	cfg ClientConfig
 
@@ -60,8 +60,8 @@
 	return &Client{cfg: cfg, grants: make(map[attemptKey]*clientGrant)}
 }
 
-// Reserve implements route.Placer. If a scheduler cannot be reached, it is looked up again until
-// the deadline, since the fleet assigns the service to another instance within seconds.
+// Reserve implements route.Scheduler. If a scheduler cannot be reached, it is looked up again
+// until the deadline, since the fleet assigns the service to another instance within seconds.
 func (c *Client) Reserve(ctx context.Context, req *request.Request, attempt uint32, avoid []string) (*route.Grant, error) {
 	for {
 		budget := time.Until(req.Deadline)
@@ -131,7 +131,7 @@
 	return grant
 }
 
-// PrefillDone implements route.Placer.
+// PrefillDone implements route.Scheduler.
 func (c *Client) PrefillDone(grant *route.Grant) {
 	key := attemptKey{grant.RequestID, grant.Attempt}
 	c.mu.Lock()
@@ -152,8 +152,8 @@
 	}()
 }
 
-// Release implements route.Placer. It notifies both the current scheduler and the one that gave the
-// grant. If the release reaches neither, the grant ends when its lease expires.
+// Release implements route.Scheduler. It notifies both the current scheduler and the one that gave
+// the grant. If the release reaches neither, the grant ends when its lease expires.
 func (c *Client) Release(grant *route.Grant, outcome route.Outcome) {
 	key := attemptKey{grant.RequestID, grant.Attempt}
 	c.mu.Lock()
