--- a/once/guard.go
+++ b/once/guard.go
@@ -21,7 +21,7 @@
 // time.
 const clockMargin = 5 * time.Minute
 
-// Begin implements route.Guard.
+// Begin implements route.IdempotencyGuard.
 func (s *Service) Begin(ctx context.Context, call route.GuardedCall) (*route.Ticket, *route.RecordedAnswer, error) {
 	started := s.cfg.Clock()
 	intent := s.newIntent(call, started)
@@ -114,8 +114,8 @@
 	return ok
 }
 
-// Finish implements route.Guard. If ctx ends first, recording continues in the background as long
-// as the service runs.
+// Finish implements route.IdempotencyGuard. If ctx ends first, recording continues in the
+// background as long as the service runs.
 func (s *Service) Finish(ctx context.Context, ticket *route.Ticket, answer route.RecordedAnswer) error {
 	intent, ok := s.closeTicket(ticket)
 	if !ok {
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// Abandon implements route.Guard. It relies on the caller's statement that the call did not run,
-// which no other component can verify.
+// Abandon implements route.IdempotencyGuard. It relies on the caller's statement that the call did
+// not run, which no other component can verify.
 func (s *Service) Abandon(ctx context.Context, ticket *route.Ticket) error {
 	intent, ok := s.closeTicket(ticket)
 	if !ok {
@@ -142,9 +142,9 @@
 	return nil
 }
 
-// Unanswered implements route.Guard. For a call that may have run no record is written: its intent
-// alone prevents retries from running it again.
-func (s *Service) Unanswered(ctx context.Context, ticket *route.Ticket, ran verdict.Ran) error {
+// FinishWithoutAnswer implements route.IdempotencyGuard. For a call that may have run no record is
+// written: its intent alone prevents retries from running it again.
+func (s *Service) FinishWithoutAnswer(ctx context.Context, ticket *route.Ticket, ran verdict.Ran) error {
 	intent, ok := s.closeTicket(ticket)
 	if !ok {
 		return verdict.Fail(ran, verdict.ReasonInternal, errTicketNotOpen, "ticket is not open")
--- a/once/service.go
+++ b/once/service.go
@@ -38,7 +38,7 @@
 	ownerStartDelay = 3 * time.Second
 )
 
-// Service is the at-most-once guard of one instance; it implements route.Guard.
+// Service is the at-most-once guard of one instance; it implements route.IdempotencyGuard.
 type Service struct {
 	cfg    Config
 	system *actor.ActorSystem
@@ -60,7 +60,7 @@
 	backgroundAppends sync.WaitGroup
 }
 
-var _ route.Guard = (*Service)(nil)
+var _ route.IdempotencyGuard = (*Service)(nil)
 
 // ticketID identifies a ticket by the stream and offset of its intent.
 type ticketID struct {
--- a/once/service_test.go
+++ b/once/service_test.go
@@ -195,7 +195,7 @@
 		runWithFleet(t, func(t *testing.T, f *testFleet) {
 			a, _ := f.start("a")
 			b, _ := f.start("b")
-			assert.NilError(t, a.Unanswered(t.Context(), assertClaimed(t, a, booking), ran))
+			assert.NilError(t, a.FinishWithoutAnswer(t.Context(), assertClaimed(t, a, booking), ran))
 			assertRefused(t, a, booking, reason, ran)
 			time.Sleep(DefaultMaxCallDuration + time.Second)
 			assertRefused(t, b, booking, reason, ran)
--- a/route/plain.go
+++ b/route/plain.go
@@ -47,7 +47,7 @@
 // PlainRunner runs calls of plain services. Calls that are not idempotent run at most once.
 type PlainRunner struct {
 	Scheduler Scheduler
-	Guard     Guard
+	Guard     IdempotencyGuard
 	Services  port.ServiceDialer
 	// Address returns the IP:port of an upstream by its object's name.
 	Address func(upstream string) (string, bool)
@@ -96,7 +96,7 @@
 	case verdict.From(err).Ran == verdict.NotRun:
 		recordErr = p.Guard.Abandon(ctx, ticket)
 	default:
-		recordErr = p.Guard.Unanswered(ctx, ticket, verdict.From(err).Ran)
+		recordErr = p.Guard.FinishWithoutAnswer(ctx, ticket, verdict.From(err).Ran)
 	}
 	if recordErr != nil {
 		p.Log.Warn("cannot record outcome", zap.String("request", ticket.Call.RequestID), zap.Error(recordErr))
--- a/route/plain_test.go
+++ b/route/plain_test.go
@@ -50,7 +50,7 @@
 
 func (g *fakeGuard) Finish(context.Context, *Ticket, RecordedAnswer) error { g.finished++; return nil }
 
-func (g *fakeGuard) Unanswered(context.Context, *Ticket, verdict.Ran) error { return nil }
+func (g *fakeGuard) FinishWithoutAnswer(context.Context, *Ticket, verdict.Ran) error { return nil }
 
 func (g *fakeGuard) Abandon(context.Context, *Ticket) error { g.abandoned++; return nil }
 
--- a/route/stages.go
+++ b/route/stages.go
@@ -81,8 +81,8 @@
 	Release(grant *Grant, outcome Outcome)
 }
 
-// Guard ensures that calls that are not idempotent run at most once.
-type Guard interface {
+// IdempotencyGuard ensures that calls that are not idempotent run at most once.
+type IdempotencyGuard interface {
 	// Begin claims the idempotency key for one dispatch. It returns a ticket that permits the
 	// dispatch, the recorded answer of an earlier execution, or a verdict: outcome unknown, in
 	// progress, key reused with another body, or log unavailable.
@@ -93,9 +93,9 @@
 	Finish(ctx context.Context, ticket *Ticket, answer RecordedAnswer) error
 	// Abandon records that the call certainly did not run, so that a resend may run.
 	Abandon(ctx context.Context, ticket *Ticket) error
-	// Unanswered records that the call received no complete answer although it may have run
-	// (verdict.MayHaveRun) or has run (verdict.HasRun). Resends receive this verdict.
-	Unanswered(ctx context.Context, ticket *Ticket, ran verdict.Ran) error
+	// FinishWithoutAnswer records that the call received no complete answer although it may have
+	// run (verdict.MayHaveRun) or has run (verdict.HasRun). Resends receive this verdict.
+	FinishWithoutAnswer(ctx context.Context, ticket *Ticket, ran verdict.Ran) error
 }
 
 // GuardedCall identifies an at-most-once call.
