--- a/rate/admit.go
+++ b/rate/admit.go
@@ -141,7 +141,7 @@
 	}
 	a.got += res.grant.Tokens
 	sh.parts = append(sh.parts, route.ChargePart{
-		Share: i, Shard: sh.shard, Term: uint64(res.term), Charge: uint64(res.grant.Charge), Tokens: res.grant.Tokens,
+		Share: i, Shard: sh.shard, Term: uint64(res.term), ChargeID: uint64(res.grant.ChargeID), Tokens: res.grant.Tokens,
 	})
 }
 
@@ -193,9 +193,9 @@
 	}
 	return acquired{
 		grant: share.Grant{
-			Tokens: min(res.Msg.GetGranted(), tokens),
-			Charge: bucket.ChargeID(res.Msg.GetCharge()),
-			Wait:   time.Duration(res.Msg.GetWaitMs()) * time.Millisecond,
+			Tokens:   min(res.Msg.GetGranted(), tokens),
+			ChargeID: bucket.ChargeID(res.Msg.GetCharge()),
+			Wait:     time.Duration(res.Msg.GetWaitMs()) * time.Millisecond,
 		},
 		term: lease.Term(res.Msg.GetTerm()),
 	}, true
--- a/rate/handler.go
+++ b/rate/handler.go
@@ -35,7 +35,7 @@
 	}
 	return connect.NewResponse(&peerv1.AcquireResponse{
 		Granted: got.grant.Tokens, WaitMs: toMillis(got.grant.Wait), NotHome: got.notHome,
-		Term: uint64(got.term), Charge: uint64(got.grant.Charge),
+		Term: uint64(got.term), Charge: uint64(got.grant.ChargeID),
 	}), nil
 }
 
--- a/rate/home.go
+++ b/rate/home.go
@@ -99,7 +99,7 @@
 		h.s.count.refundsDropped.Inc(1)
 		return
 	}
-	held.buckets.Refund(h.s.now(), m.key, m.charge, m.tokens, m.overdraft)
+	held.buckets.Refund(h.s.now(), m.key, m.chargeID, m.tokens, m.overdraft)
 }
 
 func (h *homeActor) extend(m extend) []bool {
--- a/rate/lease/walk_test.go
+++ b/rate/lease/walk_test.go
@@ -68,7 +68,7 @@
 		}
 		wanted := uint64(1 + rng.IntN(burst))
 		if g := r.buckets[term].Take(md.now(i), walkKey, walkLimit, wanted, true); g.Tokens > 0 {
-			r.spent = append(r.spent, spentTokens{at: md.ticks, term: term, charge: g.Charge, tokens: int(g.Tokens)})
+			r.spent = append(r.spent, spentTokens{at: md.ticks, term: term, charge: g.ChargeID, tokens: int(g.Tokens)})
 		}
 	}
 }
--- a/rate/message.go
+++ b/rate/message.go
@@ -30,7 +30,7 @@
 	shard     uint32
 	key       share.Key
 	term      lease.Term
-	charge    bucket.ChargeID
+	chargeID  bucket.ChargeID
 	tokens    uint64
 	overdraft uint64
 }
--- a/rate/settle.go
+++ b/rate/settle.go
@@ -136,7 +136,7 @@
 
 func newRefundPart(organisation string, p route.ChargePart, tokens, overdraft uint64) *peerv1.RefundPart {
 	return &peerv1.RefundPart{
-		Organisation: organisation, Share: p.Share, Shard: p.Shard, Term: p.Term, Charge: p.Charge,
+		Organisation: organisation, Share: p.Share, Shard: p.Shard, Term: p.Term, Charge: p.ChargeID,
 		Tokens: tokens, Overdraft: overdraft,
 	}
 }
@@ -144,7 +144,7 @@
 func toRefundMessage(p *peerv1.RefundPart) refund {
 	return refund{
 		shard: p.GetShard(), key: share.Key{Organisation: p.GetOrganisation(), Share: p.GetShare()},
-		term: lease.Term(p.GetTerm()), charge: bucket.ChargeID(p.GetCharge()),
+		term: lease.Term(p.GetTerm()), chargeID: bucket.ChargeID(p.GetCharge()),
 		tokens: p.GetTokens(), overdraft: p.GetOverdraft(),
 	}
 }
--- a/rate/share/share.go
+++ b/rate/share/share.go
@@ -89,8 +89,8 @@
 // Grant is the result of Take.
 type Grant struct {
 	Tokens uint64
-	// Charge identifies the grant in a refund. It is zero if nothing was granted.
-	Charge bucket.ChargeID
+	// ChargeID identifies the charge in a refund. It is zero if nothing was granted.
+	ChargeID bucket.ChargeID
 	// Wait is the time until the tokens that were not granted become available, capped
 	// at the time to fill the share's burst.
 	Wait time.Duration
@@ -112,7 +112,7 @@
 	g := Grant{Wait: timeToReach(limit, level, wanted)}
 	if id, ok := tokenBucket.Charge(now, granted); ok {
 		g.Tokens = uint64(granted / milliPerToken)
-		g.Charge = id
+		g.ChargeID = id
 	}
 	return g
 }
--- a/route/stages.go
+++ b/route/stages.go
@@ -34,9 +34,9 @@
 	Share uint32
 	Shard uint32
 	Term  uint64
-	// Charge is the ID of the grant in the share's bucket.
-	Charge uint64
-	Tokens uint64
+	// ChargeID identifies the charge in the share's bucket.
+	ChargeID uint64
+	Tokens   uint64
 }
 
 // Grant is the reservation of a decode slot, its memory and a prefill slot for one attempt of a
