--- a/rate/doc.go
+++ b/rate/doc.go
@@ -4,9 +4,9 @@
 //
 // An organisation's rate and burst are split into share.Count shares. A share is a token
 // bucket at one home instance and belongs to one of Shards shards. Package lease decides
-// which instance is the home and proves that two instances never spend at the same time.
-// Package bucket proves that charges and refunds of one bucket keep its bound, and the sum
-// of the shares' bounds is the organisation's bound.
+// which instance is the home and proves that no two instances spend from one shard at the
+// same time. Package bucket proves that charges and refunds of one bucket keep its bound, and
+// the sum of the shares' bounds is the organisation's bound.
 //
 // A home that takes over after its predecessor failed starts with empty buckets. The level
 // of the predecessor was at least zero when it stopped, and both fill at the same rate, so
--- a/rate/fault_test.go
+++ b/rate/fault_test.go
@@ -100,14 +100,14 @@
 	t.Parallel()
 	runFleet(t, 9, func(f *fleet, mt *meter) {
 		home, from := f.homeOf(0), f.nonHome()
-		begun := time.Now()
+		start := time.Now()
 		f.kill(home)
 		for f.homeOf(0) == nil {
 			mt.admit(from, 20)
 			time.Sleep(100 * time.Millisecond)
 		}
-		t.Logf("share without a home for %v", time.Since(begun))
-		assert.Assert(t, time.Since(begun) < 7*time.Second)
+		t.Logf("share without a home for %v", time.Since(start))
+		assert.Assert(t, time.Since(start) < 7*time.Second)
 		assert.Equal(t, len(mt.refused), 0)
 		mt.load(f, nil, 100, 20, 30*time.Second)
 	})
@@ -322,9 +322,9 @@
 	}
 }
 
-// A home and its fence set end together and come back at new addresses or not at all. Nothing
-// responds at the old addresses, so the old runs cannot be told from paused ones. Their shards
-// must stay without a home until an operator declares the runs stopped.
+// A home and its fence set end together and restart at new addresses or not at all. Nothing
+// responds at the old addresses, so the old runs cannot be distinguished from paused ones. Their
+// shards must stay without a home until an operator declares the runs stopped.
 func TestOperatorDeclaresStopped(t *testing.T) {
 	t.Parallel()
 	runFleet(t, 4, func(f *fleet, mt *meter) {
@@ -356,10 +356,10 @@
 		for _, m := range members {
 			f.start(m.holder.Instance, m.holder.Incarnation+1)
 		}
-		begun := time.Now()
+		start := time.Now()
 		f.waitForHomes()
-		t.Logf("all shards are back after %v", time.Since(begun))
-		assert.Assert(t, time.Since(begun) < 20*time.Second)
+		t.Logf("all shards are back after %v", time.Since(start))
+		assert.Assert(t, time.Since(start) < 20*time.Second)
 	})
 }
 
--- a/rate/handler.go
+++ b/rate/handler.go
@@ -55,7 +55,7 @@
 		terms = append(terms, termRef{shard: t.GetShard(), term: lease.Term(t.GetTerm())})
 	}
 	extended, ok := ask(ctx, h.s, func(reply chan []bool) any {
-		return extend{member: fromWire(m.GetMember()), terms: terms, reply: reply}
+		return extend{member: holderFromProto(m.GetMember()), terms: terms, reply: reply}
 	})
 	if !ok {
 		return nil, errStopped()
@@ -67,7 +67,7 @@
 func (h handler) Fence(ctx context.Context, req *connect.Request[peerv1.FenceRequest]) (*connect.Response[peerv1.FenceResponse], error) {
 	m := req.Msg
 	fenced, ok := ask(ctx, h.s, func(reply chan bool) any {
-		return fence{member: fromWire(m.GetMember()), shard: m.GetShard(), term: lease.Term(m.GetTerm()), reply: reply}
+		return fence{member: holderFromProto(m.GetMember()), shard: m.GetShard(), term: lease.Term(m.GetTerm()), reply: reply}
 	})
 	if !ok {
 		return nil, errStopped()
@@ -87,7 +87,7 @@
 	}
 	accepted, ok := ask(ctx, h.s, func(reply chan bool) any {
 		return handOver{
-			shard: m.GetShard(), term: lease.Term(m.GetTerm()), from: fromWire(m.GetFrom()), levels: levels,
+			shard: m.GetShard(), term: lease.Term(m.GetTerm()), from: holderFromProto(m.GetFrom()), levels: levels,
 			spending: m.GetSpending(), filling: time.Duration(m.GetFillingMs()) * time.Millisecond, reply: reply,
 		}
 	})
--- a/rate/home.go
+++ b/rate/home.go
@@ -17,13 +17,13 @@
 // message at a time in Receive. Calls to the log and to peers run outside of the actor, and
 // their results arrive as messages.
 type homeActor struct {
-	s        *Service
-	node     *lease.Node
-	views    viewCache
-	held     map[uint32]*heldShard
-	offered  map[uint32]offeredLevels
-	prunedAt time.Duration
-	gaugedAt time.Duration
+	s               *Service
+	node            *lease.Node
+	views           viewCache
+	held            map[uint32]*heldShard
+	offered         map[uint32]offeredLevels
+	prunedAt        time.Duration
+	gaugesUpdatedAt time.Duration
 }
 
 // heldShard is a shard that this instance spends from.
@@ -50,7 +50,7 @@
 	case refund:
 		h.refund(m)
 	case logPage:
-		h.apply(h.node.ApplyPage(m.begunAt, h.s.now(), m.page))
+		h.apply(h.node.ApplyPage(m.startedAt, h.s.now(), m.page))
 		m.next <- h.position()
 	case tick:
 		h.tick(m)
@@ -123,9 +123,9 @@
 	now := h.s.now()
 	h.apply(h.node.Tick(now, h.views.get(m.members, h.s.draining.Load())))
 	h.publish()
-	if now >= h.gaugedAt+gaugeInterval {
-		h.gaugedAt = now
-		h.gauge(now)
+	if now >= h.gaugesUpdatedAt+gaugeInterval {
+		h.gaugesUpdatedAt = now
+		h.updateGauges(now)
 	}
 	if now >= h.prunedAt+pruneInterval {
 		h.prunedAt = now
@@ -191,7 +191,8 @@
 
 // reportUnknownSuccessor logs a successor that is not a member. Two groups of instances that
 // use one log but do not reach each other keep taking all shards from each other. Without a
-// log line that names the other group, an operator sees only that shards come and go.
+// log line that names the other group, an operator sees only that shards keep changing their
+// holder.
 func (h *homeActor) reportUnknownSuccessor(stop lease.Stop) {
 	known := func(m request.Holder) bool { return m.Instance == stop.Successor.Instance }
 	if slices.ContainsFunc(h.views.members, known) {
--- a/rate/log.go
+++ b/rate/log.go
@@ -16,7 +16,7 @@
 func (s *Service) followLog(ctx context.Context) error {
 	at := readPosition{next: 1}
 	for ctx.Err() == nil {
-		begunAt := s.now()
+		startedAt := s.now()
 		p, err := s.read(ctx, at)
 		if err != nil {
 			s.count.readFailures.Inc(1)
@@ -24,7 +24,7 @@
 			sleep(ctx, readBackoff)
 			continue
 		}
-		next, ok := ask(ctx, s, func(reply chan readPosition) any { return logPage{begunAt: begunAt, page: p, next: reply} })
+		next, ok := ask(ctx, s, func(reply chan readPosition) any { return logPage{startedAt: startedAt, page: p, next: reply} })
 		if ok {
 			at = next
 		}
--- a/rate/message.go
+++ b/rate/message.go
@@ -36,9 +36,9 @@
 }
 
 type logPage struct {
-	begunAt time.Duration
-	page    lease.Page
-	next    chan readPosition
+	startedAt time.Duration
+	page      lease.Page
+	next      chan readPosition
 }
 
 type readPosition struct {
--- a/rate/peer.go
+++ b/rate/peer.go
@@ -25,7 +25,7 @@
 }
 
 func (s *Service) sendExtend(ctx context.Context, member request.Holder, requests []lease.MemberRequest) {
-	req := &peerv1.ExtendRequest{Holder: toWire(s.cfg.Self), Member: toWire(member)}
+	req := &peerv1.ExtendRequest{Holder: holderToProto(s.cfg.Self), Member: holderToProto(member)}
 	for _, r := range requests {
 		req.Terms = append(req.Terms, &peerv1.TermRef{Shard: r.Shard, Term: uint64(r.Term)})
 	}
@@ -46,7 +46,7 @@
 	s.count.fences.Inc(1)
 	s.runInBackground(peerTimeout, func(ctx context.Context) {
 		res, err := s.client(r.Member).Fence(ctx, connect.NewRequest(&peerv1.FenceRequest{
-			Shard: r.Shard, Term: uint64(r.Term), Successor: toWire(s.cfg.Self), Member: toWire(r.Member),
+			Shard: r.Shard, Term: uint64(r.Term), Successor: holderToProto(s.cfg.Self), Member: holderToProto(r.Member),
 		}))
 		if err == nil && res.Msg.GetFenced() {
 			s.tell(fenceAck{request: r})
@@ -58,7 +58,7 @@
 // is lost, the successor waits instead and starts with empty buckets.
 func (s *Service) sendHandOver(o outgoingHandOver) {
 	msg := &peerv1.HandOverRequest{
-		Shard: o.stop.Shard, Term: uint64(o.stop.Term), From: toWire(s.cfg.Self),
+		Shard: o.stop.Shard, Term: uint64(o.stop.Term), From: holderToProto(s.cfg.Self),
 		Spending: o.stop.Spending, FillingMs: uint64(max(o.filling, 0) / time.Millisecond),
 	}
 	for _, l := range o.levels {
@@ -85,10 +85,10 @@
 	return err == nil && res.Msg.GetAccepted()
 }
 
-func toWire(h request.Holder) *peerv1.Holder {
+func holderToProto(h request.Holder) *peerv1.Holder {
 	return &peerv1.Holder{Instance: h.Instance, Incarnation: h.Incarnation, Address: h.Address}
 }
 
-func fromWire(h *peerv1.Holder) request.Holder {
+func holderFromProto(h *peerv1.Holder) request.Holder {
 	return request.Holder{Instance: h.GetInstance(), Incarnation: h.GetIncarnation(), Address: h.GetAddress()}
 }
--- a/rate/service.go
+++ b/rate/service.go
@@ -176,7 +176,7 @@
 }
 
 // pruneClients drops the clients of addresses that belong neither to a member nor to a
-// holder. Instances come back at other addresses, so a long-lived instance would otherwise
+// holder. Instances may restart at other addresses, so a long-lived instance would otherwise
 // keep a client for every address it ever used.
 func (s *Service) pruneClients(members []request.Holder) {
 	used := make(map[string]bool)
--- a/rate/slope_bench_test.go
+++ b/rate/slope_bench_test.go
@@ -98,14 +98,14 @@
 	client := peerv1connect.NewRateServiceClient(&http.Client{Transport: transport}, "http://"+server.Listener.Addr().String(), peer.ClientOptions())
 	ctx := context.Background()
 	assert.NilError(b, call(ctx, client))
-	began, out, in, n := cpuSeconds(b), sent.Load(), received.Load(), 0
+	cpuBefore, out, in, n := cpuSeconds(b), sent.Load(), received.Load(), 0
 	for b.Loop() {
 		n++
 		assert.NilError(b, call(ctx, client))
 	}
 	b.ReportMetric(float64(sent.Load()-out)/float64(n), "sent-B")
 	b.ReportMetric(float64(received.Load()-in)/float64(n), "received-B")
-	b.ReportMetric((cpuSeconds(b)-began)*1e6/float64(n), "cpu-µs")
+	b.ReportMetric((cpuSeconds(b)-cpuBefore)*1e6/float64(n), "cpu-µs")
 }
 
 // cpuSeconds returns the CPU time of this process, which runs both ends of the call.
--- a/rate/status.go
+++ b/rate/status.go
@@ -63,9 +63,10 @@
 	return st
 }
 
-// gauge updates the gauges of the held shards by phase and of the age of the latest full read
-// of the log. Operators should alert on the age: at lease.Timing.Outage all spending stops.
-func (h *homeActor) gauge(now time.Duration) {
+// updateGauges updates the gauges of the held shards by phase and of the age of the latest
+// full read of the log. Operators should alert on the age: at lease.Timing.Outage all spending
+// stops.
+func (h *homeActor) updateGauges(now time.Duration) {
 	byPhase := map[lease.Phase]int{
 		lease.PhaseWaiting: 0, lease.PhaseSpending: 0, lease.PhaseExtended: 0, lease.PhaseLapsed: 0,
 	}
