--- a/rate/lease/doc.go
+++ b/rate/lease/doc.go
@@ -7,9 +7,9 @@
 // Two instances that spend from one shard at the same time give an organisation more
 // than its rate, which shows as spend above rate*w + burst over the fleet. The old home
 // may be paused, cut off from the log, cut off from its peers, or all of these in turn,
-// and none of them can be told from a crash. The old home can therefore spend only for
-// a bounded time after its last proof, and a successor first prevents further proofs
-// and then waits for that time to pass.
+// and none of them can be distinguished from a crash. The old home can therefore spend
+// only for a bounded time after its last proof, and a successor first prevents further
+// proofs and then waits for that time to pass.
 //
 // # Terms
 //
--- a/rate/lease/explorer_test.go
+++ b/rate/lease/explorer_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// successors calls yield with every state that is reachable in one step.
-func (md *model) successors(s scope, yield func(*model)) {
+// nextStates calls yield with every state that is reachable in one step.
+func (md *model) nextStates(s scope, yield func(*model)) {
 	md.advance(s, yield)
 	for i := range md.nodes {
 		if !s.passive || i < len(md.nodes)-1 {
@@ -71,8 +71,8 @@
 func (md *model) read(i int, s scope, yield func(*model)) {
 	c := md.clone()
 	r := &c.reads[i]
-	if r.begunAt == 0 {
-		*r = pendingRead{begunAt: c.now(i), end: len(c.log)}
+	if r.startedAt == 0 {
+		*r = pendingRead{startedAt: c.now(i), end: len(c.log)}
 		if s.delayed {
 			if c.readsLeft--; c.readsLeft >= 0 {
 				yield(c)
@@ -80,7 +80,7 @@
 			return
 		}
 	}
-	t0 := r.begunAt
+	t0 := r.startedAt
 	if s.disabled == lateRead {
 		t0 = c.now(i)
 	}
@@ -169,7 +169,7 @@
 			return len(seen), md
 		}
 		from := len(stack)
-		md.successors(s, func(c *model) {
+		md.nextStates(s, func(c *model) {
 			k := c.key(s)
 			if _, ok := seen[k]; !ok {
 				seen[k] = struct{}{}
--- a/rate/lease/model_test.go
+++ b/rate/lease/model_test.go
@@ -53,8 +53,8 @@
 }
 
 type pendingRead struct {
-	begunAt time.Duration
-	end     int
+	startedAt time.Duration
+	end       int
 }
 
 type startedTerm struct {
@@ -198,7 +198,7 @@
 	}
 	for i, n := range md.nodes {
 		now := md.now(i)
-		k = append(k, 0xff, age(now, md.reads[i].begunAt, timing.Outage), byte(md.reads[i].end), byte(n.self.Incarnation))
+		k = append(k, 0xff, age(now, md.reads[i].startedAt, timing.Outage), byte(md.reads[i].end), byte(n.self.Incarnation))
 		k = n.bytes(k, now, timing)
 	}
 	return xxhash.Sum64(k)
--- a/rate/lease/timing.go
+++ b/rate/lease/timing.go
@@ -48,7 +48,7 @@
 // a holder from spending, and short enough that the third of a rate held by a home that
 // died is available again within seconds. L is 12 h, longer than a night without
 // operators. Its cost is a long wait, which arises only if a home and a majority of its
-// fence set end together and come back at new addresses before the home could choose
+// fence set end together and restart at new addresses before the home could choose
 // another fence set.
 func DefaultTiming() Timing {
 	const lease = 3 * time.Second
--- a/rate/lease/walk_test.go
+++ b/rate/lease/walk_test.go
@@ -109,7 +109,7 @@
 	r.buckets = map[Term]*share.Buckets{1: share.NewEmpty(md.now(0))}
 	for range steps {
 		var choices []*model
-		md.successors(s, func(c *model) { choices = append(choices, c) })
+		md.nextStates(s, func(c *model) { choices = append(choices, c) })
 		// At least half of the steps advance time; otherwise most would deliver messages.
 		pick := 0
 		if rng.IntN(2) == 0 {
