--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -87,8 +87,8 @@
 func (c *Client) reserveFrom(ctx context.Context, home request.Holder, req *request.Request, attempt uint32, avoid []string, budget time.Duration) (*route.Grant, error) {
 	// The additional time allows the scheduler's own refusal, with its accurate retry time, to
 	// arrive before the call times out here.
-	ctx, stop := context.WithTimeout(ctx, budget+callTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, budget+callTimeout)
+	defer cancel()
 	resp, err := c.cfg.Dial(home.Address).Reserve(ctx, connect.NewRequest(&peerv1.ReserveRequest{
 		Holder: holderToProto(c.cfg.Self()), Service: req.Service, Organisation: req.Organisation, RequestId: req.ID,
 		Class: uint32(req.Class), PromptTokens: uint32(req.PromptTokens), MaxTokens: uint32(req.MaxTokens),
@@ -141,8 +141,8 @@
 		return
 	}
 	go func() {
-		ctx, stop := context.WithTimeout(context.Background(), callTimeout)
-		defer stop()
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+		defer cancel()
 		_, err := c.cfg.Dial(held.scheduler.Address).PrefillDone(ctx, connect.NewRequest(&peerv1.PrefillDoneRequest{
 			Service: grant.Service, RequestId: grant.RequestID, Attempt: grant.Attempt,
 		}))
@@ -169,8 +169,8 @@
 }
 
 func (c *Client) sendRelease(address string, grant *route.Grant, outcome route.Outcome) {
-	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+	defer cancel()
 	_, err := c.cfg.Dial(address).Release(ctx, connect.NewRequest(&peerv1.ReleaseRequest{
 		Holder: holderToProto(c.cfg.Self()), Service: grant.Service, GrantId: grant.ID,
 		RequestId: grant.RequestID, Attempt: grant.Attempt, Outcome: outcomeToProto(outcome),
--- a/scheduler/renew.go
+++ b/scheduler/renew.go
@@ -44,8 +44,8 @@
 }
 
 func (c *Client) renew(ctx context.Context, address string, grants []*peerv1.HeldGrant) {
-	ctx, stop := context.WithTimeout(ctx, callTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
 	resp, err := c.cfg.Dial(address).Renew(ctx, connect.NewRequest(&peerv1.RenewRequest{
 		Holder: holderToProto(c.cfg.Self()), Grants: grants,
 	}))
--- a/scheduler/server.go
+++ b/scheduler/server.go
@@ -138,8 +138,8 @@
 }
 
 // Refresh applies the active configuration and starts the schedulers of the services for which this
-// instance is the home, so that the streams of a failed scheduler's callers are found even if no
-// new grant is requested.
+// instance is the home, so that the streams of requests that a failed instance scheduled are found
+// even if no new grant is requested.
 func (s *Server) Refresh(services []object.Service) {
 	for _, service := range services {
 		if !s.isHome(service.Name) {
@@ -172,8 +172,8 @@
 	}
 	r.lastConfigure = msg
 	r.stopPollers()
-	ctx, stop := context.WithCancel(context.Background())
-	r.stopPollers = stop
+	ctx, cancel := context.WithCancel(context.Background())
+	r.stopPollers = cancel
 	s.system.Root.Send(r.pid, msg)
 	s.startPollers(ctx, r.pid, service, upstreams)
 }
--- a/scheduler/takeover.go
+++ b/scheduler/takeover.go
@@ -127,8 +127,8 @@
 		}
 		engine := a.engines(address)
 		go func() {
-			ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
-			defer stop()
+			ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
+			defer cancel()
 			if err := engine.Cancel(ctx, id); err != nil {
 				a.log.Info("cancel failed", zap.String("request", id.RequestID), zap.String("upstream", name), zap.Error(err))
 			}
--- a/scheduler/watch.go
+++ b/scheduler/watch.go
@@ -30,10 +30,10 @@
 		return
 	}
 	for _, u := range upstreams {
-		w := &upstreamPoller{
+		p := &upstreamPoller{
 			server: s, pid: pid, upstream: u, engine: s.cfg.Engines(u.Address), listRequested: make(chan struct{}, 1),
 		}
-		go w.run(ctx)
+		go p.run(ctx)
 	}
 }
 
@@ -50,60 +50,60 @@
 	processStart string
 }
 
-func (w *upstreamPoller) run(ctx context.Context) {
+func (p *upstreamPoller) run(ctx context.Context) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
-		w.poll(ctx, n%pollsPerList == 0)
+		p.poll(ctx, n%pollsPerList == 0)
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.listRequested:
-			w.poll(ctx, true)
+		case <-p.listRequested:
+			p.poll(ctx, true)
 		case <-ticker.C:
 		}
 	}
 }
 
 // poll requests the load and, if withStreams is set, the stream list.
-func (w *upstreamPoller) poll(ctx context.Context, withStreams bool) {
-	ctx, stop := context.WithTimeout(ctx, pollTimeout)
-	defer stop()
-	msg := reportMsg{upstream: w.upstream.Name, requestedAt: time.Now(), hasStreams: withStreams, requestList: w.listRequested}
+func (p *upstreamPoller) poll(ctx context.Context, withStreams bool) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
+	defer cancel()
+	msg := reportMsg{upstream: p.upstream.Name, requestedAt: time.Now(), hasStreams: withStreams, requestList: p.listRequested}
 	var err error
-	if msg.load, err = w.engine.Load(ctx); err == nil && withStreams {
-		msg.streams, err = w.engine.Streams(ctx)
+	if msg.load, err = p.engine.Load(ctx); err == nil && withStreams {
+		msg.streams, err = p.engine.Streams(ctx)
 	}
 	if err != nil {
-		w.send(unreachableMsg{w.upstream.Name})
+		p.send(unreachableMsg{p.upstream.Name})
 		return
 	}
-	w.send(msg)
-	if w.upstream.Role == object.RolePrefill {
-		w.pollCache(ctx, msg.load.Start)
+	p.send(msg)
+	if p.upstream.Role == object.RolePrefill {
+		p.pollCache(ctx, msg.load.Start)
 	}
 }
 
 // pollCache reads the events of the prefix cache. After a gap or a restart of the engine, the known
 // cache contents are discarded and rebuilt from new events.
-func (w *upstreamPoller) pollCache(ctx context.Context, start string) {
-	msg := cacheEventsMsg{upstream: w.upstream.Name}
-	if start != w.processStart {
-		w.processStart, w.lastCacheSeq, msg.reset = start, 0, true
+func (p *upstreamPoller) pollCache(ctx context.Context, start string) {
+	msg := cacheEventsMsg{upstream: p.upstream.Name}
+	if start != p.processStart {
+		p.processStart, p.lastCacheSeq, msg.reset = start, 0, true
 	}
-	events, err := w.engine.CacheEvents(ctx, w.lastCacheSeq)
+	events, err := p.engine.CacheEvents(ctx, p.lastCacheSeq)
 	if err != nil {
 		return
 	}
 	for _, e := range events {
-		if w.lastCacheSeq != 0 && e.Seq != w.lastCacheSeq+1 {
+		if p.lastCacheSeq != 0 && e.Seq != p.lastCacheSeq+1 {
 			msg.reset = true
 			msg.events = msg.events[:0]
 		}
-		w.lastCacheSeq = e.Seq
+		p.lastCacheSeq = e.Seq
 		msg.events = append(msg.events, e)
 	}
-	w.send(msg)
+	p.send(msg)
 }
 
-func (w *upstreamPoller) send(msg any) { w.server.system.Root.Send(w.pid, msg) }
+func (p *upstreamPoller) send(msg any) { p.server.system.Root.Send(p.pid, msg) }
