--- a/route/attempt.go
+++ b/route/attempt.go
@@ -24,8 +24,8 @@
 // run executes the steps of the attempt. If a step fails, it cancels the stream at the engines that
 // may still hold resources for it.
 func (a *modelAttempt) run(ctx context.Context) error {
-	ctx, stop := a.cancelOnLostGrant(ctx)
-	defer stop()
+	ctx, cancel := a.cancelOnLostGrant(ctx)
+	defer cancel()
 	prefillAddress, ok1 := a.Address(a.grant.Prefill)
 	decodeAddress, ok2 := a.Address(a.grant.Decode)
 	if !ok1 || !ok2 {
@@ -82,8 +82,8 @@
 }
 
 func (a *modelAttempt) prefill(ctx context.Context, engine port.Engine) (port.PrefillResult, error) {
-	ctx, stop := context.WithTimeout(ctx, prefillTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, prefillTimeout)
+	defer cancel()
 	result, err := engine.Prefill(ctx, port.PrefillRequest{
 		Stream: a.stream, Model: a.req.Model, Prompt: a.req.Prompt,
 		Generated: a.generated, Priority: int(a.req.Class),
@@ -104,8 +104,8 @@
 	if err := sleepUntil(ctx, transferStart(time.Now(), a.grant.TransferAfter, result.TTL)); err != nil {
 		return verdict.Fail(verdict.MayHaveRun, verdict.ReasonCancelled, err, "cancelled before the transfer")
 	}
-	ctx, stop := context.WithTimeout(ctx, importTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, importTimeout)
+	defer cancel()
 	err := engine.Import(ctx, port.ImportRequest{
 		Stream: a.stream, Model: a.req.Model, Source: source, Handle: result.Handle, MaxTokens: a.req.MaxTokens,
 	})
--- a/route/cancel.go
+++ b/route/cancel.go
@@ -24,9 +24,9 @@
 func cancelStream(engine port.Engine, id port.StreamID, log *zap.Logger) {
 	wait := initialCancelBackoff
 	for try := 1; try <= maxCancelTries; try++ {
-		ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		err := engine.Cancel(ctx, id)
-		stop()
+		cancel()
 		if err == nil {
 			return
 		}
--- a/route/plain.go
+++ b/route/plain.go
@@ -78,8 +78,8 @@
 	if recorded != nil {
 		return PlainAnswer{Status: recorded.Status, ContentType: recorded.ContentType, Body: recorded.Body, Replayed: true}, nil
 	}
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), plainCallTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), plainCallTimeout)
+	defer cancel()
 	answer, err := p.runWithRetries(ctx, call, retryIfNotRun)
 	p.recordOutcome(ctx, ticket, answer, err)
 	return answer, err
@@ -87,8 +87,8 @@
 
 // recordOutcome records the outcome of a guarded call.
 func (p *PlainRunner) recordOutcome(ctx context.Context, ticket *Ticket, answer PlainAnswer, err error) {
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
+	defer cancel()
 	var recordErr error
 	switch {
 	case err == nil:
