--- a/caller/model.go
+++ b/caller/model.go
@@ -16,7 +16,7 @@
 // completion handles a chat or text completion: it parses the body, charges the organisation's
 // rate, runs the request and writes the response.
 func (s *Server) completion(x *exchange, chat bool) error {
-	data, err := readBody(x.r, defaultMaxBody)
+	data, err := readBody(x.r, maxCompletionBodyBytes)
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 	return uint64(promptTokens + outputTokens)
 }
 
-// modelRequest validates the body against the published objects and builds the request.
+// modelRequest validates the body against the active configuration and builds the request.
 func (s *Server) modelRequest(x *exchange, body *completionBody, prompt string) (*Request, error) {
 	service, ok := x.index.ServiceByModel(body.Model)
 	if !ok || !mayUse(x.organisation, service.Name) {
--- a/caller/parse.go
+++ b/caller/parse.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// defaultMaxBody is the maximum size of a completion request body in bytes. The longest
+	// maxCompletionBodyBytes is the maximum size of a completion request body in bytes. The longest
 	// accepted prompt, some tens of thousands of tokens, takes a few hundred kilobytes.
-	defaultMaxBody = 1 << 20
+	maxCompletionBodyBytes = 1 << 20
 	// defaultMaxTokens is the maximum number of output tokens if the caller sets none.
 	defaultMaxTokens = 256
 	// maxPrefixHashes limits the hashes sent with a reservation to those of the first 4,096
--- a/caller/plain.go
+++ b/caller/plain.go
@@ -58,7 +58,7 @@
 
 // findCallRule returns the first rule that matches the call. A service without rules accepts
 // any call: GET, HEAD and OPTIONS are idempotent as defined by HTTP, and all other methods are
-// treated as not repeatable.
+// treated as not idempotent.
 func findCallRule(service *object.Service, method, path string) (object.Call, error) {
 	if len(service.Calls) == 0 {
 		return object.Call{Idempotent: method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions}, nil
--- a/caller/server.go
+++ b/caller/server.go
@@ -22,7 +22,7 @@
 
 // Config holds the dependencies of a Server.
 type Config struct {
-	// Index returns the object set in force, or nil before one has been loaded.
+	// Index returns the index of the active configuration, or nil if none has been loaded.
 	Index  func() *object.Index
 	Rate   route.RateLimiter
 	Models ModelRunner
--- a/caller/server_test.go
+++ b/caller/server_test.go
@@ -114,7 +114,7 @@
 		{"unknown model", "POST", chat, testKey, `{"model":"x","messages":[{"role":"user","content":"a"}]}`, 404, verdict.ReasonUnknownModel},
 		{"model not permitted", "POST", chat, testKey, `{"model":"p","messages":[{"role":"user","content":"a"}]}`, 404, verdict.ReasonUnknownModel},
 		{"long prompt", "POST", chat, testKey, message(`"a b c d e f"`), 400, verdict.ReasonPromptTooLong},
-		{"huge body", "POST", chat, testKey, message(`"` + strings.Repeat("a", defaultMaxBody) + `"`), 413, verdict.ReasonBodyTooLarge},
+		{"huge body", "POST", chat, testKey, message(`"` + strings.Repeat("a", maxCompletionBodyBytes) + `"`), 413, verdict.ReasonBodyTooLarge},
 		{"unknown service", "GET", "/services/none/x", testKey, "", 404, verdict.ReasonUnknownService},
 		{"unknown call", "GET", "/services/desk/none", testKey, "", 404, verdict.ReasonUnknownService},
 		{"wrong method", "DELETE", "/services/desk/book", testKey, "", 405, verdict.ReasonMethodNotAllowed},
