--- a/rate/message.go
+++ b/rate/message.go
@@ -30,15 +30,15 @@
 	shard     uint32
 	key       share.Key
 	term      lease.Term
-	charge    bucket.ChargeID
+	chargeID  bucket.ChargeID
 	tokens    uint64
 	overdraft uint64
 }
 
 type logPage struct {
-	begunAt time.Duration
-	page    lease.Page
-	next    chan readPosition
+	startedAt time.Duration
+	page      lease.Page
+	next      chan readPosition
 }
 
 type readPosition struct {
--- a/route/plain.go
+++ b/route/plain.go
@@ -46,9 +46,9 @@
 
 // PlainRunner runs calls of plain services. Calls that are not idempotent run at most once.
 type PlainRunner struct {
-	Placer   Placer
-	Guard    Guard
-	Services port.ServiceDialer
+	Scheduler Scheduler
+	Guard     IdempotencyGuard
+	Services  port.ServiceDialer
 	// Address returns the IP:port of an upstream by its object's name.
 	Address func(upstream string) (string, bool)
 	Retrier Retrier
@@ -78,8 +78,8 @@
 	if recorded != nil {
 		return PlainAnswer{Status: recorded.Status, ContentType: recorded.ContentType, Body: recorded.Body, Replayed: true}, nil
 	}
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), plainCallTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), plainCallTimeout)
+	defer cancel()
 	answer, err := p.runWithRetries(ctx, call, retryIfNotRun)
 	p.recordOutcome(ctx, ticket, answer, err)
 	return answer, err
@@ -87,8 +87,8 @@
 
 // recordOutcome records the outcome of a guarded call.
 func (p *PlainRunner) recordOutcome(ctx context.Context, ticket *Ticket, answer PlainAnswer, err error) {
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
+	defer cancel()
 	var recordErr error
 	switch {
 	case err == nil:
@@ -96,7 +96,7 @@
 	case verdict.From(err).Ran == verdict.NotRun:
 		recordErr = p.Guard.Abandon(ctx, ticket)
 	default:
-		recordErr = p.Guard.Unanswered(ctx, ticket, verdict.From(err).Ran)
+		recordErr = p.Guard.FinishWithoutAnswer(ctx, ticket, verdict.From(err).Ran)
 	}
 	if recordErr != nil {
 		p.Log.Warn("cannot record outcome", zap.String("request", ticket.Call.RequestID), zap.Error(recordErr))
@@ -169,12 +169,12 @@
 // runAttempt makes a single attempt. On failure, it also returns the name of the upstream that
 // failed, if any.
 func (p *PlainRunner) runAttempt(ctx context.Context, call PlainCall, attempt uint32, avoid []string) (PlainAnswer, string, error) {
-	grant, err := p.Placer.Reserve(ctx, call.Request, attempt, avoid)
+	grant, err := p.Scheduler.Reserve(ctx, call.Request, attempt, avoid)
 	if err != nil {
 		return PlainAnswer{}, "", err
 	}
 	outcome := Outcome{Kind: OutcomeDone}
-	defer func() { p.Placer.Release(grant, outcome) }()
+	defer func() { p.Scheduler.Release(grant, outcome) }()
 	address, ok := p.Address(grant.Decode)
 	if !ok {
 		outcome.Kind = OutcomeCancelled
--- a/route/stages.go
+++ b/route/stages.go
@@ -1,6 +1,6 @@
-// Package route implements the request path: at-most-once guard, rate limit, placement, prefill, KV
-// transfer, decode, answer. The stages are accessed through the interfaces defined here; each stage
-// either succeeds or fails with a verdict.
+// Package route implements the request path: at-most-once guard, rate limit, reservation of
+// upstream slots, prefill, KV transfer, decode, answer. The stages are accessed through the
+// interfaces defined here; each stage either succeeds or fails with a verdict.
 package route
 
 import (
@@ -34,9 +34,9 @@
 	Share uint32
 	Shard uint32
 	Term  uint64
-	// Charge is the ID of the grant in the share's bucket.
-	Charge uint64
-	Tokens uint64
+	// ChargeID identifies the charge in the share's bucket.
+	ChargeID uint64
+	Tokens   uint64
 }
 
 // Grant is the reservation of a decode slot, its memory and a prefill slot for one attempt of a
@@ -70,8 +70,8 @@
 	OutcomeUpstreamCrashed = group.OutcomeUpstreamCrashed
 )
 
-// Placer reserves capacity on upstreams. It is the client side of the group scheduler.
-type Placer interface {
+// Scheduler reserves capacity on upstreams. It is the client side of the group scheduler.
+type Scheduler interface {
 	// Reserve waits for a grant until the request's deadline or refuses.
 	Reserve(ctx context.Context, req *request.Request, attempt uint32, avoid []string) (*Grant, error)
 	// PrefillDone reports that the grant's prefill slot is free again.
@@ -81,8 +81,8 @@
 	Release(grant *Grant, outcome Outcome)
 }
 
-// Guard ensures that calls that are not idempotent run at most once.
-type Guard interface {
+// IdempotencyGuard ensures that calls that are not idempotent run at most once.
+type IdempotencyGuard interface {
 	// Begin claims the idempotency key for one dispatch. It returns a ticket that permits the
 	// dispatch, the recorded answer of an earlier execution, or a verdict: outcome unknown, in
 	// progress, key reused with another body, or log unavailable.
@@ -93,9 +93,9 @@
 	Finish(ctx context.Context, ticket *Ticket, answer RecordedAnswer) error
 	// Abandon records that the call certainly did not run, so that a resend may run.
 	Abandon(ctx context.Context, ticket *Ticket) error
-	// Unanswered records that the call received no complete answer although it may have run
-	// (verdict.MayHaveRun) or has run (verdict.HasRun). Resends receive this verdict.
-	Unanswered(ctx context.Context, ticket *Ticket, ran verdict.Ran) error
+	// FinishWithoutAnswer records that the call received no complete answer although it may have
+	// run (verdict.MayHaveRun) or has run (verdict.HasRun). Resends receive this verdict.
+	FinishWithoutAnswer(ctx context.Context, ticket *Ticket, ran verdict.Ran) error
 }
 
 // GuardedCall identifies an at-most-once call.
--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -39,7 +39,7 @@
 	Metrics *observe.Metrics
 }
 
-// Client implements route.Placer using the schedulers of the fleet.
+// Client implements route.Scheduler using the schedulers of the fleet.
 type Client struct {
 	cfg ClientConfig
 
@@ -60,8 +60,8 @@
 	return &Client{cfg: cfg, grants: make(map[attemptKey]*clientGrant)}
 }
 
-// Reserve implements route.Placer. If a scheduler cannot be reached, it is looked up again until
-// the deadline, since the fleet assigns the service to another instance within seconds.
+// Reserve implements route.Scheduler. If a scheduler cannot be reached, it is looked up again
+// until the deadline, since the fleet assigns the service to another instance within seconds.
 func (c *Client) Reserve(ctx context.Context, req *request.Request, attempt uint32, avoid []string) (*route.Grant, error) {
 	for {
 		budget := time.Until(req.Deadline)
@@ -87,8 +87,8 @@
 func (c *Client) reserveFrom(ctx context.Context, home request.Holder, req *request.Request, attempt uint32, avoid []string, budget time.Duration) (*route.Grant, error) {
 	// The additional time allows the scheduler's own refusal, with its accurate retry time, to
 	// arrive before the call times out here.
-	ctx, stop := context.WithTimeout(ctx, budget+callTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, budget+callTimeout)
+	defer cancel()
 	resp, err := c.cfg.Dial(home.Address).Reserve(ctx, connect.NewRequest(&peerv1.ReserveRequest{
 		Holder: holderToProto(c.cfg.Self()), Service: req.Service, Organisation: req.Organisation, RequestId: req.ID,
 		Class: uint32(req.Class), PromptTokens: uint32(req.PromptTokens), MaxTokens: uint32(req.MaxTokens),
@@ -131,7 +131,7 @@
 	return grant
 }
 
-// PrefillDone implements route.Placer.
+// PrefillDone implements route.Scheduler.
 func (c *Client) PrefillDone(grant *route.Grant) {
 	key := attemptKey{grant.RequestID, grant.Attempt}
 	c.mu.Lock()
@@ -141,8 +141,8 @@
 		return
 	}
 	go func() {
-		ctx, stop := context.WithTimeout(context.Background(), callTimeout)
-		defer stop()
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+		defer cancel()
 		_, err := c.cfg.Dial(held.scheduler.Address).PrefillDone(ctx, connect.NewRequest(&peerv1.PrefillDoneRequest{
 			Service: grant.Service, RequestId: grant.RequestID, Attempt: grant.Attempt,
 		}))
@@ -152,8 +152,8 @@
 	}()
 }
 
-// Release implements route.Placer. It notifies both the current scheduler and the one that gave the
-// grant. If the release reaches neither, the grant ends when its lease expires.
+// Release implements route.Scheduler. It notifies both the current scheduler and the one that gave
+// the grant. If the release reaches neither, the grant ends when its lease expires.
 func (c *Client) Release(grant *route.Grant, outcome route.Outcome) {
 	key := attemptKey{grant.RequestID, grant.Attempt}
 	c.mu.Lock()
@@ -169,8 +169,8 @@
 }
 
 func (c *Client) sendRelease(address string, grant *route.Grant, outcome route.Outcome) {
-	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+	defer cancel()
 	_, err := c.cfg.Dial(address).Release(ctx, connect.NewRequest(&peerv1.ReleaseRequest{
 		Holder: holderToProto(c.cfg.Self()), Service: grant.Service, GrantId: grant.ID,
 		RequestId: grant.RequestID, Attempt: grant.Attempt, Outcome: outcomeToProto(outcome),
