--- a/object/bench_test.go
+++ b/object/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// fleetSet returns a set of the size that the users expect later: 12000 organisations
+// fleetSet returns a set of the size that the operators expect later: 12000 organisations
 // with two keys each, 23 model services and 600 upstreams.
 func fleetSet() Set {
 	var s Set
--- a/object/defaults.go
+++ b/object/defaults.go
@@ -8,7 +8,7 @@
 	DefaultMaxPromptTokens = 32768
 	// DefaultMaxOutputTokens bounds the output of a request.
 	DefaultMaxOutputTokens = 4096
-	// DefaultFirstByteMS is the users' target for the time to first token, 1.7 s.
+	// DefaultFirstByteMS is the operators' target for the time to first token, 1.7 s.
 	DefaultFirstByteMS = 1700
 	// DefaultDeferrableWaitMS bounds the time in the queue of a deferrable request.
 	DefaultDeferrableWaitMS = 120_000
@@ -16,8 +16,8 @@
 	DefaultMaxBodyBytes = 1 << 20
 	// DefaultCallCost is the token charge of a plain call.
 	DefaultCallCost = 1
-	// DefaultPieceTokens is the size of a piece of engine memory. The users state it as
-	// about two thousand tokens.
+	// DefaultPieceTokens is the size of a piece of engine memory. The operators state it
+	// as about two thousand tokens.
 	DefaultPieceTokens = 2048
 )
 
