--- a/load/check_test.go
+++ b/load/check_test.go
@@ -74,7 +74,7 @@
 }
 
 // Guards against a checker that misses an answer corrupted between the engine and the caller: a
-// plausible text that is not the expected answer, or an error that is false.
+// plausible text that is not the expected answer, or an error that misstates what happened.
 func TestCheckFindsWrongAnswers(t *testing.T) {
 	other := strings.Join(stand.Answer("another prompt", testMaxTokens), "")
 	tests := []struct {
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -71,7 +71,7 @@
 	Address string `json:"address"`
 }
 
-// Organisation is a tenant that sends requests.
+// Organisation is an organisation whose callers send requests.
 type Organisation struct {
 	Name string `json:"name"`
 	Key  string `json:"key"`
@@ -178,8 +178,8 @@
 	return s, s.validate()
 }
 
-// Defaults of a scenario. The latency targets are those of the users: the first token within 1.7 s
-// and 53 ms between tokens.
+// Defaults of a scenario. The latency targets are those of the operators: the first token within
+// 1.7 s and 53 ms between tokens.
 const (
 	defaultFirstByteTarget = 1700 * time.Millisecond
 	defaultPerTokenTarget  = 53 * time.Millisecond
