--- a/stand/engine_test.go
+++ b/stand/engine_test.go
@@ -207,7 +207,7 @@
 }
 
 // If a stream's instance crashes and the stream is neither resumed nor cancelled, its
-// memory must be freed after ResumeTTL. TestStreamsNameOwners covers the listing by
+// memory must be freed after ResumeTTL. TestStreamsListOwners covers the listing by
 // which other instances can find and cancel it before.
 func TestOrphanIsFreed(t *testing.T) {
 	p := startEnginePair(t, stand.EngineConfig{}, stand.EngineConfig{ResumeTTL: 50 * time.Millisecond})
