--- a/soak/faults.go
+++ b/soak/faults.go
@@ -11,7 +11,7 @@
 // fault is one scheduled fault.
 type fault struct {
 	At time.Duration `json:"at"`
-	// Duration is how long the fault lasts, for kinds that last.
+	// Duration is how long the fault lasts; kinds without a duration, such as kill, ignore it.
 	Duration time.Duration `json:"for"`
 	Kind     string        `json:"kind"`
 	// Target selects the affected instance or engine, modulo their number.
